--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -10,36 +10,18 @@
 #include <variant>
 #include <vector>
 
+#include "digests/digest.hpp"
 #include "logic.hpp"
 #include "samples.hpp"
 
 namespace {
 using namespace reedspindle;
+using digests::Digest;
 
 constexpr Millis kTick = 5;   // between two batches
 constexpr int kTicks = 3000;  // of one sequence
 constexpr int kGroups = 6, kMembers = 5;
 
-class Digest {
- public:
-  // Also prints what it is made of: to find the first decision in which two versions differ.
-  explicit Digest(bool prints) : prints_(prints) {}
-  void add(const std::string& text) {
-    if (prints_) std::cout << text << '\n';
-    for (const char letter : text) sum_ = (sum_ ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
-    ++count_;
-  }
-  void comment(const std::string& text) const {
-    if (prints_) std::cout << "# " << text << '\n';
-  }
-  std::string text() const { return fmt::format("{:016x} of {}", sum_, count_); }
-
- private:
-  std::uint64_t sum_ = 1469598103934665603ull;  // FNV-1a
-  int count_ = 0;
-  const bool prints_;
-};
-
 Values settings(unsigned seed) {
   const bool asked = seed % 3 == 1, cold = seed % 2 == 0, peers = seed % 4 != 3;
   return {{"instances", peers ? 12.0 : 1.0},
