--- /dev/null
+++ b/tests/digests/codecs.cpp
@@ -0,0 +1,191 @@
+// Writes drawn messages of the membership, the shares, the accord and the samples, reads them whole, mutated
+// and cut, and prints a digest of the bytes and of what was read.
+#include <algorithm>
+#include <exception>
+#include <optional>
+
+#include "accord/message.hpp"
+#include "digest.hpp"
+#include "membership/message.hpp"
+#include "samples.hpp"
+#include "shares/message.hpp"
+
+namespace {
+using namespace reedspindle;
+
+constexpr int kMessages = 2500;  // of each kind
+
+class Sequence {
+ public:
+  Sequence(unsigned seed, bool prints) : draws_(seed), digest_(prints) {}
+  std::string play() {
+    for (int number = 0; number < kMessages; ++number) {
+      play(membership_bytes());
+      play(shares_bytes());
+      play(accord_bytes());
+      samples();
+    }
+    for (int number = 0; number < kMessages; ++number) {
+      const char letter[] = {'M', 'm', 'S', 's', 'A', 'a', '{', '1'};
+      std::string bytes(1, letter[draws_.below(8)]);
+      bytes += draws_.bytes(draws_.below(20));
+      read(bytes);
+    }
+    return digest_.text();
+  }
+
+ private:
+  std::uint32_t number(int below) { return static_cast<std::uint32_t>(draws_.below(below)); }
+  int place() { return draws_.one_in(9) ? draws_.below(70000) : draws_.below(30); }
+  std::string name() {
+    std::string name = fmt::format("front-{}", draws_.below(100));
+    if (draws_.one_in(10)) name += std::string(static_cast<std::size_t>(draws_.below(40)), 'x');
+    return name;
+  }
+
+  std::string membership_bytes() {
+    membership::Message message;
+    message.kind = static_cast<membership::Kind>(draws_.below(7));
+    message.number = number(2000000000);
+    message.name = name();
+    message.place = {place()};
+    message.incarnation = {1767225600000u + number(100000)};
+    message.born = 1767225600000u + number(100000);
+    message.leaving = draws_.one_in(4);
+    message.answer = draws_.one_in(4);
+    message.about = {place()};
+    message.range = {draws_.below(4), number(4096)};
+    if (message.kind == membership::Kind::digest)
+      for (int part = 0; part < membership::kFan; ++part) message.sums.push_back(number(2000000000));
+    const int words = draws_.below(12);
+    for (int word = 0; word < words; ++word) {
+      membership::Word one;
+      one.name = name();
+      one.place = {place()};
+      one.standing = static_cast<membership::Standing>(draws_.below(4));
+      one.incarnation = {1767225600000u + number(100000)};
+      one.by = {draws_.between(-1, 20)};
+      message.words.push_back(one);
+    }
+    std::size_t told = 0;
+    const std::string bytes = membership::bytes_of(message, told);
+    digest_.add(fmt::format("told {} of {}", told, words));
+    return bytes;
+  }
+  std::string shares_bytes() {
+    shares::Message message;
+    message.kind = static_cast<shares::Kind>(draws_.below(7));
+    message.number = number(2000000000);
+    message.of = number(2000000000);
+    message.place = {place()};
+    message.life = {number(2000000000)};
+    message.terms = number(2000000000);
+    message.held = draws_.one_in(2);
+    message.yes = draws_.one_in(2);
+    message.young = draws_.one_in(2);
+    message.own = draws_.one_in(2);
+    message.need = draws_.one_in(2);
+    message.wants = draws_.below(9000);
+    message.lends = draws_.below(9000);
+    message.amount = draws_.below(9000);
+    message.left = 0.25 * draws_.below(9000);
+    return shares::bytes_of(message);
+  }
+  std::string accord_bytes() {
+    accord::Message message;
+    message.kind = static_cast<accord::Kind>(draws_.below(4));
+    message.number = number(2000000000);
+    message.place = {place()};
+    for (std::uint32_t& sum : message.account.sums) sum = number(2000000000);
+    message.account.revision = number(1000000);
+    message.word_age = draws_.one_in(2) ? -1 : draws_.below(90000);
+    const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
+    for (int mark = 0; mark < marks; ++mark) message.marks.push_back(number(1 << 24));
+    return accord::bytes_of(message);
+  }
+
+  void play(const std::string& bytes) {
+    digest_.add(digests::hex(bytes));
+    read(bytes);
+    read(draws_.mutated(bytes));
+    read(bytes.substr(0, static_cast<std::size_t>(draws_.below(static_cast<int>(bytes.size())))));
+  }
+  // What the reader says; nothing where it throws, which is a fault of the reader and no message either.
+  template <typename Reader>
+  auto read_by(Reader reader, const std::string& bytes) -> decltype(reader(bytes)) {
+    try {
+      return reader(bytes);
+    } catch (const std::exception&) {
+      digest_.comment("the reader throws on " + digests::hex(bytes));
+      return std::nullopt;
+    }
+  }
+  void read(const std::string& bytes) {
+    digest_.comment(digests::hex(bytes));
+    digest_.add(fmt::format("for {} {} {}", membership::is_for_membership(bytes),
+                            shares::is_for_shares(bytes), accord::is_for_accord(bytes)));
+    const auto fellow = read_by(membership::message_in, bytes);
+    if (fellow) add(*fellow);
+    const auto share = read_by(shares::message_in, bytes);
+    if (share) add(*share);
+    const auto question = read_by(shares::question_in, bytes);
+    if (question) digest_.add(fmt::format("question {}", *question));
+    const auto account = read_by(accord::message_in, bytes);
+    if (account) add(*account);
+  }
+  void add(const membership::Message& message) {
+    digest_.add(fmt::format("{} {} {} {} {} {} {} {} {} {}/{}", static_cast<int>(message.kind),
+                            message.number, message.name, message.place.number, message.incarnation.number,
+                            message.born, message.leaving, message.answer, message.about.number,
+                            message.range.depth, message.range.prefix));
+    for (const std::uint32_t sum : message.sums) digest_.add(fmt::format("sum {}", sum));
+    for (const membership::Word& word : message.words)
+      digest_.add(fmt::format("word {} {} {} {} {}", word.name, word.place.number,
+                              static_cast<int>(word.standing), word.incarnation.number, word.by.number));
+  }
+  void add(const shares::Message& message) {
+    digest_.add(fmt::format("{} {} {} {} {} {} {}{}{}{}{} {} {} {} {:.3f}", static_cast<int>(message.kind),
+                            message.number, message.of, message.place.number, message.life.number,
+                            message.terms, message.held, message.yes, message.young, message.own,
+                            message.need, message.wants, message.lends, message.amount, message.left));
+  }
+  void add(const accord::Message& message) {
+    digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
+                            message.place.number, message.account.sums[0], message.account.sums[1],
+                            message.account.sums[2], message.account.revision, message.word_age));
+    for (const std::uint32_t mark : message.marks) digest_.add(fmt::format("mark {}", mark));
+  }
+
+  void samples() {
+    const Millis now = 1767225600000 + draws_.below(1000000);
+    std::vector<ToldSample> told;
+    const int count = draws_.below(45);
+    for (int sample = 0; sample < count; ++sample) {
+      ToldSample one;
+      one.mark = mark_of({fmt::format("m{}", draws_.below(1000))});
+      one.seen.role = static_cast<Role>(draws_.below(3));
+      one.seen.position = draws_.one_in(5) ? -1 : now - draws_.below(9000);
+      one.seen.busy = draws_.one_in(5) ? -1 : 0.01 * draws_.below(101);
+      told.push_back(one);
+    }
+    const std::string text = text_of(now, told);
+    digest_.add(text);
+    add(samples_in(text, now + draws_.below(100)));
+    const std::string mutated = draws_.mutated(text);
+    add(samples_in(mutated, now + draws_.below(100)));
+  }
+  void add(const std::optional<ToldSamples>& read) {
+    if (!read) return digest_.add("no samples");
+    digest_.add(fmt::format("samples of {:.3f}", read->then));
+    for (const ToldSample& one : read->samples)
+      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.seen.role),
+                              one.seen.position, one.seen.busy));
+  }
+
+  digests::Draws draws_;
+  digests::Digest digest_;
+};
+
+}  // namespace
+
+int main(int count, char** words) { digests::play_seeds<Sequence>(count, words, 4); }
