--- a/bench/accord.cpp
+++ b/bench/consistency.cpp
@@ -7,24 +7,24 @@
 #include <algorithm>
 #include <iostream>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 using namespace reedspindle;
-using rig::VirtualFleet;
+using faulttest::VirtualFleet;
 
 namespace {
 
 // Whether a front differs from nobody, having compared itself.
 bool agrees(const VirtualFleet& fleet, int front) {
-  const accord::View view = fleet.accord(front)->view();
+  const consistency::View view = fleet.consistency(front)->view();
   return std::ranges::all_of(view.differences,
                              [](const auto& is) { return is.differ == 0 && is.compared > 0; });
 }
 
 class Fleet {
  public:
-  Fleet(int fronts, std::uint64_t seed) : fleet(fronts, membership::Charge{}, seed), muted_(at(fronts)) {
-    fleet.compare(accord::Charge{});
+  Fleet(int fronts, std::uint64_t seed) : fleet(fronts, membership::Options{}, seed), muted_(at(fronts)) {
+    fleet.compare(consistency::Options{});
     fleet.passes = [this](int from, int to) { return !cut || (from < side) == (to < side); };
     for (int front = 0; front < fronts; ++front) fleet.start(front), tell(front, 1);
   }
@@ -36,7 +36,7 @@
     fleet.act(front, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
     fleet.confirm(front);
   }
-  // Discovery speaks to all each half second.
+  // TestDiscovery speaks to all each half second.
   template <typename There>
   Millis until(std::uint32_t list, There there) {
     Millis took = 0;
@@ -79,23 +79,23 @@
                            all.until_accord(1));
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   std::vector<double> sent;
-  std::vector<rig::Load> before;
-  for (int front = 0; front < fronts; ++front) before.push_back(fleet.accord_load(front));
+  std::vector<faulttest::Load> before;
+  for (int front = 0; front < fronts; ++front) before.push_back(fleet.consistency_load(front));
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   double datagrams = 0, bytes = 0;
   for (int front = 0; front < fronts; ++front) {
-    const rig::Load now = fleet.accord_load(front), then = before[Fleet::at(front)];
+    const faulttest::Load now = fleet.consistency_load(front), then = before[Fleet::at(front)];
     datagrams += static_cast<double>(now.datagrams - then.datagrams) / 20 / fronts;
     bytes += static_cast<double>(now.bytes - then.bytes) / 20 / fronts;
   }
   std::cout << fmt::format("in quiet {:.1f} datagrams/s, {:.0f} B/s a front\n", datagrams, bytes);
 
   all.mute(0, true);
-  const auto differs = [&](int front) { return fleet.accord(front)->view().differences[0].differ > 0; };
+  const auto differs = [&](int front) { return fleet.consistency(front)->view().differences[0].differ > 0; };
   std::cout << fmt::format("discovery silent to one, a new list: it sees that it differs after {:.1f} s",
                            all.until(2, [&] { return differs(0); }));
   std::cout << fmt::format(", doubts who left {:.1f} s later",
-                           all.until(2, [&] { return !fleet.accord(0)->view().doubted.empty(); }));
+                           all.until(2, [&] { return !fleet.consistency(0)->view().doubted.empty(); }));
   std::cout << fmt::format(", the first of the others sees it {:.1f} s after that\n", all.until(2, [&] {
     for (int front = 1; front < fronts; ++front)
       if (differs(front)) return true;
@@ -109,19 +109,19 @@
   for (int front = 0; front < all.side; ++front) all.mute(front, true);
   all.until(3, [&, from = fleet.now()] { return fleet.now() - from > 30000; });
   int off = 0;
-  for (int front = 0; front < fronts; ++front) off += fleet.accord(front)->view().cut_off;
+  for (int front = 0; front < fronts; ++front) off += fleet.consistency(front)->view().cut_off;
   std::cout << fmt::format(
       "two fifths cut off, and from discovery, for 30 s: {} of {} hold themselves cut off\n", off, all.side);
   all.cut = false;
   std::cout << fmt::format("links heal, discovery stays silent to them: none cut off after {:.1f} s",
                            all.until(3, [&] {
                              for (int front = 0; front < fronts; ++front)
-                               if (fleet.accord(front)->view().cut_off) return false;
+                               if (fleet.consistency(front)->view().cut_off) return false;
                              return true;
                            }));
   std::cout << fmt::format(", all of them doubt who left {:.1f} s later\n", all.until(3, [&] {
     for (int front = 0; front < all.side; ++front)
-      if (fleet.accord(front)->view().doubted.empty()) return false;
+      if (fleet.consistency(front)->view().doubted.empty()) return false;
     return true;
   }));
   for (int front = 0; front < all.side; ++front) all.mute(front, false);
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -14,12 +14,12 @@
 #include <random>
 #include <thread>
 
-#include "standins/proxies.hpp"
-#include "standins/service.hpp"
-#include "standins/world.hpp"
+#include "testservers/proxies.hpp"
+#include "testservers/service.hpp"
+#include "testservers/world.hpp"
 
 namespace {
-using namespace reedspindle::standins;
+using namespace reedspindle::testservers;
 
 constexpr int kOfGroup = 6;  // members of a group, the first of them primary
 
@@ -37,14 +37,14 @@
 // When each proxy was last handed the drained member as healthy.
 struct Watch {
   std::mutex mutex;
-  std::string member, assignment;
+  std::string server, assignment;
   std::map<std::string, double> out;  // by proxy: the time from which it does not send there
 };
 
 bool has(const Proxy& proxy, const std::string& assignment, const std::string& member) {
   const auto handed = proxy.assignment(assignment);
   return handed &&
-         std::ranges::any_of(*handed, [&](const Handed& h) { return h.member == member && h.healthy; });
+         std::ranges::any_of(*handed, [&](const Handed& h) { return h.server == member && h.healthy; });
 }
 
 int run(const Wish& wish) {
@@ -70,8 +70,8 @@
   std::atomic<bool> empty = false;
   const auto look = [&](Proxy& proxy, const std::string&, double at) {
     const std::lock_guard lock(watch.mutex);
-    if (watch.member.empty()) return;
-    const bool there = has(proxy, watch.assignment, watch.member);
+    if (watch.server.empty()) return;
+    const bool there = has(proxy, watch.assignment, watch.server);
     if (there)
       watch.out.erase(proxy.node());
     else
@@ -112,7 +112,7 @@
         std::min(group * kOfGroup + 1 + static_cast<int>(chance() % (kOfGroup - 1)), wish.members - 1);
     {
       const std::lock_guard lock(watch.mutex);
-      watch.member = world.name_of(store), watch.assignment = fmt::format("group-{}.any", group);
+      watch.server = world.name_of(store), watch.assignment = fmt::format("group-{}.any", group);
       watch.out.clear();
     }
     if (wish.reconnect)
@@ -129,7 +129,7 @@
       const std::lock_guard lock(watch.mutex);
       lost += static_cast<int>(proxies.size() - watch.out.size());
       for (const auto& [node, at] : watch.out) delays.push_back(std::max(0.0, at - told));
-      watch.member.clear();
+      watch.server.clear();
     }
     world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = false; });
     for (auto& proxy : proxies)
@@ -158,7 +158,7 @@
   if (wish.kills > 0) {
     {
       const std::lock_guard lock(watch.mutex);
-      watch.member = "nobody", watch.assignment = last_any;
+      watch.server = "nobody", watch.assignment = last_any;
     }
     std::vector<double> times;
     for (int kill = 0; kill < wish.kills; ++kill) {
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -10,27 +10,28 @@
 #include <numeric>
 #include <set>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 namespace {
+using namespace reedspindle;
 using namespace reedspindle::membership;
 using reedspindle::Millis;
-namespace rig = reedspindle::rig;
-using rig::VirtualFleet;
+namespace faulttest = reedspindle::faulttest;
+using faulttest::VirtualFleet;
 
 // The baseline: a word to every place each pace; who is silent for as many paces as a suspicion lasts at the
 // least has failed.
 class Heartbeats final : public Membership {
  public:
-  explicit Heartbeats(const Charge& charge) : charge_(charge) {}
-  void note(Event event) override {
-    if (const auto* heard = std::get_if<Heard>(&event)) heard_.push_back(heard->from);
+  explicit Heartbeats(const Options& options) : charge_(options) {}
+  void enqueue(Event event) override {
+    if (const auto* heard = std::get_if<DatagramReceived>(&event)) heard_.push_back(heard->from);
   }
-  std::vector<Decision> settle(Millis now) override {
+  std::vector<Decision> process(Millis now) override {
     std::vector<Decision> decisions;
     if (began_ == 0) began_ = next_ = now;
-    for (const Place from : std::exchange(heard_, {})) {
-      Fellow& fellow = fellows_[from];
+    for (const SlotId from : std::exchange(heard_, {})) {
+      Peer& fellow = fellows_[from];
       fellow.heard = now;
       if (!std::exchange(fellow.there, true)) decisions.push_back(change(from, Happening::joined));
     }
@@ -40,14 +41,14 @@
       beat.name = charge_.name, beat.place = charge_.place;
       std::size_t told = 0;
       for (int place = 0; place < charge_.places; ++place)
-        if (place != charge_.place.number) decisions.push_back(Tell{{place}, bytes_of(beat, told)});
+        if (place != charge_.place.number) decisions.push_back(SendDatagram{{place}, bytes_of(beat, told)});
     }
     for (auto& [place, fellow] : fellows_)
-      if (fellow.there && now - fellow.heard > charge_.patience * charge_.pace) {
+      if (fellow.there && now - fellow.heard > charge_.suspicion_multiplier * charge_.pace) {
         fellow.there = false;
         decisions.push_back(change(place, Happening::failed));
       }
-    decisions.push_back(WakeAt{next_});
+    decisions.push_back(RequestWakeup{next_});
     return decisions;
   }
   View view() const override {
@@ -58,15 +59,15 @@
   }
 
  private:
-  struct Fellow {
+  struct Peer {
     Millis heard = 0;
     bool there = false;
   };
-  static std::string name(Place place) { return fmt::format("n{}", place.number); }
-  static Change change(Place place, Happening happening) { return {name(place), place, happening, {}}; }
-  const Charge charge_;
-  std::vector<Place> heard_;
-  std::map<Place, Fellow> fellows_;
+  static std::string name(SlotId place) { return fmt::format("n{}", place.number); }
+  static Change change(SlotId place, Happening happening) { return {name(place), place, happening, {}}; }
+  const Options charge_;
+  std::vector<SlotId> heard_;
+  std::map<SlotId, Peer> fellows_;
   Millis began_ = 0, next_ = 0;
 };
 
@@ -82,10 +83,10 @@
 }
 
 struct Sizes {
-  Charge charge;
+  Options options;
   bool plain = false;
   VirtualFleet fleet(int fronts, std::uint64_t seed) const {
-    return {fronts, charge, seed, [plain = plain](const Charge& of, std::uint64_t with) {
+    return {fronts, options, seed, [plain = plain](const Options& of, std::uint64_t with) {
               return plain ? std::make_unique<Heartbeats>(of) : make_membership(of, with);
             }};
   }
@@ -134,7 +135,7 @@
     failed += change.happening == Happening::failed;
     suspected += change.happening == Happening::suspected;
   });
-  std::vector<rig::Load> before;
+  std::vector<faulttest::Load> before;
   for (int front = 0; front < fronts; ++front) before.push_back(fleet.load(front));
   const Millis began = fleet.now();
   while (fleet.now() - began < span) {
@@ -195,9 +196,9 @@
   app.add_option("--turns", turns, "deaths a size");
   app.add_option("--minutes", minutes, "virtual, of quiet");
   app.add_option("--seed", seed, "for chance");
-  app.add_option("--pace", sizes.charge.pace, "ms");
-  app.add_option("--time-out", sizes.charge.time_out, "ms");
-  app.add_option("--patience", sizes.charge.patience, "paces");
+  app.add_option("--pace", sizes.options.pace, "ms");
+  app.add_option("--time-out", sizes.options.timeout, "ms");
+  app.add_option("--patience", sizes.options.suspicion_multiplier, "paces");
   app.add_flag("--plain", sizes.plain, "the plain heartbeat instead");
   CLI11_PARSE(app, count, words);
   for (const int size : fronts) {
--- a/bench/keepers.cpp
+++ b/bench/probe_leaders.cpp
@@ -5,10 +5,10 @@
 #include <CLI/CLI.hpp>
 #include <iostream>
 
-#include "rig/virtual_steering.hpp"
+#include "faulttest/virtual_routers.hpp"
 
 using namespace reedspindle;
-using rig::Probing, rig::Stage, rig::VirtualSteering;
+using faulttest::Probing, faulttest::Stage, faulttest::VirtualRouters;
 
 namespace {
 
@@ -22,7 +22,7 @@
                            stage.by_view ? "by view" : "by silence and patience");
   std::cout << fmt::format("{:34} {:>9} {:>9} {:>9} {:>9} {:>9} {:>10}\n", "", "probes/s", "words/s",
                            "age p50", "age p99", "age max", "over 1 s");
-  VirtualSteering fleet(stage, seed);
+  VirtualRouters fleet(stage, seed);
   const int n = stage.fronts;
   for (int front = 0; front < n; ++front) fleet.start(front);
   print("all start at once, 2 s", fleet.run(2000));
--- a/bench/shares.cpp
+++ b/bench/quota.cpp
@@ -9,10 +9,10 @@
 #include <random>
 #include <set>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 using namespace reedspindle;
-using rig::VirtualFleet;
+using faulttest::VirtualFleet;
 
 namespace {
 
@@ -23,8 +23,8 @@
 
 // Everything that the network and the processes can do, one upon the other.
 int highest_sum(const Wish& wish, std::uint64_t seed) {
-  VirtualFleet fleet(wish.fronts, membership::Charge{}, seed);
-  shares::Charge charge;
+  VirtualFleet fleet(wish.fronts, membership::Options{}, seed);
+  quota::Options charge;
   charge.fleet = wish.fronts;
   fleet.share(charge);
   std::minstd_rand random(static_cast<unsigned>(seed * 7919 + 1));
@@ -41,7 +41,7 @@
     return all;
   };
   const auto want = [&](int front) {
-    if (fleet.up(front)) fleet.want(front, {below(2) * below(4) * shares::kSlot, below(2) * below(750)});
+    if (fleet.up(front)) fleet.want(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
   };
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * charge.drift);
@@ -110,17 +110,17 @@
   for (int run = 0; run < wish.runs; ++run)
     most =
         std::max(most, static_cast<double>(highest_sum(wish, static_cast<std::uint64_t>(wish.seed + run))) /
-                           (shares::kSlot * wish.fronts));
+                           (quota::kSlot * wish.fronts));
   std::cout << fmt::format("{} fronts, {} runs of {} s with drawn faults: highest sum {:.4f} of the whole\n",
                            wish.fronts, wish.runs, wish.seconds, most);
 
-  VirtualFleet fleet(wish.fronts, membership::Charge{}, static_cast<std::uint64_t>(wish.seed));
-  shares::Charge charge;
+  VirtualFleet fleet(wish.fronts, membership::Options{}, static_cast<std::uint64_t>(wish.seed));
+  quota::Options charge;
   charge.fleet = wish.fronts;
   fleet.share(charge);
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.start(front);
-    fleet.want(front, {shares::kSlot, 0});
+    fleet.want(front, {quota::kSlot, 0});
   }
   const auto until = [&](auto there) {
     Millis took = 0;
@@ -133,16 +133,16 @@
     return true;
   };
   std::cout << fmt::format("started together, all whole after {:.2f} s\n",
-                           until([&] { return all(0, shares::kSlot); }));
+                           until([&] { return all(0, quota::kSlot); }));
   fleet.run(20000);
   const auto load = [&](const char* when) {
-    std::vector<rig::Load> before;
-    for (int front = 0; front < wish.fronts; ++front) before.push_back(fleet.shares_load(front));
+    std::vector<faulttest::Load> before;
+    for (int front = 0; front < wish.fronts; ++front) before.push_back(fleet.quota_load(front));
     fleet.run(10000);
     std::vector<double> sent;
     for (int front = 0; front < wish.fronts; ++front)
       if (fleet.up(front))
-        sent.push_back(static_cast<double>(fleet.shares_load(front).datagrams -
+        sent.push_back(static_cast<double>(fleet.quota_load(front).datagrams -
                                            before[static_cast<std::size_t>(front)].datagrams) /
                        10);
     std::ranges::sort(sent);
@@ -152,12 +152,12 @@
   load("while all want more");
   const int dead = wish.fronts * 2 / 5;
   for (int front = 0; front < dead; ++front) fleet.kill(front);
-  const int each = dead * (shares::kSlot - charge.kept) / (wish.fronts - dead);
+  const int each = dead * (quota::kSlot - charge.kept) / (wish.fronts - dead);
   std::cout << fmt::format("{} killed, each other has {} more after {:.2f} s\n", dead, each - 1,
-                           until([&] { return all(dead, shares::kSlot + each - 1); }));
+                           until([&] { return all(dead, quota::kSlot + each - 1); }));
   for (int front = 0; front < dead; ++front) fleet.start(front);
   std::cout << fmt::format("started again, theirs after {:.2f} s\n",
-                           until([&] { return all(0, shares::kSlot); }));
+                           until([&] { return all(0, quota::kSlot); }));
   for (int front = 0; front < wish.fronts; ++front) fleet.want(front, {});
   fleet.run(10000);
   load("while nobody wants more");
--- a/bench/module.cpp
+++ b/bench/routing.cpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
 using namespace reedspindle;
 
@@ -18,7 +18,7 @@
 constexpr int kRequests = 1000;
 constexpr int kTurns = 5;  // the least of so many counts
 
-Values settings() {
+Settings settings() {
   return {{"instances", 300.0},
           {"allow.peers", 1.0},
           {"allow.probes", 1.0},
@@ -48,40 +48,45 @@
   Cost cost;
   for (int turn = 0; turn < kTurns; ++turn) {
     Millis now = 1767225600000;
-    ListRead list{ListKind::complete, {}};
+    EndpointListReceived list{EndpointListKind::complete, {}};
     for (int server = 0; server < servers; ++server) {
-      ListedMember entry;
-      entry.member = {fmt::format("s-{:08x}", server * 2654435761u)};
+      ServerEntry entry;
+      entry.id = {fmt::format("s-{:08x}", server * 2654435761u)};
       entry.group = {server / kReplicas};
-      entry.up_since = server % 3 == 0 ? 0 : now;
-      list.members.push_back(entry);
+      entry.started_at = server % 3 == 0 ? 0 : now;
+      list.servers.push_back(entry);
     }
     const auto router = make_router(settings(), 7);
     cost.first_list = std::min(cost.first_list, milliseconds([&] {
-                                 router->note(list);
-                                 router->settle(now);
+                                 router->enqueue(list);
+                                 router->process(now);
                                }));
     cost.requests = std::min(
         cost.requests, milliseconds([&] {
           for (std::uint64_t number = 1; number <= kRequests; ++number) {
-            OpArrived arrived;
-            arrived.op = {number};
+            RequestReceived arrived;
+            arrived.request = {number};
             arrived.group = {
                 static_cast<int>(number * 7919 % static_cast<unsigned>(std::max(1, servers / kReplicas)))};
-            arrived.patience = 1000;
-            router->note(arrived);
-            for (const Decision& decision : router->settle(now += 5))
-              if (const auto* send = std::get_if<Send>(&decision))
-                router->note(SendEnded{
-                    send->op, {0}, send->member, Ending::acked, 10, true, {Role::replica, now, 0.3}});
+            arrived.remaining = 1000;
+            router->enqueue(arrived);
+            for (const Decision& decision : router->process(now += 5))
+              if (const auto* send = std::get_if<StartAttempt>(&decision))
+                router->enqueue(AttemptCompleted{send->request,
+                                                 {0},
+                                                 send->server,
+                                                 AttemptOutcome::acknowledged,
+                                                 10,
+                                                 true,
+                                                 {Role::replica, now, 0.3}});
           }
         }));
-    list.kind = ListKind::changes;
-    list.members.resize(1);
-    list.members[0].state = MemberState::draining;
+    list.kind = EndpointListKind::changes;
+    list.servers.resize(1);
+    list.servers[0].state = ServerState::draining;
     cost.change = std::min(cost.change, milliseconds([&] {
-                             router->note(list);
-                             router->settle(now += 5);
+                             router->enqueue(list);
+                             router->process(now += 5);
                            }));
   }
   return cost;
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -1,7 +1,7 @@
 // What one front costs among ever more servers, with the same traffic: a row a size, each beside the usual
 // size of the same run and held against the limits of the standing page. Exit code 1: a rule broken or a
 // limit passed.
-#include "rig/scale.hpp"
+#include "faulttest/scale.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -13,8 +13,8 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-using reedspindle::rig::ScaleCost;
-using reedspindle::rig::ScaleDay;
+using reedspindle::faulttest::ScaleCost;
+using reedspindle::faulttest::ScaleDay;
 
 namespace {
 
@@ -106,7 +106,7 @@
   std::vector<ScaleCost> costs;
   for (const int servers : sizes) {
     day.servers = servers;
-    costs.push_back(reedspindle::rig::play_scale_day(day, folder));
+    costs.push_back(reedspindle::faulttest::play_scale_day(day, folder));
     print(costs.back());
     for (const std::string& line : costs.back().breaks) std::cout << "  " << line << '\n';
     kept = kept && costs.back().rules_kept();
--- a/src/links/placement.cpp
+++ b/src/config/instance_config.cpp
@@ -1,18 +1,18 @@
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
 
 #include <fmt/format.h>
 
 #include <fstream>
 
-#include "values.hpp"
+#include "settings/settings.hpp"
 
-namespace reedspindle::links {
+namespace reedspindle::config {
 namespace {
 
 using Json = nlohmann::json;
 
 [[noreturn]] void wrong(const std::string& key, const std::string& expected) {
-  throw Malformed(fmt::format("{}: {} was expected", key, expected));
+  throw InvalidInput(fmt::format("{}: {} was expected", key, expected));
 }
 
 // A value of the configuration, with the key as messages name it.
@@ -57,7 +57,7 @@
   const char* text = environment(variable);
   if (text && *text) return text;
   if (!key.value)
-    throw Malformed(fmt::format("{} and {}: {} was expected in one", variable, key.name, expected));
+    throw InvalidInput(fmt::format("{} and {}: {} was expected in one", variable, key.name, expected));
   return key.text(expected);
 }
 
@@ -94,7 +94,7 @@
                                     : fmt::format("{}:{}", address, endpoint.port());
 }
 
-Placement read_placement(const Environment& environment, Reading reading) {
+InstanceConfig read_instance_config(const Environment& environment, Reading reading) {
   const char* path = environment("ROUTER_CONFIG");
   if (!path || !*path) wrong("ROUTER_CONFIG", "the path of the configuration file");
   std::ifstream file(path);
@@ -107,13 +107,13 @@
   if (json.is_discarded() || !json.is_object()) wrong("ROUTER_CONFIG", "a file that holds a JSON object");
   const Key top{&json, ""};
 
-  Placement placement;
+  InstanceConfig config;
   const char* address = "an address and a port";
-  placement.name = told(environment, "ROUTER_NAME", top.in("name"), "a name");
-  placement.listen = endpoint_of<asio::ip::tcp::endpoint>(
+  config.name = told(environment, "ROUTER_NAME", top.in("name"), "a name");
+  config.listen = endpoint_of<asio::ip::tcp::endpoint>(
       told(environment, "ROUTER_LISTEN", top.in("listen"), address), "listen");
   const Key discovery_at = top.in("discovery");
-  placement.discovery =
+  config.discovery =
       endpoint_of<asio::ip::tcp::endpoint>(reading == Reading::again && discovery_at.value
                                                ? discovery_at.text(address)
                                                : told(environment, "ROUTER_DISCOVERY", discovery_at, address),
@@ -124,51 +124,51 @@
     const std::string text = seed.text("up to 16 hexadecimal digits");
     if (text.size() > 16 || text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
       wrong(seed.name, "up to 16 hexadecimal digits");
-    placement.seed = std::stoull(text, nullptr, 16);
+    config.seed = std::stoull(text, nullptr, 16);
   }
-  placement.sockets = static_cast<std::size_t>(top.in("limits").in("sockets").number(1024, 64));
-  placement.memory = static_cast<std::size_t>(top.in("limits").in("memory_mb").number(64, 16)) << 20;
+  config.sockets = static_cast<std::size_t>(top.in("limits").in("sockets").number(1024, 64));
+  config.memory = static_cast<std::size_t>(top.in("limits").in("memory_mb").number(64, 16)) << 20;
   if (top.in("peer_listen").value) {
     using Endpoint = asio::ip::udp::endpoint;
-    placement.hears_peers = true;
-    placement.peer_listen = endpoint_of<Endpoint>(top.in("peer_listen").text(address), "peer_listen");
-    placement.peers_all = endpoint_of<Endpoint>(top.in("peers_all").text(address), "peers_all");
+    config.hears_peers = true;
+    config.peer_listen = endpoint_of<Endpoint>(top.in("peer_listen").text(address), "peer_listen");
+    config.peers_all = endpoint_of<Endpoint>(top.in("peers_all").text(address), "peers_all");
     for (const Key& peer : top.in("peers").rows("an array of addresses"))
-      placement.peers.push_back(endpoint_of<Endpoint>(peer.text(address), peer.name));
+      config.peers.push_back(endpoint_of<Endpoint>(peer.text(address), peer.name));
   }
-  if (const Key known = top.in("known"); known.value) placement.known = known.value->dump();
+  if (const Key known = top.in("known"); known.value) config.known = known.value->dump();
 
   const Key settings = top.in("settings");
   if (!settings.value || !settings.value->is_object()) wrong("settings", "an object");
   try {
-    placement.values = values_of(*settings.value);
+    config.values = router_settings_in(*settings.value);
   } catch (const std::exception& fault) {
-    throw Malformed(fmt::format("settings: {}", fault.what()));
+    throw InvalidInput(fmt::format("settings: {}", fault.what()));
   }
   const Key types = settings.in("requestClasses");
-  const auto is = [&](OpTypeId type, const char* key, const char* word) {
-    const auto found = placement.values.find(fmt::format("op_type.{}.{}", type.number, key));
-    return found != placement.values.end() && found->second == decltype(found->second)(word);
+  const auto is = [&](RequestClassId type, const char* key, const char* word) {
+    const auto found = config.values.find(fmt::format("op_type.{}.{}", type.number, key));
+    return found != config.values.end() && found->second == decltype(found->second)(word);
   };
-  for (const auto& [name, type] : names_of<OpTypeId>(types, "name"))
-    placement.catalogue.op_types[name] = {type, is(type, "needs", "write"), is(type, "effect", "tokened")};
-  if (placement.catalogue.op_types.empty()) wrong(types.name, "at least one op type");
+  for (const auto& [name, type] : names_of<RequestClassId>(types, "name"))
+    config.names.request_classes[name] = {type, is(type, "needs", "write"), is(type, "effect", "tokened")};
+  if (config.names.request_classes.empty()) wrong(types.name, "at least one op type");
   for (const Key& type : types.rows("an array"))
     for (const char* of : {"goalTime", "deadline", "dedupWindow", "importance", "lateValue"})
       type.in(of).number(0, 0);
-  placement.catalogue.zones = names_of<ZoneId>(settings.in("zones"), nullptr);
-  placement.catalogue.kinds = names_of<int>(settings.in("shapes"), nullptr);
+  config.names.zones = names_of<ZoneId>(settings.in("zones"), nullptr);
+  config.names.kinds = names_of<int>(settings.in("shapes"), nullptr);
   const Key discovery = settings.in("discovery");
-  placement.list_is_asked = discovery.value && discovery.text("push or ask") == "ask";
+  config.polls_endpoints = discovery.value && discovery.text("push or ask") == "ask";
 
   const Key allowed = settings.in("ceilings");
-  placement.open_ops = static_cast<std::size_t>(allowed.in("maxOpen").number(20000, 1));
-  placement.connect_time_out = allowed.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
-  placement.connection_idle = allowed.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
-  return placement;
+  config.open_requests = static_cast<std::size_t>(allowed.in("maxOpen").number(20000, 1));
+  config.connect_timeout = allowed.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
+  config.connection_idle = allowed.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
+  return config;
 }
 
-std::vector<std::string> kept_until_restart(const Placement& running, const Placement& read) {
+std::vector<std::string> keys_that_need_restart(const InstanceConfig& running, const InstanceConfig& read) {
   std::vector<std::string> keys;
   if (running.name != read.name) keys.push_back("name");
   if (running.listen != read.listen) keys.push_back("listen");
@@ -176,8 +176,8 @@
   if (running.hears_peers != read.hears_peers || running.peer_listen != read.peer_listen ||
       running.peers_all != read.peers_all || running.peers != read.peers)
     keys.push_back("peers");
-  if (running.values != read.values || running.catalogue != read.catalogue) keys.push_back("settings");
+  if (running.values != read.values || running.names != read.names) keys.push_back("settings");
   return keys;
 }
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::config
--- a/src/links/placement.hpp
+++ b/src/config/instance_config.hpp
@@ -11,26 +11,26 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::links {
+namespace reedspindle::config {
 
 // An op type as statements name it, and what its statements look like.
-struct NamedType {
-  OpTypeId id;
+struct NamedRequestClass {
+  RequestClassId id;
   bool writes = false, tokened = false;
-  bool operator==(const NamedType&) const = default;
+  bool operator==(const NamedRequestClass&) const = default;
 };
 
 // Names that the settings give to what the module knows by number.
-struct Catalogue {
-  std::map<std::string, NamedType, std::less<>> op_types;
+struct NameTable {
+  std::map<std::string, NamedRequestClass, std::less<>> request_classes;
   std::map<std::string, ZoneId, std::less<>> zones;
   std::map<std::string, int, std::less<>> kinds;
-  bool operator==(const Catalogue&) const = default;
+  bool operator==(const NameTable&) const = default;
 };
 
-struct Placement {
+struct InstanceConfig {
   std::string name;
   asio::ip::tcp::endpoint listen, discovery;
   std::uint64_t seed = 0;
@@ -40,12 +40,12 @@
   asio::ip::udp::endpoint peer_listen, peers_all;
   std::vector<asio::ip::udp::endpoint> peers;  // by their numbers
   std::string known;                           // the list as it was had last, as JSON; empty: none
-  Values values;
-  Catalogue catalogue;
-  bool list_is_asked = false;  // the module says when to ask for the list
+  Settings values;
+  NameTable names;
+  bool polls_endpoints = false;  // the module says when to ask for the list
   // Limits stated by the settings.
-  std::size_t open_ops = 0;
-  Millis connect_time_out = 0, connection_idle = 0;
+  std::size_t open_requests = 0;
+  Millis connect_timeout = 0, connection_idle = 0;
 
   // Each peer's share of the descriptors. Clients hold at most a third for ops; what is over is for those
   // that ask once and stay. Held besides connections: standard streams, the event queue, its timer and
@@ -68,9 +68,9 @@
 // the process.
 enum class Reading { at_start, again };
 
-// Throws Malformed; its message names the faulty key and what was expected.
-Placement read_placement(const Environment& environment, Reading reading = Reading::at_start);
+// Throws InvalidInput; its message names the faulty key and what was expected.
+InstanceConfig read_instance_config(const Environment& environment, Reading reading = Reading::at_start);
 // The keys in which the second differs and which take effect at the next start only.
-std::vector<std::string> kept_until_restart(const Placement& running, const Placement& read);
+std::vector<std::string> keys_that_need_restart(const InstanceConfig& running, const InstanceConfig& read);
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::config
--- a/src/accord/accord.cpp
+++ b/src/consistency/consistency_monitor.cpp
@@ -1,4 +1,4 @@
-#include "accord/accord.hpp"
+#include "consistency/consistency_monitor.hpp"
 
 #include <algorithm>
 #include <deque>
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <utility>
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 namespace {
 
 constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
@@ -23,14 +23,14 @@
 // For how long a fellow's word that a member leaves holds: some rounds over 120 members, 40 a pace.
 constexpr double kDoubtPaces = 10;
 
-class Comparing final : public Accord {
+class Comparing final : public ConsistencyMonitor {
  public:
-  Comparing(const Charge& charge, std::uint64_t seed)
+  Comparing(const Options& charge, std::uint64_t seed)
       : charge_(charge), random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
-  void note(Event event) override { events_.push_back(std::move(event)); }
+  void enqueue(Event event) override { events_.push_back(std::move(event)); }
 
-  std::vector<Decision> settle(Millis now) override {
+  std::vector<Decision> process(Millis now) override {
     decisions_.clear();
     if (started_ == kNever) started_ = next_ask_ = now, now_ = now;
     now_ = std::max(now_, now);
@@ -65,7 +65,7 @@
     bool told = false;
   };
 
-  void take(const Heard& heard) {
+  void take(const DatagramReceived& heard) {
     const auto message = message_in(heard.bytes);
     if (!message || message->place != heard.from || heard.from == charge_.place ||
         ++heard_of_[heard.from] > kOfPlace)
@@ -95,10 +95,10 @@
   }
 
   // Who is there anew is asked next: two halves that meet would else each end their rounds among themselves.
-  void take(const Fellows& fellows) {
-    std::vector<Place> anew;
+  void take(const PeersChanged& fellows) {
+    std::vector<SlotId> anew;
     std::ranges::set_difference(fellows.there, there_, std::back_inserter(anew));
-    std::erase_if(round_, [&anew](Place place) { return std::ranges::binary_search(anew, place); });
+    std::erase_if(round_, [&anew](SlotId place) { return std::ranges::binary_search(anew, place); });
     std::shuffle(anew.begin(), anew.end(), random_);
     round_.insert(round_.end(), anew.begin(), anew.end());
     there_ = fellows.there, counted_ = fellows.counted;
@@ -116,7 +116,7 @@
     doubted_.clear();
   }
 
-  // Discovery has not spoken to this front itself for longer than news may take.
+  // TestDiscovery has not spoken to this front itself for longer than news may take.
   bool silent() const { return now_ - std::max(own_word_at_, started_) > charge_.grace; }
 
   // What removes is taken from a fellow at once, for it can only make this front more careful: while
@@ -126,7 +126,7 @@
     std::erase_if(doubted_, [this](const auto& item) { return now_ >= item.second; });
     if (now_ >= next_check_) {
       next_check_ = now_ + charge_.pace;
-      std::vector<Place> ahead;
+      std::vector<SlotId> ahead;
       for (const auto& [place, held] : held_)
         if (held.account.revision > account_.revision) ahead.push_back(place);
       if (silent() && !ahead.empty() && !ready_.empty()) {
@@ -136,7 +136,7 @@
           if (next == ready_.end()) next = ready_.begin();
           marks.push_back(checked_ = *next);
         }
-        const Place whom = ahead[random_() % ahead.size()];
+        const SlotId whom = ahead[random_() % ahead.size()];
         note_asked(whom, Kind::leave);
         tell(whom, Kind::checks, number_, std::move(marks));
       }
@@ -146,7 +146,7 @@
     if (marks != told_doubted_) decisions_.push_back(Doubted{told_doubted_ = std::move(marks)});
   }
 
-  void hold(Place of, const Account& account, Millis at) {
+  void hold(SlotId of, const Account& account, Millis at) {
     Held& held = held_[of];
     if (at >= held.at) held = {account, at};
   }
@@ -173,7 +173,7 @@
     Streak& streak = streaks_[static_cast<std::size_t>(matter)];
     Difference& is = streak.is;
     is.differ = is.compared = 0, is.behind = false;
-    std::optional<Place> one;
+    std::optional<SlotId> one;
     for (const auto& [place, held] : held_) {
       is.compared += compares(held, matter);
       if (!differs(held, matter)) continue;
@@ -199,12 +199,12 @@
   void ask() {
     if (now_ < next_ask_) return;
     next_ask_ = now_ + charge_.pace * (0.9 + 0.2 * chance());
-    std::vector<Place> differing;
+    std::vector<SlotId> differing;
     for (const auto& [place, held] : held_)
       for (int matter = 0; matter < kMatters; ++matter)
         if (differs(held, static_cast<Matter>(matter)) && (differing.empty() || differing.back() != place))
           differing.push_back(place);
-    std::optional<Place> whom;
+    std::optional<SlotId> whom;
     if (!differing.empty() && std::exchange(again_, !again_)) {
       whom = differing[random_() % differing.size()];
     } else {
@@ -220,7 +220,7 @@
     tell(*whom, Kind::asks, number_);
   }
 
-  void note_asked(Place whom, Kind answer) {
+  void note_asked(SlotId whom, Kind answer) {
     asked_.push_back({{++number_, whom, answer}, now_});
     if (asked_.size() > kAsked) asked_.pop_front();
   }
@@ -246,9 +246,10 @@
 
   void found(Found finding) { decisions_.push_back(std::move(finding)); }
 
-  void tell(Place to, Kind kind, std::uint32_t number, std::vector<std::uint32_t> marks = {}) {
+  void tell(SlotId to, Kind kind, std::uint32_t number, std::vector<std::uint32_t> marks = {}) {
     const Millis age = word_at_ == kNever ? -1 : now_ - word_at_;
-    decisions_.push_back(Tell{to, bytes_of({kind, number, charge_.place, account_, age, std::move(marks)})});
+    decisions_.push_back(
+        SendDatagram{to, bytes_of({kind, number, charge_.place, account_, age, std::move(marks)})});
   }
 
   void wake() {
@@ -257,29 +258,29 @@
       if (at != kForever && contact() + at + 1 > now_) next = std::min(next, contact() + at + 1);
     for (const Streak& streak : streaks_)
       if (streak.is.since > 0 && !streak.told) next = std::min(next, streak.is.since + charge_.grace);
-    decisions_.push_back(WakeAt{std::max(next, now_ + 1)});
+    decisions_.push_back(RequestWakeup{std::max(next, now_ + 1)});
   }
 
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
   struct Asked {
-    std::tuple<std::uint32_t, Place, Kind> what;  // the kind of its answer
+    std::tuple<std::uint32_t, SlotId, Kind> what;  // the kind of its answer
     Millis at = 0;
   };
-  const Charge charge_;
+  const Options charge_;
   std::minstd_rand random_;
   std::vector<Event> events_;
   std::vector<Decision> decisions_;
   Millis now_ = 0, started_ = kNever, next_ask_ = 0, next_count_ = 0;
-  std::set<Place> there_;
+  std::set<SlotId> there_;
   int counted_ = 1;
   Account account_;
   std::array<Millis, kMatters> changed_at_{kNever, kNever, kNever};
-  std::map<Place, Held> held_;
-  std::map<Place, int> heard_of_;
+  std::map<SlotId, Held> held_;
+  std::map<SlotId, int> heard_of_;
   std::array<Streak, kMatters> streaks_;
   std::deque<Asked> asked_;
-  std::vector<Place> round_;
+  std::vector<SlotId> round_;
   std::uint32_t number_ = 0;
   bool again_ = false;
   Millis word_at_ = kNever, majority_at_ = kNever, lost_ = kNever;
@@ -305,8 +306,8 @@
   return words[static_cast<int>(finding)];
 }
 
-std::unique_ptr<Accord> make_accord(const Charge& charge, std::uint64_t seed) {
+std::unique_ptr<ConsistencyMonitor> make_consistency_monitor(const Options& charge, std::uint64_t seed) {
   return std::make_unique<Comparing>(charge, seed);
 }
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/accord/accord.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -12,12 +12,14 @@
 #include <variant>
 #include <vector>
 
-#include "accord/message.hpp"
+#include "consistency/message.hpp"
+#include "core/datagram.hpp"
+#include "core/event_core.hpp"
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 
-struct Charge {
-  Place place;
+struct Options {
+  SlotId place;
   Millis pace = 1000;      // between two questions to a fellow
   Millis grace = 3000;     // that a difference may last before it is told of: news takes its time
   Millis silence = 10000;  // without contact, after which this front holds itself cut off
@@ -27,14 +29,10 @@
 };
 
 // Events.
-struct Heard {
-  Place from;
-  std::string bytes;
-};
 // Who is there in the membership's eyes, without this front, and how many count as the fleet: those that are
 // known to have ended don't.
-struct Fellows {
-  std::set<Place> there;
+struct PeersChanged {
+  std::set<SlotId> there;
   int counted = 1;
 };
 // What this front acts on from now on.
@@ -42,24 +40,17 @@
   Account account;
   std::set<std::uint32_t> ready;  // marks of the members that its list holds ready
 };
-// Discovery has answered this front.
+// TestDiscovery has answered this front.
 struct Confirmed {};
-using Event = std::variant<Heard, Fellows, Acts, Confirmed>;
+using Event = std::variant<DatagramReceived, PeersChanged, Acts, Confirmed>;
 
 // Decisions.
-struct Tell {
-  Place to;
-  std::string bytes;
-};
-struct WakeAt {
-  Millis at = 0;
-};
 enum class Finding { differs, agrees, cut_off, in_touch, turns_writes_away, turns_reads_away };
 const char* word_of(Finding finding);
 struct Found {
   Finding finding = Finding::differs;
   Matter matter = Matter::list;  // differs, agrees
-  Place place;                   // differs: the fellow that was first seen to
+  SlotId place;                  // differs: the fellow that was first seen to
   Account mine, theirs;          // differs: as it began
   Millis span = 0;               // since it began
 };
@@ -73,14 +64,14 @@
 struct Doubted {
   std::set<std::uint32_t> marks;
 };
-using Decision = std::variant<Tell, WakeAt, Found, Allowed, Doubted>;
+using Decision = std::variant<SendDatagram, RequestWakeup, Found, Allowed, Doubted>;
 
 // Of one matter: over the fellows whose word is recent, at most kMostHeld of them. Where the fleet is larger
 // that is a sample, and the share of those that differ has a standard error of sqrt(p (1 - p) / compared).
 struct Difference {
   int differ = 0, compared = 0;
   Millis since = 0;  // 0: none
-  Place first;
+  SlotId first;
   bool behind = false;  // list: a fellow has a later one
 };
 struct View {
@@ -93,14 +84,11 @@
 };
 constexpr std::size_t kMostHeld = 64;
 
-class Accord {
+class ConsistencyMonitor : public EventCore<Event, Decision> {
  public:
-  virtual ~Accord() = default;
-  virtual void note(Event event) = 0;
-  virtual std::vector<Decision> settle(Millis now) = 0;
   virtual View view() const = 0;
 };
 
-std::unique_ptr<Accord> make_accord(const Charge& charge, std::uint64_t seed);
+std::unique_ptr<ConsistencyMonitor> make_consistency_monitor(const Options& charge, std::uint64_t seed);
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/accord/message.cpp
+++ b/src/consistency/message.cpp
@@ -1,10 +1,10 @@
-#include "accord/message.hpp"
+#include "consistency/message.hpp"
 
 #include <cmath>
 #include <limits>
 #include <nlohmann/json.hpp>
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 namespace {
 
 using Json = nlohmann::json;
@@ -42,7 +42,7 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) {
-  if (!is_for_accord(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
+  if (!is_consistency_message(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
   const Json json = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
   if (!json.is_array() || json.size() != kFields || json[0] != kForm || !json[8].is_number())
     return std::nullopt;
@@ -71,6 +71,6 @@
   return m;
 }
 
-bool is_for_accord(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
+bool is_consistency_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/accord/message.hpp
+++ b/src/consistency/message.hpp
@@ -9,12 +9,10 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 #include "membership/message.hpp"
 
-namespace reedspindle::accord {
-
-using membership::Place;
+namespace reedspindle::consistency {
 
 // What fronts are compared by.
 enum class Matter { list, primaries, view };
@@ -34,7 +32,7 @@
 struct Message {
   Kind kind = Kind::asks;
   std::uint32_t number = 0;  // an answer has that of its question
-  Place place;               // of the sender
+  SlotId place;              // of the sender
   Account account;
   // How long ago, at most, discovery spoke to anybody that the sender hears of; below 0: it does not know.
   Millis word_age = -1;
@@ -45,6 +43,6 @@
 
 std::string bytes_of(const Message& message);
 std::optional<Message> message_in(std::string_view bytes);
-bool is_for_accord(std::string_view bytes);
+bool is_consistency_message(std::string_view bytes);
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/accord/account.hpp
+++ b/src/consistency/state_digest.hpp
@@ -8,27 +8,28 @@
 #include <set>
 #include <vector>
 
-#include "accord/message.hpp"
+#include "consistency/message.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 
 // The list as it stands after all that discovery has said.
 class ListHeld {
  public:
-  void learn(ListKind kind, std::uint64_t revision, const std::vector<ListedMember>& members);
+  void learn(EndpointListKind kind, std::uint64_t revision, const std::vector<ServerEntry>& members);
   std::uint64_t revision() const { return revision_; }
   std::uint32_t sum() const { return sum_; }
   // Those that it holds ready, by their marks.
-  std::map<std::uint32_t, ListedMember> ready() const;
+  std::map<std::uint32_t, ServerEntry> ready() const;
 
  private:
-  std::map<MemberId, ListedMember> held_;  // who is on it and not gone
+  std::map<ServerId, ServerEntry> held_;  // who is on it and not gone
   std::uint64_t revision_ = 0;
   std::uint32_t sum_ = 0;
 };
 
-std::uint32_t sum_of_primaries(const std::vector<MemberView>& members);
+std::uint32_t sum_of_primaries(const std::vector<ServerView>& members);
 // Who is there, this front included.
-std::uint32_t sum_of_view(const std::set<Place>& there, Place self);
+std::uint32_t sum_of_view(const std::set<SlotId>& there, SlotId self);
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/control/roster.hpp
+++ b/src/control/endpoint_registry.hpp
@@ -8,31 +8,31 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
 namespace reedspindle::control {
 
-struct RosterEntry {
-  ListedMember listed;
+struct RegistryEntry {
+  ServerEntry listed;
   std::string endpoint;  // "10.1.0.18:6432"
   std::string zone;      // as discovery names it
 };
 
-struct RosterList {
-  ListKind kind = ListKind::complete;
+struct RegistryUpdate {
+  EndpointListKind kind = EndpointListKind::complete;
   long long revision = 0;
-  std::vector<RosterEntry> members;
+  std::vector<RegistryEntry> members;
 };
 
 // What lasts over a restart: nothing that has to be seen again, so neither roles nor freshness.
-struct KeptRoster {
+struct RegistryState {
   long long revision = 0;
-  std::vector<RosterEntry> members;
+  std::vector<RegistryEntry> members;
 };
 
-enum class Doubt { none, empty, loss, older };
+enum class UpdateDoubt { none, empty, loss, older };
 
-class Roster {
+class EndpointRegistry {
  public:
   struct Bounds {
     Millis confirm = 2000;      // how much later a list that has lost much has to be told again
@@ -40,35 +40,35 @@
     Millis older_list = 30000;  // how long lists of an older revision have to stand to undo anything
   };
 
-  explicit Roster(Bounds bounds) : bounds_(bounds) {}
+  explicit EndpointRegistry(Bounds bounds) : bounds_(bounds) {}
 
   // What the store held; before any list.
-  void restore(const KeptRoster& kept);
-  KeptRoster kept() const;
+  void restore(const RegistryState& kept);
+  RegistryState kept() const;
 
   // Returns the members that drain or are gone from now on and did not before.
-  std::vector<MemberId> take(const RosterList& list, Millis now);
+  std::vector<ServerId> take(const RegistryUpdate& list, Millis now);
 
   // For the module: everyone who counts, as a complete list.
-  ListRead read() const;
-  const std::map<MemberId, RosterEntry>& members() const { return members_; }
+  EndpointListReceived read() const;
+  const std::map<ServerId, RegistryEntry>& members() const { return members_; }
   long long revision() const { return revision_; }
   bool known() const { return !members_.empty(); }
   // What a list was not believed for last; none once one is.
-  Doubt doubt() const { return doubt_; }
+  UpdateDoubt doubt() const { return doubt_; }
   // When the whole list is to be asked for, to settle a doubt; none: no need.
   std::optional<Millis> ask_at() const { return ask_at_; }
   void asked(Millis now);
 
  private:
-  Doubt judge(const RosterList& list, Millis now);
-  void adopt(const RosterList& list);
-  void merge(const RosterList& list, bool only_worse);
+  UpdateDoubt judge(const RegistryUpdate& list, Millis now);
+  void adopt(const RegistryUpdate& list);
+  void merge(const RegistryUpdate& list, bool only_worse);
 
   const Bounds bounds_;
-  std::map<MemberId, RosterEntry> members_;
+  std::map<ServerId, RegistryEntry> members_;
   long long revision_ = 0;
-  Doubt doubt_ = Doubt::none;
+  UpdateDoubt doubt_ = UpdateDoubt::none;
   Millis doubted_since_ = 0;
   std::optional<Millis> ask_at_;
 };
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,7 +1,7 @@
 // The control service's process. Exit codes as operators::command_line gives them.
 #include <csignal>
 
-#include "control/charge.hpp"
+#include "control/options.hpp"
 #include "control/service.hpp"
 #include "operators/command.hpp"
 
@@ -10,9 +10,9 @@
   std::signal(SIGPIPE, SIG_IGN);
   return operators::command_line(
       {"reedspindle-control", "Hands routing decisions to proxies over xDS", REEDSPINDLE_VERSION,
-       [](const operators::File& file, const std::string& path) { control::charge_in(file, path); },
+       [](const operators::File& file, const std::string& path) { control::options_in(file, path); },
        [](const operators::File& file, const std::string& path) {
-         control::Service(control::charge_in(file, path)).run();
+         control::Service(control::options_in(file, path)).run();
        }},
       count, words);
 }
--- a/src/control/charge.cpp
+++ b/src/control/options.cpp
@@ -1,4 +1,4 @@
-#include "control/charge.hpp"
+#include "control/options.hpp"
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 using Json = nlohmann::json;
 }
 
-Charge charge_in(const operators::File& file, const std::string& name) {
+Options options_in(const operators::File& file, const std::string& name) {
   std::vector<std::string> faults;
   const auto fault = [&](const std::string& key, const std::string& text) {
     const auto line = file.lines.find(key);
@@ -18,27 +18,27 @@
   };
   if (!file.values.contains("control")) {
     fault("control", "is missing");
-    throw operators::Faulty(std::move(faults));
+    throw operators::InvalidFile(std::move(faults));
   }
   const Json& control = file.values["control"];
-  Charge charge;
+  Options charge;
   charge.name = control["name"], charge.listen = control["listen"], charge.keep = control["keep"];
-  charge.placement.name = charge.name;
-  const auto discovery = links::endpoint_in(control["discovery"]);
+  charge.config.name = charge.name;
+  const auto discovery = config::endpoint_in(control["discovery"]);
   if (discovery)
-    charge.placement.discovery = *discovery;
+    charge.config.discovery = *discovery;
   else
     fault("control.discovery", "a numeric address and a port were expected");
-  if (!links::endpoint_in(charge.listen))
+  if (!config::endpoint_in(charge.listen))
     fault("control.listen", "a numeric address and a port were expected");
   const Json& stores = file.values["stores"];
-  charge.placement.sockets = control["sockets"], charge.placement.memory = control["memory"];
-  charge.placement.seed = control["seed"];
-  charge.placement.list_is_asked = control["discovery-mode"] == "ask";
-  charge.placement.connect_time_out = stores["connect-time-out"];
-  charge.placement.connection_idle = stores["connection-idle"];
+  charge.config.sockets = control["sockets"], charge.config.memory = control["memory"];
+  charge.config.seed = control["seed"];
+  charge.config.polls_endpoints = control["discovery-mode"] == "ask";
+  charge.config.connect_timeout = stores["connect-time-out"];
+  charge.config.connection_idle = stores["connection-idle"];
 
-  Values& values = charge.placement.values;
+  Settings& values = charge.config.values;
   values = {{"instances", control["instances"].get<double>()},
             {"tick", 5.0},
             {"list", control["discovery-mode"].get<std::string>()},
@@ -61,7 +61,7 @@
     values[at + "latency_target"] = type["latency-target"].get<double>();
     values[at + "op_timeout"] = type["op-timeout"].get<double>();
     values[at + "bound"] = type.value("bound", 0.0);
-    using Needs = RoutedType::Needs;
+    using Needs = RoutedRequestClass::Needs;
     charge.types.push_back({type["name"],
                             needs == "any"       ? Needs::any
                             : needs == "bounded" ? Needs::bounded
@@ -82,8 +82,8 @@
   if (control.contains("tls"))
     charge.tls =
         Tls{control["tls"]["certificate"], control["tls"]["key"], control["tls"].value("proxies", "")};
-  charge.log = links::log_manner_in(file.values["log"]);
-  if (!faults.empty()) throw operators::Faulty(std::move(faults));
+  charge.log = logging::log_options_in(file.values["log"]);
+  if (!faults.empty()) throw operators::InvalidFile(std::move(faults));
   return charge;
 }
 
--- a/src/control/charge.hpp
+++ b/src/control/options.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "control/offer.hpp"
-#include "control/roster.hpp"
-#include "control/streams.hpp"
-#include "links/log.hpp"
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
+#include "control/endpoint_registry.hpp"
+#include "control/resource_snapshot.hpp"
+#include "control/subscriptions.hpp"
+#include "logging/log.hpp"
 #include "operators/file.hpp"
 
 namespace reedspindle::control {
@@ -19,19 +19,19 @@
   std::string certificate, key, proxies;  // files; proxies empty: no certificate is demanded
 };
 
-struct Charge {
+struct Options {
   std::string name, listen, keep;
-  links::Placement placement;  // as far as links to discovery and stores go by it
-  std::vector<RoutedType> types;
-  Roster::Bounds roster;
-  Offering::Leases leases;
+  config::InstanceConfig config;  // as far as links to discovery and stores go by it
+  std::vector<RoutedRequestClass> types;
+  EndpointRegistry::Bounds roster;
+  SnapshotBuilder::Leases leases;
   Millis first_answer = 0, keepalive = 0;
-  Streams::Bounds streams;
+  Subscriptions::Bounds streams;
   std::optional<Tls> tls;
-  links::LogManner log;
+  logging::LogOptions log;
 };
 
 // Throws operators::Faulty.
-Charge charge_in(const operators::File& file, const std::string& name);
+Options options_in(const operators::File& file, const std::string& name);
 
 }  // namespace reedspindle::control
--- a/src/control/kept.cpp
+++ b/src/control/registry_state.cpp
@@ -1,8 +1,8 @@
-#include "control/kept.hpp"
+#include "control/registry_state.hpp"
 
 #include <nlohmann/json.hpp>
 
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 namespace reedspindle::control {
 namespace {
@@ -10,47 +10,47 @@
 constexpr int kForm = 1;
 }  // namespace
 
-std::string text_of(const KeptRoster& kept) {
+std::string text_of(const RegistryState& kept) {
   Json members = Json::array();
-  for (const RosterEntry& entry : kept.members) {
-    const ListedMember& m = entry.listed;
-    members.push_back({{"id", m.member.address},
+  for (const RegistryEntry& entry : kept.members) {
+    const ServerEntry& m = entry.listed;
+    members.push_back({{"id", m.id.address},
                        {"endpoint", entry.endpoint},
                        {"zone", entry.zone},
                        {"zone_number", m.zone.number},
                        {"group", m.group.number},
                        {"kind", m.kind},
-                       {"draining", m.state == MemberState::draining},
+                       {"draining", m.state == ServerState::draining},
                        {"size", m.size},
-                       {"up_since", m.up_since}});
+                       {"up_since", m.started_at}});
   }
   return Json{{"form", kForm}, {"revision", kept.revision}, {"members", std::move(members)}}.dump(
       -1, ' ', false, Json::error_handler_t::replace);
 }
 
-KeptRoster kept_in(const std::string& text) {
+RegistryState registry_state_in(const std::string& text) {
   try {
     const Json json = Json::parse(text);
     if (json.at("form").get<int>() != kForm)
-      throw Malformed("form " + json.at("form").dump() + " is unknown");
-    KeptRoster kept;
+      throw InvalidInput("form " + json.at("form").dump() + " is unknown");
+    RegistryState kept;
     kept.revision = json.at("revision").get<long long>();
     for (const Json& row : json.at("members")) {
-      RosterEntry entry;
-      entry.listed.member = {row.at("id").get<std::string>()};
+      RegistryEntry entry;
+      entry.listed.id = {row.at("id").get<std::string>()};
       entry.endpoint = row.at("endpoint").get<std::string>();
       entry.zone = row.at("zone").get<std::string>();
       entry.listed.zone = {row.at("zone_number").get<int>()};
       entry.listed.group = {row.at("group").get<int>()};
       entry.listed.kind = row.at("kind").get<int>();
-      entry.listed.state = row.at("draining").get<bool>() ? MemberState::draining : MemberState::ready;
+      entry.listed.state = row.at("draining").get<bool>() ? ServerState::draining : ServerState::ready;
       entry.listed.size = row.at("size").get<double>();
-      entry.listed.up_since = row.at("up_since").get<double>();
+      entry.listed.started_at = row.at("up_since").get<double>();
       kept.members.push_back(std::move(entry));
     }
     return kept;
   } catch (const Json::exception& fault) {
-    throw Malformed(fault.what());
+    throw InvalidInput(fault.what());
   }
 }
 
--- a/src/control/offer.cpp
+++ b/src/control/resource_snapshot.cpp
@@ -1,4 +1,4 @@
-#include "control/offer.hpp"
+#include "control/resource_snapshot.hpp"
 
 #include <fmt/format.h>
 
@@ -13,29 +13,29 @@
 // never hear that it has ended.
 constexpr Millis kSeenOff = 30000;
 
-bool in_use(const MemberView& view) {
-  return view.hindrance == Hindrance::none || view.hindrance == Hindrance::resting;
+bool in_use(const ServerView& view) {
+  return view.unavailability == Unavailability::none || view.unavailability == Unavailability::backing_off;
 }
-bool drains(const MemberView& view) {
-  return view.hindrance == Hindrance::drains || view.hindrance == Hindrance::gone;
+bool drains(const ServerView& view) {
+  return view.unavailability == Unavailability::draining || view.unavailability == Unavailability::gone;
 }
 
 // Up to when the member passes for the bound; below 0: it does not.
-Millis fresh_until(const MemberView& view, Millis bound) {
-  for (const FreshFor& fresh : view.fresh)
+Millis fresh_until(const ServerView& view, Millis bound) {
+  for (const FreshnessWindow& fresh : view.fresh)
     if (fresh.bound == bound) return fresh.until;
   return -1;
 }
 
-std::string cluster_of(GroupId group, const RoutedType& type) {
+std::string cluster_of(GroupId group, const RoutedRequestClass& type) {
   switch (type.needs) {
-    case RoutedType::Needs::any:
+    case RoutedRequestClass::Needs::any:
       return fmt::format("group-{}.any", group.number);
-    case RoutedType::Needs::session:
+    case RoutedRequestClass::Needs::session:
       return fmt::format("group-{}.session", group.number);
-    case RoutedType::Needs::bounded:
+    case RoutedRequestClass::Needs::bounded:
       return fmt::format("group-{}.within-{}ms", group.number, type.bound);
-    case RoutedType::Needs::primary:
+    case RoutedRequestClass::Needs::primary:
       break;
   }
   return fmt::format("group-{}.primary", group.number);
@@ -51,7 +51,7 @@
   return std::ranges::any_of(before.endpoints, [&later](const Endpoint& gave) {
     if (gave.standing != Standing::healthy) return false;
     return std::ranges::none_of(later.endpoints, [&gave](const Endpoint& e) {
-      return e.member == gave.member && e.standing == Standing::healthy && e.address == gave.address;
+      return e.server == gave.server && e.standing == Standing::healthy && e.address == gave.address;
     });
   });
 }
@@ -59,15 +59,15 @@
 }  // namespace
 
 bool Endpoint::same(const Endpoint& other) const {
-  return member == other.member && address == other.address && zone == other.zone &&
-         standing == other.standing && hindrance == other.hindrance && primary == other.primary &&
+  return server == other.server && address == other.address && zone == other.zone &&
+         standing == other.standing && unavailability == other.unavailability && primary == other.primary &&
          rank == other.rank && weight == other.weight;
 }
 
-struct Offering::Made {
-  Offer offer;
-  const Offer* before = nullptr;
-  const Roster* roster = nullptr;
+struct SnapshotBuilder::Made {
+  ResourceSnapshot offer;
+  const ResourceSnapshot* before = nullptr;
+  const EndpointRegistry* roster = nullptr;
   Millis now = 0;
 
   const Resource* last(Kind kind, const std::string& name) const {
@@ -78,22 +78,21 @@
   }
 };
 
-Offering::Offering(std::vector<RoutedType> types, Leases leases, Millis first_answer)
+SnapshotBuilder::SnapshotBuilder(std::vector<RoutedRequestClass> types, Leases leases, Millis first_answer)
     : types_(std::move(types)), leases_(leases), first_answer_(first_answer) {}
 
-std::map<Abilities, std::shared_ptr<const Offer>> Offering::make(const std::vector<MemberView>& views,
-                                                                 const Roster& roster,
-                                                                 const std::set<Abilities>& wanted,
-                                                                 Millis now) {
+std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> SnapshotBuilder::make(
+    const std::vector<ServerView>& views, const EndpointRegistry& roster, const std::set<Abilities>& wanted,
+    Millis now) {
   std::map<GroupId, Group> groups;
-  for (const MemberView& view : views) {
-    if (!roster.members().contains(view.entry.member)) continue;
+  for (const ServerView& view : views) {
+    if (!roster.members().contains(view.entry.id)) continue;
     Group& group = groups[view.entry.group];
     group.members.push_back(&view);
     if (view.primary) group.primary = &view;
   }
   judge_ready(groups, roster, now);
-  std::map<Abilities, std::shared_ptr<const Offer>> offers;
+  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers;
   for (const Abilities& abilities : wanted) {
     Made made;
     const auto before = last_.find(abilities);
@@ -105,13 +104,14 @@
       Routes routes{{}, abilities.elder};
       for (const auto& [id, group] : groups) {
         hand_out(made, id, group);
-        for (const RoutedType& type : types_) {
+        for (const RoutedRequestClass& type : types_) {
           // Without a way to give up a replica in time, or to test a token, only the primary keeps the rule.
-          const bool keeps = type.needs == RoutedType::Needs::any ||
-                             (type.needs == RoutedType::Needs::bounded && abilities.expiry != Expiry::none) ||
-                             (type.needs == RoutedType::Needs::session && abilities.tokens &&
-                              abilities.expiry == Expiry::stated);
-          routes.routes.push_back({id, type.name, cluster_of(id, keeps ? type : RoutedType{})});
+          const bool keeps =
+              type.needs == RoutedRequestClass::Needs::any ||
+              (type.needs == RoutedRequestClass::Needs::bounded && abilities.expiry != Expiry::none) ||
+              (type.needs == RoutedRequestClass::Needs::session && abilities.tokens &&
+               abilities.expiry == Expiry::stated);
+          routes.routes.push_back({id, type.name, cluster_of(id, keeps ? type : RoutedRequestClass{})});
         }
       }
       see_off(made, groups);
@@ -121,7 +121,7 @@
         for (const auto& [name, held] : made.before->resources[kind])
           if (!made.offer.resources[kind].contains(name)) made.offer.versions[kind] = ++last_version_;
     }
-    offers[abilities] = std::make_shared<const Offer>(std::move(made.offer));
+    offers[abilities] = std::make_shared<const ResourceSnapshot>(std::move(made.offer));
   }
   last_ = offers;
   return offers;
@@ -129,7 +129,8 @@
 
 // Guards against handing out roles from before a restart: the first offer waits until every group has shown a
 // primary, though not for ever, and never without a roster.
-void Offering::judge_ready(const std::map<GroupId, Group>& groups, const Roster& roster, Millis now) {
+void SnapshotBuilder::judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster,
+                                  Millis now) {
   if (ready_ || !roster.known() || groups.empty()) return;
   if (known_since_ < 0) known_since_ = now;
   const bool named =
@@ -137,18 +138,20 @@
   ready_ = named || now - known_since_ >= first_answer_;
 }
 
-Endpoint Offering::endpoint_of(const MemberView& view, const Roster& roster) const {
-  const RosterEntry& entry = roster.members().at(view.entry.member);
+Endpoint SnapshotBuilder::endpoint_of(const ServerView& view, const EndpointRegistry& roster) const {
+  const RegistryEntry& entry = roster.members().at(view.entry.id);
   Endpoint endpoint;
-  endpoint.member = view.entry.member;
+  endpoint.server = view.entry.id;
   endpoint.address = entry.endpoint, endpoint.zone = entry.zone;
   endpoint.standing = drains(view) ? Standing::draining : Standing::healthy;
   // Rests are over sooner than word of them would be there.
-  endpoint.hindrance = view.hindrance == Hindrance::resting ? Hindrance::none : view.hindrance;
+  endpoint.unavailability =
+      view.unavailability == Unavailability::backing_off ? Unavailability::none : view.unavailability;
   endpoint.primary = view.primary;
   // A share of the ops by what it has at least of its capacity: a cold one is then never busier than warm
   // ones are. In steps of ten, so that warming up is not a push a moment.
-  const double share = view.warmth >= 1 ? 1 : std::max(0.1, std::floor(view.warmth * 10) / 10);
+  const double share =
+      view.slow_start_fraction >= 1 ? 1 : std::max(0.1, std::floor(view.slow_start_fraction * 10) / 10);
   endpoint.weight = static_cast<std::uint32_t>(std::clamp(100 * share * view.entry.size, 1.0, 1e6));
   return endpoint;
 }
@@ -156,31 +159,32 @@
 // The replicas that pass for the op type, with a lease that is worth its push: one that was given stays while
 // its lease lasts, a new one has to last a while. Guards against a push for every probe where a bound is
 // short.
-std::vector<Endpoint> Offering::replicas(const Made& made, const Group& group, const RoutedType& type,
-                                         const std::string& name) const {
-  const bool any = type.needs == RoutedType::Needs::any;
-  const Millis bound = type.needs == RoutedType::Needs::bounded ? type.bound : kThreshold;
+std::vector<Endpoint> SnapshotBuilder::replicas(const Made& made, const Group& group,
+                                                const RoutedRequestClass& type,
+                                                const std::string& name) const {
+  const bool any = type.needs == RoutedRequestClass::Needs::any;
+  const Millis bound = type.needs == RoutedRequestClass::Needs::bounded ? type.bound : kThreshold;
   const Millis lost = leases_.transit + leases_.clocks;
   const Resource* last = made.last(Kind::endpoints, name);
-  const auto given = [last](const MemberId& id) {
+  const auto given = [last](const ServerId& id) {
     const auto* assignment = last ? std::get_if<Assignment>(&last->body) : nullptr;
     return assignment && std::ranges::any_of(assignment->endpoints, [&id](const Endpoint& e) {
-             return e.member == id && !e.primary && e.standing == Standing::healthy;
+             return e.server == id && !e.primary && e.standing == Standing::healthy;
            });
   };
   std::vector<Endpoint> passing, beyond;
-  bool any_warm = group.primary && group.primary->warmth >= 1 && in_use(*group.primary);
-  for (const MemberView* view : group.members) any_warm |= view->warmth >= 1 && in_use(*view);
-  for (const MemberView* view : group.members) {
+  bool any_warm = group.primary && group.primary->slow_start_fraction >= 1 && in_use(*group.primary);
+  for (const ServerView* view : group.members) any_warm |= view->slow_start_fraction >= 1 && in_use(*view);
+  for (const ServerView* view : group.members) {
     if (view == group.primary || !in_use(*view)) continue;
     // One that can't be given a small share waits until it is warm, unless there are no others.
-    if (view->warmth < 1 && !made.offer.abilities.weighs && any_warm) continue;
+    if (view->slow_start_fraction < 1 && !made.offer.abilities.weighs && any_warm) continue;
     Endpoint endpoint = endpoint_of(*view, *made.roster);
     const Millis until = fresh_until(*view, bound);
     const Millis left = until - made.now - lost;
     if (any) {
       (until > made.now ? passing : beyond).push_back(std::move(endpoint));
-    } else if (left >= (given(view->entry.member) ? 1 : leases_.least)) {
+    } else if (left >= (given(view->entry.id) ? 1 : leases_.least)) {
       endpoint.until = until - leases_.clocks;
       if (made.offer.abilities.tokens) endpoint.position = view->position;
       passing.push_back(std::move(endpoint));
@@ -190,11 +194,11 @@
   return passing.empty() && any ? beyond : passing;
 }
 
-void Offering::hand_out(Made& made, GroupId id, const Group& group) {
+void SnapshotBuilder::hand_out(Made& made, GroupId id, const Group& group) {
   const std::string members = fmt::format("group-{}.members", id.number);
   const std::string primary = fmt::format("group-{}.primary", id.number);
   std::vector<Endpoint> all;
-  for (const MemberView* view : group.members) {
+  for (const ServerView* view : group.members) {
     all.push_back(endpoint_of(*view, *made.roster));
     if (all.back().standing == Standing::healthy && !in_use(*view)) all.back().standing = Standing::out;
   }
@@ -210,20 +214,21 @@
   else if (!put_as_draining(made, primary))
     made.offer.withheld.insert(primary);
 
-  for (const RoutedType& type : types_) {
-    if (type.needs == RoutedType::Needs::primary) continue;
+  for (const RoutedRequestClass& type : types_) {
+    if (type.needs == RoutedRequestClass::Needs::primary) continue;
     const std::string name = cluster_of(id, type);
     // A time to live takes the whole resource, so replicas stand in one of their own, before the primary's.
     const bool apart =
-        made.offer.abilities.expiry == Expiry::time_to_live && type.needs != RoutedType::Needs::any;
+        made.offer.abilities.expiry == Expiry::time_to_live && type.needs != RoutedRequestClass::Needs::any;
     const std::string where = apart ? name + ".replicas" : name;
     if (made.offer.resources[0].contains(name)) continue;  // two op types with the same needs
     if (apart) put(made, Kind::clusters, where, Cluster{id, {}});
     put(made, Kind::clusters, name,
         Cluster{id, apart ? std::vector{where, primary} : std::vector<std::string>{}});
     std::vector<Endpoint> endpoints;
-    const bool leased = type.needs == RoutedType::Needs::any || made.offer.abilities.expiry != Expiry::none;
-    const bool tested = type.needs != RoutedType::Needs::session || made.offer.abilities.tokens;
+    const bool leased =
+        type.needs == RoutedRequestClass::Needs::any || made.offer.abilities.expiry != Expiry::none;
+    const bool tested = type.needs != RoutedRequestClass::Needs::session || made.offer.abilities.tokens;
     if (leased && tested) endpoints = replicas(made, group, type, where);
     if (!apart) {
       const int rank = endpoints.empty() ? 0 : 1;
@@ -242,7 +247,7 @@
 
 // Nobody is left to hand out: what was given before is taken back by its standing, since an assignment
 // without endpoints reads as "no such server ever" at some proxies. False: nothing was given.
-bool Offering::put_as_draining(Made& made, const std::string& name) {
+bool SnapshotBuilder::put_as_draining(Made& made, const std::string& name) {
   const Resource* last = made.last(Kind::endpoints, name);
   if (!last) return false;
   std::vector<Endpoint> endpoints = std::get<Assignment>(last->body).endpoints;
@@ -251,7 +256,7 @@
   return true;
 }
 
-void Offering::see_off(Made& made, const std::map<GroupId, Group>& groups) {
+void SnapshotBuilder::see_off(Made& made, const std::map<GroupId, Group>& groups) {
   std::erase_if(ended_, [&](const auto& item) {
     return groups.contains(item.first) || made.now - item.second > 2 * kSeenOff;
   });
@@ -265,12 +270,12 @@
   }
 }
 
-void Offering::put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints) {
-  std::ranges::sort(endpoints, {}, [](const Endpoint& e) { return std::pair(e.rank, e.member); });
+void SnapshotBuilder::put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints) {
+  std::ranges::sort(endpoints, {}, [](const Endpoint& e) { return std::pair(e.rank, e.server); });
   put(made, Kind::endpoints, name, Assignment{std::move(endpoints)});
 }
 
-void Offering::put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body) {
+void SnapshotBuilder::put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body) {
   Resource resource;
   resource.kind = kind, resource.name = name, resource.made = made.now;
   resource.revision = made.roster->revision();
--- a/src/control/offer.hpp
+++ b/src/control/resource_snapshot.hpp
@@ -13,8 +13,8 @@
 #include <variant>
 #include <vector>
 
-#include "control/roster.hpp"
-#include "logic.hpp"
+#include "control/endpoint_registry.hpp"
+#include "routing/router.hpp"
 
 namespace reedspindle::control {
 
@@ -37,10 +37,10 @@
 enum class Standing { healthy, draining, out };
 
 struct Endpoint {
-  MemberId member;
+  ServerId server;
   std::string address, zone;
   Standing standing = Standing::healthy;
-  Hindrance hindrance = Hindrance::none;
+  Unavailability unavailability = Unavailability::none;
   bool primary = false;
   int rank = 0;                      // endpoints of the next rank only where those before are not there
   std::uint32_t weight = 100;        // 100 for one that is warm and of the usual size
@@ -64,7 +64,7 @@
 };
 struct Route {
   GroupId group;
-  std::string op_type, cluster;
+  std::string request_class, cluster;
   bool operator==(const Route&) const = default;
 };
 struct Routes {
@@ -85,7 +85,7 @@
 };
 using Held = std::shared_ptr<const Resource>;
 
-struct Offer {
+struct ResourceSnapshot {
   bool ready = false;      // not before that is anything handed out
   long long revision = 0;  // of the list it stands on
   Abilities abilities;
@@ -95,7 +95,7 @@
 };
 
 // An op type as routes name it.
-struct RoutedType {
+struct RoutedRequestClass {
   std::string name;
   enum class Needs { any, bounded, session, primary } needs = Needs::primary;
   Millis bound = 0;
@@ -103,48 +103,49 @@
 
 constexpr const char* kRoutes = "reedspindle";  // the name of the one listener and of its routes
 
-class Offering {
+class SnapshotBuilder {
  public:
   struct Leases {
     Millis transit = 100, clocks = 10, least = 250;
   };
 
-  Offering(std::vector<RoutedType> types, Leases leases, Millis first_answer);
+  SnapshotBuilder(std::vector<RoutedRequestClass> types, Leases leases, Millis first_answer);
 
   // The offers for those abilities as of now; what has not changed is the same resource as before. Called
   // after every settle of the module.
-  std::map<Abilities, std::shared_ptr<const Offer>> make(const std::vector<MemberView>& views,
-                                                         const Roster& roster,
-                                                         const std::set<Abilities>& wanted, Millis now);
+  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> make(const std::vector<ServerView>& views,
+                                                                    const EndpointRegistry& roster,
+                                                                    const std::set<Abilities>& wanted,
+                                                                    Millis now);
 
   // Whether anything has been offered as ready since the start.
   bool ready() const { return ready_; }
 
  private:
   struct Group {
-    std::vector<const MemberView*> members;
-    const MemberView* primary = nullptr;
+    std::vector<const ServerView*> members;
+    const ServerView* primary = nullptr;
   };
   struct Made;  // an offer in the making
 
-  void judge_ready(const std::map<GroupId, Group>& groups, const Roster& roster, Millis now);
+  void judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster, Millis now);
   void hand_out(Made& made, GroupId id, const Group& group);
-  Endpoint endpoint_of(const MemberView& view, const Roster& roster) const;
-  std::vector<Endpoint> replicas(const Made& made, const Group& group, const RoutedType& type,
+  Endpoint endpoint_of(const ServerView& view, const EndpointRegistry& roster) const;
+  std::vector<Endpoint> replicas(const Made& made, const Group& group, const RoutedRequestClass& type,
                                  const std::string& name) const;
   void put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body);
   void put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints);
   bool put_as_draining(Made& made, const std::string& name);
   void see_off(Made& made, const std::map<GroupId, Group>& groups);
 
-  const std::vector<RoutedType> types_;
+  const std::vector<RoutedRequestClass> types_;
   const Leases leases_;
   const Millis first_answer_;
   std::uint64_t last_version_ = 0;
   bool ready_ = false;
   Millis known_since_ = -1;
   std::map<GroupId, Millis> ended_;  // groups without a member, and since when
-  std::map<Abilities, std::shared_ptr<const Offer>> last_;
+  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> last_;
 };
 
 }  // namespace reedspindle::control
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -110,7 +110,7 @@
     Impl& server_;
   };
 
-  Impl(asio::io_context& loop, const Charge& charge, std::uint64_t epoch, Hearer& hearer)
+  Impl(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer)
       : loop_(loop), hearer_(hearer), encoder_(charge.name, epoch), handed_(*this), sweep_(loop) {
     grpc::ServerBuilder builder;
     builder.AddListeningPort(charge.listen, credentials(charge), &port_);
@@ -123,8 +123,7 @@
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, 1000);
     builder.AddChannelArgument(GRPC_ARG_MAX_CONCURRENT_STREAMS, 100);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.SetResourceQuota(
-        grpc::ResourceQuota("proxies").Resize(charge.placement.memory).SetMaxThreads(16));
+    builder.SetResourceQuota(grpc::ResourceQuota("proxies").Resize(charge.config.memory).SetMaxThreads(16));
     server_ = builder.BuildAndStart();
     if (!server_ || port_ == 0) throw std::runtime_error(fmt::format("can't listen at {}", charge.listen));
     sweep();
@@ -219,7 +218,7 @@
   }
 
   // Certificates are read again when their files change, so a new one needs neither restart nor signal.
-  static std::shared_ptr<grpc::ServerCredentials> credentials(const Charge& charge) {
+  static std::shared_ptr<grpc::ServerCredentials> credentials(const Options& charge) {
     if (!charge.tls) return grpc::InsecureServerCredentials();
     namespace tls = grpc::experimental;
     const auto files = charge.tls->proxies.empty()
@@ -237,7 +236,7 @@
   }
 
   asio::io_context& loop_;
-  Hearer& hearer_;
+  StreamListener& hearer_;
   xds::Encoder encoder_;
   Handed handed_;
   std::atomic<std::uint64_t> last_id_ = 0;
@@ -252,7 +251,7 @@
   std::thread stopper_;
 };
 
-Server::Server(asio::io_context& loop, const Charge& charge, std::uint64_t epoch, Hearer& hearer)
+Server::Server(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer)
     : impl_(std::make_unique<Impl>(loop, charge, epoch, hearer)) {}
 Server::~Server() = default;
 void Server::write(Form form, Write write) { impl_->write(form, std::move(write)); }
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -8,18 +8,18 @@
 #include <optional>
 #include <string>
 
-#include "control/charge.hpp"
-#include "control/streams.hpp"
+#include "control/options.hpp"
+#include "control/subscriptions.hpp"
 #include "control/xds.hpp"
 
 namespace reedspindle::control {
 
 // What a stream brings; called on the loop.
-struct Hearer {
-  virtual ~Hearer() = default;
+struct StreamListener {
+  virtual ~StreamListener() = default;
   // The first message of a stream. False: it is not taken.
   virtual bool opened(StreamId id, Form form, Abilities abilities, const std::string& node) = 0;
-  virtual void heard(StreamId id, Heard heard) = 0;
+  virtual void heard(StreamId id, SubscriptionRequest heard) = 0;
   virtual void written(StreamId id) = 0;
   virtual void closed(StreamId id) = 0;
 };
@@ -27,7 +27,7 @@
 class Server {
  public:
   // Throws std::runtime_error where it can't listen.
-  Server(asio::io_context& loop, const Charge& charge, std::uint64_t epoch, Hearer& hearer);
+  Server(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer);
   ~Server();
 
   // On the loop.
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -3,8 +3,8 @@
 #include <csignal>
 #include <utility>
 
-#include "control/kept.hpp"
-#include "values.hpp"
+#include "control/registry_state.hpp"
+#include "settings/settings.hpp"
 
 namespace reedspindle::control {
 namespace {
@@ -15,14 +15,14 @@
 constexpr Millis kReport = 60000;         // between lines that tell how it goes
 constexpr std::size_t kShownOfNode = 64;  // of what a proxy calls itself
 
-RosterList roster_list(const links::ServerList& list) {
-  RosterList told{list.kind, list.revision, {}};
-  for (const links::ListedServer& store : list.servers)
-    told.members.push_back({store.entry, links::text_of(store.endpoint), store.zone});
+RegistryUpdate roster_list(const net::EndpointList& list) {
+  RegistryUpdate told{list.kind, list.revision, {}};
+  for (const net::ListedEndpoint& store : list.servers)
+    told.members.push_back({store.entry, config::text_of(store.endpoint), store.zone});
   return told;
 }
 
-const char* word_of(Doubt doubt) {
+const char* word_of(UpdateDoubt doubt) {
   constexpr const char* words[] = {"none", "it is empty", "it has lost much at once",
                                    "its revision is older"};
   return words[static_cast<int>(doubt)];
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Service::Service(Charge charge)
+Service::Service(Options charge)
     : charge_(std::move(charge)),
       log_(clock_),
       io_(1),
@@ -40,17 +40,17 @@
       store_(disk_),
       roster_(charge_.roster),
       epoch_(start_roster()),
-      router_(make_router(charge_.placement.values, charge_.placement.seed)),
+      router_(make_router(charge_.config.values, charge_.config.seed)),
       offering_(charge_.types, charge_.leases, charge_.first_answer),
       streams_(charge_.streams, charge_.name, epoch_),
       members_(
-          io_, timers_, clock_, log_, charge_.placement, [](SendEnded, std::string) {},
-          [this](ProbeEnded ended) {
-            router_->note(std::move(ended));
+          io_, timers_, clock_, log_, charge_.config, [](AttemptCompleted, std::string) {},
+          [this](ProbeCompleted ended) {
+            router_->enqueue(std::move(ended));
             due_ = noted_ = true;
           }),
-      list_(io_, timers_, clock_, log_, charge_.placement, discovery::Client::Delivery::as_read,
-            [this](links::ServerList list) { list_read(std::move(list)); }),
+      list_(io_, timers_, clock_, log_, charge_.config, discovery::Client::Delivery::as_read,
+            [this](net::EndpointList list) { list_read(std::move(list)); }),
       keeper_(store_, [this](std::string fault) { asio::post(io_, [this, fault] { kept(fault); }); }),
       server_(io_, charge_, epoch_, *this) {}
 
@@ -58,17 +58,17 @@
 // that go back: a generation's number is never given twice, whatever of its content is damaged.
 std::uint64_t Service::start_roster() {
   log_.be(charge_.log);
-  const keep::Loaded loaded = store_.load();
-  for (const keep::Damage& damage : loaded.damaged)
+  const snapshot::Loaded loaded = store_.load();
+  for (const snapshot::Damage& damage : loaded.damaged)
     log_.error("keep", "damaged", {{"file", damage.name}, {"why", damage.why}});
   if (loaded.state) {
     try {
-      roster_.restore(kept_in(*loaded.state));
+      roster_.restore(registry_state_in(*loaded.state));
       log_.info("keep", "roster found",
                 {{"generation", loaded.generation},
                  {"revision", roster_.revision()},
                  {"members", roster_.members().size()}});
-    } catch (const Malformed& fault) {
+    } catch (const InvalidInput& fault) {
       log_.error("keep", "roster unreadable", {{"generation", loaded.generation}, {"why", fault.what()}});
     }
   } else if (loaded.damaged.empty()) {
@@ -81,7 +81,7 @@
 void Service::run() {
   hear_signals();
   if (roster_.known()) tell_module();
-  if (!charge_.placement.list_is_asked) list_.watch();
+  if (!charge_.config.polls_endpoints) list_.watch();
   log_.info("control", "listens",
             {{"name", charge_.name}, {"at", charge_.listen}, {"port", server_.port()}, {"epoch", epoch_}});
   report();
@@ -96,18 +96,18 @@
   members_.stop();
 }
 
-void Service::list_read(links::ServerList list) {
-  if (list.kind == ListKind::failed) {
-    router_->note(ListRead{ListKind::failed, {}});
+void Service::list_read(net::EndpointList list) {
+  if (list.kind == EndpointListKind::failed) {
+    router_->enqueue(EndpointListReceived{EndpointListKind::failed, {}});
     due_ = noted_ = true;
     return;
   }
   const auto out = roster_.take(roster_list(list), clock_.now());
-  for (const MemberId& member : out)
+  for (const ServerId& member : out)
     log_.info("drains", "drains or is gone", {{"member", member.address}, {"revision", list.revision}});
-  if (const Doubt doubt = roster_.doubt(); doubt != told_doubt_) {
+  if (const UpdateDoubt doubt = roster_.doubt(); doubt != told_doubt_) {
     told_doubt_ = doubt;
-    if (doubt != Doubt::none)
+    if (doubt != UpdateDoubt::none)
       log_.warn("roster", "list in doubt, the roster is held",
                 {{"why", word_of(doubt)},
                  {"revision", list.revision},
@@ -122,12 +122,12 @@
 
 // The module and the links to stores go by the roster, never by a list that is in doubt.
 void Service::tell_module() {
-  links::ServerList list{ListKind::complete, roster_.revision(), {}};
+  net::EndpointList list{EndpointListKind::complete, roster_.revision(), {}};
   for (const auto& [id, entry] : roster_.members())
-    if (const auto endpoint = links::endpoint_in(entry.endpoint))
+    if (const auto endpoint = config::endpoint_in(entry.endpoint))
       list.servers.push_back({entry.listed, entry.zone, *endpoint});
   members_.learn(list);
-  router_->note(roster_.read());
+  router_->enqueue(roster_.read());
   due_ = noted_ = listed_ = true;
 }
 
@@ -138,7 +138,7 @@
     list_.ask_whole();
   }
   if (std::exchange(noted_, false))
-    for (const Decision& decision : router_->settle(now))
+    for (const Decision& decision : router_->process(now))
       std::visit([this](const auto& taken) { carry_out(taken); }, decision);
   const bool listed = listed_;
   hand_out(now);
@@ -202,7 +202,7 @@
 }
 
 void Service::report() {
-  const Streams::Counts& counts = streams_.counts();
+  const Subscriptions::Counts& counts = streams_.counts();
   log_.info("control", "state",
             {{"streams", streams_.size()},
              {"members", roster_.members().size()},
@@ -227,7 +227,7 @@
   return true;
 }
 
-void Service::heard(StreamId id, Heard heard) {
+void Service::heard(StreamId id, SubscriptionRequest heard) {
   streams_.hear(id, std::move(heard), clock_.now());
   due_ = true;
 }
@@ -243,16 +243,16 @@
   due_ = true;
 }
 
-void Service::carry_out(const Probe& decision) { members_.probe(decision.member, decision.time_out); }
-void Service::carry_out(const Wake& decision) {
+void Service::carry_out(const StartProbe& decision) { members_.probe(decision.server, decision.timeout); }
+void Service::carry_out(const SetTimer& decision) {
   timers_.set(decision.at, [this, timer = decision.timer] {
-    router_->note(TimerDue{timer});
+    router_->enqueue(TimerExpired{timer});
     due_ = noted_ = true;
   });
 }
-void Service::carry_out(const WatchList&) { list_.watch(); }
-void Service::carry_out(const Forget& decision) { members_.forget(decision.member); }
-void Service::carry_out(const LogLine& decision) { log_.info("decisions", decision.text); }
+void Service::carry_out(const WatchEndpoints&) { list_.watch(); }
+void Service::carry_out(const ForgetServer& decision) { members_.forget(decision.server); }
+void Service::carry_out(const LogMessage& decision) { log_.info("decisions", decision.text); }
 
 void Service::carry_out(const Write& write) {
   const auto proxy = proxies_.find(write.stream);
--- a/src/control/service.hpp
+++ b/src/control/service.hpp
@@ -9,38 +9,38 @@
 #include <string>
 #include <vector>
 
-#include "control/charge.hpp"
-#include "control/offer.hpp"
-#include "control/roster.hpp"
+#include "control/endpoint_registry.hpp"
+#include "control/options.hpp"
+#include "control/resource_snapshot.hpp"
 #include "control/server.hpp"
-#include "control/streams.hpp"
+#include "control/subscriptions.hpp"
 #include "control/xds.hpp"
 #include "discovery/client.hpp"
-#include "keep/keeper.hpp"
-#include "keep/store.hpp"
-#include "links/clock.hpp"
-#include "links/log.hpp"
-#include "links/members.hpp"
-#include "logic.hpp"
+#include "logging/log.hpp"
+#include "net/clock.hpp"
+#include "routing/router.hpp"
+#include "snapshot/snapshot_store.hpp"
+#include "snapshot/snapshot_writer.hpp"
+#include "upstream/connection_pool.hpp"
 
 namespace reedspindle::control {
 
-class Service : private Hearer {
+class Service : private StreamListener {
  public:
   // Throws keep::DiskFault or std::runtime_error where it can't start.
-  explicit Service(Charge charge);
+  explicit Service(Options charge);
 
   // Runs until it has been told to stop.
   void run();
 
  private:
   bool opened(StreamId id, Form form, Abilities abilities, const std::string& node) override;
-  void heard(StreamId id, Heard heard) override;
+  void heard(StreamId id, SubscriptionRequest heard) override;
   void written(StreamId id) override;
   void closed(StreamId id) override;
 
   std::uint64_t start_roster();
-  void list_read(links::ServerList list);
+  void list_read(net::EndpointList list);
   void tell_module();
   void settle();
   void hand_out(Millis now);
@@ -50,11 +50,11 @@
   void wake_at(Millis at);
   void report();
 
-  void carry_out(const Probe& decision);
-  void carry_out(const Wake& decision);
-  void carry_out(const WatchList&);
-  void carry_out(const Forget& decision);
-  void carry_out(const LogLine& decision);
+  void carry_out(const StartProbe& decision);
+  void carry_out(const SetTimer& decision);
+  void carry_out(const WatchEndpoints&);
+  void carry_out(const ForgetServer& decision);
+  void carry_out(const LogMessage& decision);
   template <typename Op>
   void carry_out(const Op&) {}  // there are no ops here and no peers
 
@@ -67,32 +67,32 @@
     std::string node;
   };
 
-  const Charge charge_;
-  const links::Clock clock_;
-  links::Log log_;
+  const Options charge_;
+  const net::Clock clock_;
+  logging::Log log_;
   asio::io_context io_;
-  links::Timers timers_;
+  net::Timers timers_;
   asio::signal_set signals_;
-  keep::FolderDisk disk_;
-  keep::Store store_;
-  Roster roster_;
+  snapshot::FolderDisk disk_;
+  snapshot::Store store_;
+  EndpointRegistry roster_;
   std::string kept_;           // what the store was told last; made before the start's number, which tells it
   const std::uint64_t epoch_;  // the number of this start
   std::unique_ptr<Router> router_;
-  Offering offering_;
-  Streams streams_;
-  links::Members members_;
+  SnapshotBuilder offering_;
+  Subscriptions streams_;
+  upstream::ConnectionPool members_;
   discovery::Client list_;
   std::map<StreamId, Proxy> proxies_;
-  Doubt told_doubt_ = Doubt::none;
+  UpdateDoubt told_doubt_ = UpdateDoubt::none;
   // What has happened since the last settle: to a stream, to what the module knows, to the roster.
   bool due_ = true, noted_ = true, listed_ = true;
   Millis made_at_ = 0;  // when the offers were worked out last
   bool stopping_ = false, was_ready_ = false;
   std::set<Abilities> offered_;
-  std::optional<links::Timers::Handle> wake_;
+  std::optional<net::Timers::Handle> wake_;
   Millis wake_time_ = 0;
-  keep::Keeper keeper_;
+  snapshot::SnapshotWriter keeper_;
   Server server_;
 };
 
--- a/src/control/streams.cpp
+++ b/src/control/subscriptions.cpp
@@ -1,4 +1,4 @@
-#include "control/streams.hpp"
+#include "control/subscriptions.hpp"
 
 #include <fmt/format.h>
 
@@ -66,34 +66,34 @@
   return text_of({resource.revision, epoch, resource.version, service});
 }
 
-Streams::Streams(Bounds bounds, std::string service, std::uint64_t epoch)
+Subscriptions::Subscriptions(Bounds bounds, std::string service, std::uint64_t epoch)
     : bounds_(bounds), service_(std::move(service)), epoch_(epoch) {}
 
-bool Streams::open(StreamId id, Form form, Abilities abilities, Millis now) {
+bool Subscriptions::open(StreamId id, Form form, Abilities abilities, Millis now) {
   if (streams_.size() >= bounds_.streams) return false;
   Stream& stream = streams_[id];
   stream.form = form, stream.abilities = stream.can = abilities, stream.opened = now;
   return true;
 }
 
-void Streams::close(StreamId id) {
+void Subscriptions::close(StreamId id) {
   if (streams_.erase(id) > 0) ++counts_.ended;
 }
 
-void Streams::written(StreamId id) {
+void Subscriptions::written(StreamId id) {
   const auto found = streams_.find(id);
   if (found == streams_.end()) return;
   found->second.writing = false, found->second.dirty = true;
 }
 
-std::set<Abilities> Streams::abilities() const {
+std::set<Abilities> Subscriptions::abilities() const {
   std::set<Abilities> all;
   for (const auto& [id, stream] : streams_) all.insert(stream.abilities);
   return all;
 }
 
 // Only streams for which something has changed are looked at, and only for that.
-void Streams::offer(std::map<Abilities, std::shared_ptr<const Offer>> offers) {
+void Subscriptions::offer(std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers) {
   std::erase_if(current_, [&offers](const auto& item) { return !offers.contains(item.first); });
   for (auto& [abilities, offer] : offers) {
     Current& current = current_[abilities];
@@ -126,14 +126,14 @@
   }
 }
 
-const Streams::Current* Streams::standing_for(const Stream& stream) const {
+const Subscriptions::Current* Subscriptions::standing_for(const Stream& stream) const {
   const auto found = current_.find(stream.abilities);
   return found == current_.end() || !found->second.offer->ready ? nullptr : &found->second;
 }
 
 // The names that have changed since the stream lacked nothing; none: that is not known any more.
-std::optional<std::set<std::string>> Streams::changed(const OfKind& kind, std::size_t place,
-                                                      const Current& current) const {
+std::optional<std::set<std::string>> Subscriptions::changed(const OfKind& kind, std::size_t place,
+                                                            const Current& current) const {
   if (kind.clean_at == 0) return std::nullopt;
   if (kind.clean_at != current.serial &&
       (current.past.empty() || kind.clean_at < current.past.front().serial))
@@ -144,7 +144,7 @@
   return names;
 }
 
-void Streams::hear(StreamId id, Heard heard, Millis now) {
+void Subscriptions::hear(StreamId id, SubscriptionRequest heard, Millis now) {
   const auto found = streams_.find(id);
   if (found == streams_.end() || found->second.end) return;
   Stream& stream = found->second;
@@ -177,7 +177,8 @@
 }
 
 // A proxy answers responses in the order they came; an answer stands for those before, too.
-void Streams::answered(StreamId id, Stream& stream, OfKind& kind, const Heard& heard, Millis now) {
+void Subscriptions::answered(StreamId id, Stream& stream, OfKind& kind, const SubscriptionRequest& heard,
+                             Millis now) {
   for (bool last = false; !last && !kind.out.empty(); kind.out.pop_front()) {
     const Response& response = kind.out.front();
     last = response.nonce == heard.nonce;
@@ -205,12 +206,12 @@
 // Guards against data that grows old on its way: a response that took longer to be answered than leases allow
 // for shows a path on which a time to live begins too late. Harm: a proxy that is slow to answer, though it
 // reads at once, sends its reads to the primary for a while.
-void Streams::trust(Stream& stream, Millis took, Millis now) {
+void Subscriptions::trust(Stream& stream, Millis took, Millis now) {
   if (took <= bounds_.transit) return;
   if (stream.can.expiry == Expiry::time_to_live) stream.distrusted_until = now + kDistrust;
 }
 
-void Streams::ask(Stream& stream, OfKind& kind, const Heard& heard) {
+void Subscriptions::ask(Stream& stream, OfKind& kind, const SubscriptionRequest& heard) {
   const bool first = !std::exchange(kind.asked, true);
   // Most answers ask for what was asked for before. (One that repeats names is told of more than it asks
   // for.)
@@ -255,10 +256,10 @@
 
 // What a proxy brings from another stream counts as taken where it is ours and the newest; what we don't know
 // is remembered, so that it is told when that is gone.
-void Streams::come_with(Stream& stream, OfKind& kind, const Heard& heard) {
+void Subscriptions::come_with(Stream& stream, OfKind& kind, const SubscriptionRequest& heard) {
   if (kind.asked || heard.holds.empty()) return;
   const Current* current = standing_for(stream);
-  const Offer* offer = current ? current->offer.get() : nullptr;
+  const ResourceSnapshot* offer = current ? current->offer.get() : nullptr;
   std::size_t counted = 0;
   for (const auto& [name, text] : heard.holds) {
     if (name.size() > bounds_.name_length || ++counted > bounds_.names)
@@ -278,7 +279,8 @@
 }
 
 // What the proxy is to have under a name; null: nothing.
-Held Streams::wanted(const Stream& stream, Kind kind, const Offer& offer, const std::string& name) const {
+Held Subscriptions::wanted(const Stream& stream, Kind kind, const ResourceSnapshot& offer,
+                           const std::string& name) const {
   const OfKind& of_kind = of(stream, kind);
   if (!of_kind.all && !of_kind.names.contains(name)) return nullptr;
   const auto& resources = offer.resources[static_cast<std::size_t>(kind)];
@@ -293,7 +295,8 @@
   return nullptr;
 }
 
-std::set<std::string> Streams::all_names(const Stream& stream, Kind kind, const Offer& offer) const {
+std::set<std::string> Subscriptions::all_names(const Stream& stream, Kind kind,
+                                               const ResourceSnapshot& offer) const {
   const OfKind& of_kind = of(stream, kind);
   std::set<std::string> names = of_kind.names;
   for (const auto& [name, has] : of_kind.has) names.insert(name);
@@ -305,7 +308,7 @@
 // Make before break: routes wait until the proxy has taken the clusters they lead to, and what stands in
 // those. Only for proxies that take every cluster there is; others ask for clusters when they have seen the
 // routes.
-bool Streams::waits_for_clusters(const Stream& stream, const Offer& offer) const {
+bool Subscriptions::waits_for_clusters(const Stream& stream, const ResourceSnapshot& offer) const {
   const OfKind& clusters = of(stream, Kind::clusters);
   const OfKind& endpoints = of(stream, Kind::endpoints);
   if (!clusters.asked || !clusters.all) return false;
@@ -322,9 +325,9 @@
   return false;
 }
 
-std::optional<Write> Streams::difference(StreamId id, Stream& stream, Kind kind, const Current& current,
-                                         bool urgent_only, Millis now) {
-  const Offer& offer = *current.offer;
+std::optional<Write> Subscriptions::difference(StreamId id, Stream& stream, Kind kind, const Current& current,
+                                               bool urgent_only, Millis now) {
+  const ResourceSnapshot& offer = *current.offer;
   const std::size_t place = static_cast<std::size_t>(kind);
   OfKind& has = of(stream, kind);
   if (!has.asked || has.out.size() >= (urgent_only ? kUnanswered : 1)) return std::nullopt;
@@ -405,7 +408,7 @@
   return write;
 }
 
-std::optional<Write> Streams::difference(StreamId id, Stream& stream, bool urgent_only, Millis now) {
+std::optional<Write> Subscriptions::difference(StreamId id, Stream& stream, bool urgent_only, Millis now) {
   // Trust is lost when answers come late, and comes back by itself.
   const bool trusted = now >= stream.distrusted_until;
   const Abilities abilities =
@@ -420,7 +423,7 @@
   if (!trusted) look_again(stream, stream.distrusted_until);
   const Current* current = standing_for(stream);
   if (!current) return std::nullopt;
-  const Offer* offer = current->offer.get();
+  const ResourceSnapshot* offer = current->offer.get();
   // Guards against bringing a drained member back: a proxy that comes from another service, or from before a
   // crash, and knows a newer list than ours keeps what it has until we know as much.
   if (offer->revision < stream.must_reach) {
@@ -445,7 +448,7 @@
 
 // Guards against proxies that don't read, or don't answer: each costs a few responses in hand, and not for
 // ever.
-void Streams::judge_slow(Stream& stream, Millis now) {
+void Subscriptions::judge_slow(Stream& stream, Millis now) {
   Millis since = stream.writing ? stream.written_at : now;
   for (const OfKind& kind : stream.kinds)
     if (!kind.out.empty()) since = std::min(since, kind.out.front().at);
@@ -457,7 +460,7 @@
 }
 
 // What takes something away goes out first, to every proxy; then a bounded part of the rest.
-std::vector<Act> Streams::settle(Millis now) {
+std::vector<Act> Subscriptions::settle(Millis now) {
   std::vector<Act> acts;
   acts.reserve(2 * streams_.size() + notices_.size() + 8);
   for (auto& [id, stream] : streams_) {
--- a/src/control/streams.hpp
+++ b/src/control/subscriptions.hpp
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-#include "control/offer.hpp"
+#include "control/resource_snapshot.hpp"
 
 namespace reedspindle::control {
 
@@ -38,7 +38,7 @@
 std::string version_of(const Resource& resource, std::uint64_t epoch, const std::string& service);
 
 // What a proxy said, read whole.
-struct Heard {
+struct SubscriptionRequest {
   Kind kind = Kind::clusters;
   std::string nonce;                 // of the response it answers; empty: of none
   std::string version;               // whole: what it took last
@@ -72,7 +72,7 @@
 };
 using Act = std::variant<Write, End, Notice>;
 
-class Streams {
+class Subscriptions {
  public:
   struct Bounds {
     std::size_t streams = 2000, names = 4096, name_length = 256;
@@ -84,17 +84,17 @@
     std::uint64_t responses = 0, urgent = 0, taken = 0, turned_down = 0, stale_nonces = 0, ended = 0;
   };
 
-  Streams(Bounds bounds, std::string service, std::uint64_t epoch);
+  Subscriptions(Bounds bounds, std::string service, std::uint64_t epoch);
 
   // False: there are too many.
   bool open(StreamId id, Form form, Abilities abilities, Millis now);
-  void hear(StreamId id, Heard heard, Millis now);
+  void hear(StreamId id, SubscriptionRequest heard, Millis now);
   // The transport can take the next response of that stream.
   void written(StreamId id);
   void close(StreamId id);
 
   std::set<Abilities> abilities() const;
-  void offer(std::map<Abilities, std::shared_ptr<const Offer>> offers);
+  void offer(std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers);
   std::vector<Act> settle(Millis now);
   // When something is due though nothing happens; below 0: nothing.
   Millis due() const { return due_; }
@@ -151,21 +151,21 @@
     std::array<std::vector<std::string>, kKinds> names;
   };
   struct Current {
-    std::shared_ptr<const Offer> offer;
+    std::shared_ptr<const ResourceSnapshot> offer;
     std::uint64_t serial = 0;
     std::deque<Past> past;
   };
 
   const Current* standing_for(const Stream& stream) const;
-  void answered(StreamId id, Stream& stream, OfKind& kind, const Heard& heard, Millis now);
-  void ask(Stream& stream, OfKind& kind, const Heard& heard);
-  void come_with(Stream& stream, OfKind& kind, const Heard& heard);
+  void answered(StreamId id, Stream& stream, OfKind& kind, const SubscriptionRequest& heard, Millis now);
+  void ask(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
+  void come_with(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
   void trust(Stream& stream, Millis took, Millis now);
-  Held wanted(const Stream& stream, Kind kind, const Offer& offer, const std::string& name) const;
-  std::set<std::string> all_names(const Stream& stream, Kind kind, const Offer& offer) const;
+  Held wanted(const Stream& stream, Kind kind, const ResourceSnapshot& offer, const std::string& name) const;
+  std::set<std::string> all_names(const Stream& stream, Kind kind, const ResourceSnapshot& offer) const;
   std::optional<std::set<std::string>> changed(const OfKind& kind, std::size_t place,
                                                const Current& current) const;
-  bool waits_for_clusters(const Stream& stream, const Offer& offer) const;
+  bool waits_for_clusters(const Stream& stream, const ResourceSnapshot& offer) const;
   std::optional<Write> difference(StreamId id, Stream& stream, Kind kind, const Current& current,
                                   bool urgent_only, Millis now);
   std::optional<Write> difference(StreamId id, Stream& stream, bool urgent_only, Millis now);
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -81,7 +81,7 @@
       address.set_port_value(colon == std::string::npos ? 0
                                                         : static_cast<std::uint32_t>(std::strtoul(
                                                               e->address.c_str() + colon + 1, nullptr, 10)));
-      row.mutable_endpoint()->set_hostname(e->member.address);
+      row.mutable_endpoint()->set_hostname(e->server.address);
       row.set_health_status(e->standing == Standing::healthy    ? core::HEALTHY
                             : e->standing == Standing::draining ? core::DRAINING
                                                                 : core::UNHEALTHY);
@@ -89,9 +89,9 @@
       weight += e->weight;
       auto& fields = *(*row.mutable_metadata()->mutable_filter_metadata())[kMetadata].mutable_fields();
       static const char* const hindrances[] = {"none", "drains", "gone", "down", "resting"};
-      fields["member"].set_string_value(e->member.address);
+      fields["member"].set_string_value(e->server.address);
       fields["role"].set_string_value(e->primary ? "primary" : "replica");
-      fields["hindrance"].set_string_value(hindrances[static_cast<int>(e->hindrance)]);
+      fields["hindrance"].set_string_value(hindrances[static_cast<int>(e->unavailability)]);
       if (e->position >= 0) fields["position_ms"].set_number_value(e->position);
       if (e->until >= 0) fields["fresh_until_ms"].set_number_value(e->until);
     }
@@ -122,7 +122,7 @@
   host.add_domains(std::string(1, '*'));
   for (const Route& one : body.routes) {
     route::Route& row = *host.add_routes();
-    row.set_name(fmt::format("group-{}.{}", one.group.number, one.op_type));
+    row.set_name(fmt::format("group-{}.{}", one.group.number, one.request_class));
     row.mutable_match()->set_prefix("");
     const auto match = [&](const char* name, const std::string& value) {
       route::HeaderMatcher& header = *row.mutable_match()->add_headers();
@@ -133,7 +133,7 @@
         header.mutable_string_match()->set_exact(value);
     };
     match(kGroupHeader, std::to_string(one.group.number));
-    match(kTypeHeader, one.op_type);
+    match(kTypeHeader, one.request_class);
     row.mutable_route()->set_cluster(one.cluster);
   }
   message.SerializeToString(&into);
@@ -177,20 +177,20 @@
   return abilities;
 }
 
-std::optional<Heard> heard_in(discovery::DiscoveryRequest&& message) {
+std::optional<SubscriptionRequest> heard_in(discovery::DiscoveryRequest&& message) {
   const auto kind = kind_of(message.type_url());
   if (!kind) return std::nullopt;
-  Heard heard;
+  SubscriptionRequest heard;
   heard.kind = *kind, heard.nonce = message.response_nonce(), heard.version = message.version_info();
   heard.names = taken_from(*message.mutable_resource_names());
   if (message.has_error_detail()) heard.turned_down = message.error_detail().message();
   return heard;
 }
 
-std::optional<Heard> heard_in(discovery::DeltaDiscoveryRequest&& message) {
+std::optional<SubscriptionRequest> heard_in(discovery::DeltaDiscoveryRequest&& message) {
   const auto kind = kind_of(message.type_url());
   if (!kind) return std::nullopt;
-  Heard heard;
+  SubscriptionRequest heard;
   heard.kind = *kind, heard.nonce = message.response_nonce();
   heard.names = taken_from(*message.mutable_resource_names_subscribe());
   heard.no_more = taken_from(*message.mutable_resource_names_unsubscribe());
--- a/src/control/xds.hpp
+++ b/src/control/xds.hpp
@@ -8,8 +8,8 @@
 #include <optional>
 #include <string>
 
-#include "control/offer.hpp"
-#include "control/streams.hpp"
+#include "control/resource_snapshot.hpp"
+#include "control/subscriptions.hpp"
 #include "envoy/service/discovery/v3/discovery.pb.h"
 
 namespace reedspindle::control::xds {
@@ -28,8 +28,8 @@
 Abilities abilities_of(const envoy::config::core::v3::Node& node);
 
 // None: of a type that is not handed out.
-std::optional<Heard> heard_in(discovery::DiscoveryRequest&& message);
-std::optional<Heard> heard_in(discovery::DeltaDiscoveryRequest&& message);
+std::optional<SubscriptionRequest> heard_in(discovery::DiscoveryRequest&& message);
+std::optional<SubscriptionRequest> heard_in(discovery::DeltaDiscoveryRequest&& message);
 
 // Encodes each resource once, however many proxies are sent it. Any thread may ask it.
 class Encoder {
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <utility>
 
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
 namespace {
@@ -56,7 +56,7 @@
     if (parser.status_code != 200) return 0;
     try {
       reader->read(body);
-    } catch (const Malformed& malformed) {
+    } catch (const InvalidInput& malformed) {
       fault = malformed.what();
       return 1;
     }
@@ -64,34 +64,34 @@
   }
 };
 
-Client::Client(asio::io_context& io, links::Timers& timers, const links::Clock& clock, links::Log& log,
-               const links::Placement& placement, Delivery delivery, Told told)
+Client::Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
+               const config::InstanceConfig& config, Delivery delivery, Told told)
     : io_(io),
       timers_(timers),
       clock_(clock),
       log_(log),
-      placement_(placement),
+      config_(config),
       delivery_(delivery),
       told_(std::move(told)),
-      discovery_(placement.discovery),
-      poller_(placement.seed),
-      table_(placement.memory / kPartOfMemory / kBytesOfServer) {}
+      discovery_(config.discovery),
+      poller_(config.seed),
+      table_(config.memory / kPartOfMemory / kBytesOfServer) {}
 
 Client::~Client() = default;
 
 void Client::watch() {
-  watch_wanted_ = handing_on_ == ListKind::saved && table_.has_parts();
+  watch_wanted_ = handing_on_ == EndpointListKind::saved && table_.has_parts();
   if (watch_wanted_) return;
   poller_.note(Watch{});
   settle();
 }
 
-void Client::start_with(ServerList saved) {
+void Client::start_with(net::EndpointList saved) {
   table_.begin();
-  for (ListedServer& row : saved.servers) table_.take(std::move(row));
+  for (net::ListedEndpoint& row : saved.servers) table_.take(std::move(row));
   table_.end(true);
   taken_ = {saved.revision, true};
-  handing_on_ = ListKind::saved;
+  handing_on_ = EndpointListKind::saved;
   hand_on_part();
 }
 
@@ -118,7 +118,7 @@
     std::visit([this](const auto& one) { carry_out(one); }, decision);
 }
 
-void Client::carry_out(const WakeAt& wake) {
+void Client::carry_out(const RequestWakeup& wake) {
   timers_.drop(wake_);
   wake_ = timers_.set(wake.at, [this] {
     wake_.reset();
@@ -137,7 +137,7 @@
 void Client::carry_out(const TellFailure& failure) {
   log_.warn("list", "no answer, what is known stays",
             {{"why", failure.why}, {"in_a_row", failure.in_a_row}, {"next_in_ms", failure.next_in}});
-  told_({ListKind::failed, poller_.revision(), {}, true});
+  told_({EndpointListKind::failed, poller_.revision(), {}, true});
 }
 
 void Client::carry_out(const Call& call) {
@@ -146,7 +146,7 @@
                  : "/discovery/hosts";
   log_.debug("list", "call", {{"path", path}, {"connection", connection_ ? "kept" : "new"}});
   const std::string request = fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
-                                          path, links::text_of(discovery_));
+                                          path, config::text_of(discovery_));
   begin_list();
   if (connection_) {
     connection_->request = request;
@@ -165,13 +165,14 @@
   table_.begin();
   as_read_ = {};
   reader_ = std::make_unique<ListReader>(
-      placement_.catalogue,
-      [this](ListedServer row, const ListReader::Head& head) { take_row(std::move(row), head); });
+      config_.names,
+      [this](net::ListedEndpoint row, const ListReader::Head& head) { take_row(std::move(row), head); });
 }
 
-void Client::take_row(ListedServer row, const ListReader::Head&) {
+void Client::take_row(net::ListedEndpoint row, const ListReader::Head&) {
   if (delivery_ == Delivery::as_read) return as_read_.servers.push_back(std::move(row));
-  if (std::optional<ListedServer> now = table_.take(std::move(row))) at_once_.push_back(std::move(*now));
+  if (std::optional<net::ListedEndpoint> now = table_.take(std::move(row)))
+    at_once_.push_back(std::move(*now));
 }
 
 void Client::write(const Connected& connection) {
@@ -201,7 +202,8 @@
   poller_.note(BytesCame{count});
   const std::size_t parsed = http_parser_execute(&connection->parser, &Connection::settings(),
                                                  connection->bytes.data(), fault ? 0 : count);
-  if (!at_once_.empty()) told_({ListKind::changes, poller_.revision(), std::exchange(at_once_, {}), false});
+  if (!at_once_.empty())
+    told_({EndpointListKind::changes, poller_.revision(), std::exchange(at_once_, {}), false});
   if (connection->closed) return;
   if (!connection->fault.empty()) return fail(connection->fault, true);
   if (connection->whole) {
@@ -226,7 +228,7 @@
   try {
     const ListReader::Head head = reader_->finish();
     taken_ = {*head.revision, *head.whole};
-  } catch (const Malformed& malformed) {
+  } catch (const InvalidInput& malformed) {
     return fail(malformed.what(), true);
   }
   http_parser_pause(&connection->parser, 0);
@@ -239,7 +241,7 @@
     return settle();
   }
   if (delivery_ == Delivery::as_read) {
-    as_read_.kind = taken_.whole ? ListKind::complete : ListKind::changes;
+    as_read_.kind = taken_.whole ? EndpointListKind::complete : EndpointListKind::changes;
     as_read_.revision = taken_.revision;
     poller_.note(taken_);
     told_(std::exchange(as_read_, {}));
@@ -250,20 +252,20 @@
   if (table_.left_out() > 0)
     log_.warn("list", "servers left out for want of memory",
               {{"servers", table_.left_out()}, {"kept", table_.size()}});
-  handing_on_ = ListKind::changes;
+  handing_on_ = EndpointListKind::changes;
   hand_on_part();
 }
 
 // A part of what the list has changed each turn of the loop; then the next call.
 void Client::hand_on_part() {
-  std::vector<ListedServer> rows = table_.next_part(kRowsOfPart);
+  std::vector<net::ListedEndpoint> rows = table_.next_part(kRowsOfPart);
   const bool last = !table_.has_parts();
   told_({handing_on_, last ? taken_.revision : poller_.revision(), std::move(rows), last});
   if (!last) {
     asio::post(io_, [this] { hand_on_part(); });
     return;
   }
-  if (handing_on_ == ListKind::saved) {
+  if (handing_on_ == EndpointListKind::saved) {
     if (std::exchange(watch_wanted_, false)) watch();
     return;
   }
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -8,12 +8,12 @@
 #include <memory>
 #include <optional>
 
+#include "config/instance_config.hpp"
 #include "discovery/list_reader.hpp"
 #include "discovery/poller.hpp"
 #include "discovery/server_table.hpp"
-#include "links/clock.hpp"
-#include "links/log.hpp"
-#include "links/placement.hpp"
+#include "logging/log.hpp"
+#include "net/clock.hpp"
 
 namespace reedspindle::discovery {
 
@@ -22,17 +22,17 @@
   // How lists are handed on: as what they change, in short parts, what drains at once; or each list as it was
   // read, whole at a time.
   enum class Delivery { changes, as_read };
-  using Told = std::function<void(ServerList)>;
+  using Told = std::function<void(net::EndpointList)>;
 
-  Client(asio::io_context& io, links::Timers& timers, const links::Clock& clock, links::Log& log,
-         const links::Placement& placement, Delivery delivery, Told told);
+  Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
+         const config::InstanceConfig& config, Delivery delivery, Told told);
   ~Client();
 
   // Calls begin, and go on by themselves.
   void watch();
   // What was known before the start is handed on like a list, of the kind saved.
-  void start_with(ServerList saved);
-  // Discovery is at another address from now on. What is known stays until its whole list comes.
+  void start_with(net::EndpointList saved);
+  // TestDiscovery is at another address from now on. What is known stays until its whole list comes.
   void move(const asio::ip::tcp::endpoint& discovery);
   // What is known is in doubt: the whole list, now.
   void ask_whole();
@@ -46,36 +46,37 @@
   void carry_out(const Call& call);
   void carry_out(const GiveUpCall& decision);
   void carry_out(const TellFailure& failure);
-  void carry_out(const WakeAt& wake);
+  void carry_out(const RequestWakeup& wake);
 
   void write(const Connected& connection);
   void read(const Connected& connection);
   void received(const Connected& connection, const asio::error_code& fault, std::size_t count);
   void begin_list();
-  void take_row(ListedServer row, const ListReader::Head& head);
+  void take_row(net::ListedEndpoint row, const ListReader::Head& head);
   void answered(const Connected& connection);
   void hand_on_part();
   void fail(std::string why, bool spoilt);
   void close();
 
   asio::io_context& io_;
-  links::Timers& timers_;
-  const links::Clock& clock_;
-  links::Log& log_;
-  const links::Placement& placement_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
+  logging::Log& log_;
+  const config::InstanceConfig& config_;
   const Delivery delivery_;
   const Told told_;
   asio::ip::tcp::endpoint discovery_;
   Poller poller_;
   ServerTable table_;
   std::unique_ptr<ListReader> reader_;
-  ServerList as_read_;                 // with that delivery
-  std::vector<ListedServer> at_once_;  // rows of the bytes read last that count before their list has ended
-  ListTaken taken_;                    // of the list whose changes are being handed on
-  ListKind handing_on_ = ListKind::changes;
+  net::EndpointList as_read_;  // with that delivery
+  std::vector<net::ListedEndpoint>
+      at_once_;      // rows of the bytes read last that count before their list has ended
+  ListTaken taken_;  // of the list whose changes are being handed on
+  EndpointListKind handing_on_ = EndpointListKind::changes;
   bool watch_wanted_ = false;  // once the saved list has been handed on
   Connected connection_;       // the one owner of the connection to discovery
-  std::optional<links::Timers::Handle> wake_;
+  std::optional<net::Timers::Handle> wake_;
 };
 
 }  // namespace reedspindle::discovery
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <variant>
 
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
 namespace {
@@ -44,13 +44,13 @@
 
 const Value& needed(const Row& row, const char* key) {
   const auto found = row.find(key);
-  if (found == row.end()) throw Malformed(fmt::format("targets: {} is missing", key));
+  if (found == row.end()) throw InvalidInput(fmt::format("targets: {} is missing", key));
   return found->second;
 }
 
 const std::string& text(const Row& row, const char* key) {
   const auto* value = std::get_if<std::string>(&needed(row, key));
-  if (!value || value->empty()) throw Malformed(fmt::format("targets: {} is no text", key));
+  if (!value || value->empty()) throw InvalidInput(fmt::format("targets: {} is no text", key));
   return *value;
 }
 
@@ -64,7 +64,7 @@
   const auto found = row.find(key);
   if (found == row.end() || std::holds_alternative<Other>(found->second)) return other;
   const auto value = any_number(found->second);
-  if (!value) throw Malformed(fmt::format("targets: {} is no number", key));
+  if (!value) throw InvalidInput(fmt::format("targets: {} is no number", key));
   return *value;
 }
 
@@ -75,29 +75,29 @@
   return found == names.end() ? T{} : found->second;
 }
 
-MemberState state_in(const Row& row) {
+ServerState state_in(const Row& row) {
   const std::string& word = text(row, "state");
-  if (word == "active") return MemberState::ready;
-  if (word == "leaving") return MemberState::draining;
-  if (word == "left") return MemberState::gone;
-  throw Malformed("targets: state is none of active, leaving, left");
+  if (word == "active") return ServerState::ready;
+  if (word == "leaving") return ServerState::draining;
+  if (word == "left") return ServerState::gone;
+  throw InvalidInput("targets: state is none of active, leaving, left");
 }
 
-ListedServer server_in(const Row& row, const links::Catalogue& catalogue) {
-  ListedServer server;
-  server.entry.member = {text(row, "uid")};
+net::ListedEndpoint server_in(const Row& row, const config::NameTable& names) {
+  net::ListedEndpoint server;
+  server.entry.id = {text(row, "uid")};
   server.entry.state = state_in(row);
-  const auto endpoint = links::endpoint_in(text(row, "endpoint"));
-  if (!endpoint) throw Malformed("targets: endpoint is no address and port");
+  const auto endpoint = config::endpoint_in(text(row, "endpoint"));
+  if (!endpoint) throw InvalidInput("targets: endpoint is no address and port");
   server.endpoint = *endpoint;
   const auto group = whole_number(needed(row, "pod_group"));
-  if (!group) throw Malformed("targets: pod_group is no whole number");
+  if (!group) throw InvalidInput("targets: pod_group is no whole number");
   server.entry.group = {static_cast<int>(*group)};
   server.zone = text_or_none(row, "az");
-  server.entry.zone = named(server.zone, catalogue.zones);
-  server.entry.kind = named(text_or_none(row, "model"), catalogue.kinds);
+  server.entry.zone = named(server.zone, names.zones);
+  server.entry.kind = named(text_or_none(row, "model"), names.kinds);
   server.entry.size = number(row, "capacity_hint", 1);
-  server.entry.up_since = number(row, "boot_ms", 0);
+  server.entry.started_at = number(row, "boot_ms", 0);
   server.entry.primary = text_or_none(row, "rank") == "source";
   return server;
 }
@@ -114,8 +114,8 @@
 // Follows the parser through the document: the list's object, the array of its servers, a server's object.
 class ListReader::Document {
  public:
-  Document(const links::Catalogue& catalogue, ListReader::Row row)
-      : catalogue_(catalogue), row_taken_(std::move(row)), parser_(yajl_alloc(&callbacks(), nullptr, this)) {}
+  Document(const config::NameTable& names, ListReader::Row row)
+      : catalogue_(names), row_taken_(std::move(row)), parser_(yajl_alloc(&callbacks(), nullptr, this)) {}
   ~Document() { yajl_free(parser_); }
   Document(const Document&) = delete;
 
@@ -123,16 +123,16 @@
     since_row_ += bytes.size();
     check(yajl_parse(parser_, reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size()));
     if (since_row_ > kLongestRow)
-      throw Malformed(
+      throw InvalidInput(
           fmt::format("targets: {} bytes with no server's end, the limit is {}", since_row_, kLongestRow));
   }
 
   Head finish() {
     check(yajl_complete_parse(parser_));
-    if (!began_) throw Malformed("the list is no object");
-    if (!head_.revision) throw Malformed("rev is no whole number");
-    if (!head_.whole) throw Malformed("all is neither true nor false");
-    if (!has_targets_) throw Malformed("targets is no array");
+    if (!began_) throw InvalidInput("the list is no object");
+    if (!head_.revision) throw InvalidInput("rev is no whole number");
+    if (!head_.whole) throw InvalidInput("all is neither true nor false");
+    if (!has_targets_) throw InvalidInput("targets is no array");
     return head_;
   }
 
@@ -168,8 +168,8 @@
     return 0;
   }
   void check(yajl_status status) {
-    if (!fault_.empty()) throw Malformed(fault_);
-    if (status != yajl_status_ok) throw Malformed("no JSON");
+    if (!fault_.empty()) throw InvalidInput(fault_);
+    if (status != yajl_status_ok) throw InvalidInput("no JSON");
   }
 
   // Depths: 1 the list, 2 its servers, 3 one of them.
@@ -222,13 +222,13 @@
     since_row_ = 0;
     try {
       row_taken_(server_in(row_, catalogue_), head_);
-    } catch (const Malformed& fault) {
+    } catch (const InvalidInput& fault) {
       return fail(fault.what());
     }
     return 1;
   }
 
-  const links::Catalogue& catalogue_;
+  const config::NameTable& catalogue_;
   const ListReader::Row row_taken_;
   const yajl_handle parser_;
   Head head_;
@@ -239,8 +239,8 @@
   std::size_t since_row_ = 0;
 };
 
-ListReader::ListReader(const links::Catalogue& catalogue, Row row)
-    : document_(std::make_unique<Document>(catalogue, std::move(row))) {}
+ListReader::ListReader(const config::NameTable& names, Row row)
+    : document_(std::make_unique<Document>(names, std::move(row))) {}
 
 ListReader::~ListReader() = default;
 
@@ -248,12 +248,12 @@
 
 ListReader::Head ListReader::finish() { return document_->finish(); }
 
-ServerList read_list(std::string_view json, const links::Catalogue& catalogue) {
-  ServerList list;
+net::EndpointList read_list(std::string_view json, const config::NameTable& names) {
+  net::EndpointList list;
   std::set<std::string> seen;
-  ListReader reader(catalogue, [&](ListedServer server, const ListReader::Head&) {
-    const std::string& id = server.entry.member.address;
-    if (!seen.insert(id).second) throw Malformed("targets: uid is there twice: " + id);
+  ListReader reader(names, [&](net::ListedEndpoint server, const ListReader::Head&) {
+    const std::string& id = server.entry.id.address;
+    if (!seen.insert(id).second) throw InvalidInput("targets: uid is there twice: " + id);
     list.servers.push_back(std::move(server));
   });
   // In parts, as it would come: the limit on a row's length is one on what is read between two ends of rows.
@@ -261,7 +261,7 @@
   for (std::size_t at = 0; at < json.size(); at += kPart) reader.read(json.substr(at, kPart));
   const ListReader::Head head = reader.finish();
   list.revision = *head.revision;
-  list.kind = *head.whole ? ListKind::complete : ListKind::changes;
+  list.kind = *head.whole ? EndpointListKind::complete : EndpointListKind::changes;
   return list;
 }
 
--- a/src/discovery/list_reader.hpp
+++ b/src/discovery/list_reader.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <string_view>
 
-#include "links/placement.hpp"
-#include "links/server_list.hpp"
+#include "config/instance_config.hpp"
+#include "net/endpoint_list.hpp"
 
 namespace reedspindle::discovery {
 
-using links::ListedServer, links::ServerList;
+using net::ListedEndpoint, net::EndpointList;
 
 // Bytes from one server's end to the next: over three hundred times what a server takes in the protocol's
 // example.
@@ -31,15 +31,15 @@
   };
   // Called for each server as soon as its last byte is read, with as much of the list's head as stood before
   // it.
-  using Row = std::function<void(ListedServer, const Head&)>;
+  using Row = std::function<void(net::ListedEndpoint, const Head&)>;
 
-  ListReader(const links::Catalogue& catalogue, Row row);
+  ListReader(const config::NameTable& names, Row row);
   ~ListReader();
   ListReader(const ListReader&) = delete;
 
-  // Throws Malformed, which names what is faulty; nothing more is to be read then.
+  // Throws InvalidInput, which names what is faulty; nothing more is to be read then.
   void read(std::string_view bytes);
-  // The list has ended. Throws Malformed where it is not whole.
+  // The list has ended. Throws InvalidInput where it is not whole.
   Head finish();
 
  private:
@@ -47,7 +47,7 @@
   std::unique_ptr<Document> document_;
 };
 
-// The whole of a list that is at hand. Throws Malformed; nothing of such a list counts.
-ServerList read_list(std::string_view json, const links::Catalogue& catalogue);
+// The whole of a list that is at hand. Throws InvalidInput; nothing of such a list counts.
+net::EndpointList read_list(std::string_view json, const config::NameTable& names);
 
 }  // namespace reedspindle::discovery
--- a/src/discovery/poller.cpp
+++ b/src/discovery/poller.cpp
@@ -24,8 +24,8 @@
   if (state_ == State::calling && now_ >= call_ends_at())
     fail(bytes_ > 0 && now_ < *last_byte_ + kSilence ? "the answer comes too slowly" : "no answer in time");
   if (state_ == State::waiting && now_ >= next_call_) begin_call();
-  if (state_ == State::waiting) decisions_.push_back(WakeAt{next_call_});
-  if (state_ == State::calling) decisions_.push_back(WakeAt{call_ends_at()});
+  if (state_ == State::waiting) decisions_.push_back(RequestWakeup{next_call_});
+  if (state_ == State::calling) decisions_.push_back(RequestWakeup{call_ends_at()});
   return std::exchange(decisions_, {});
 }
 
--- a/src/discovery/poller.hpp
+++ b/src/discovery/poller.hpp
@@ -15,7 +15,7 @@
 #include <variant>
 #include <vector>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
 namespace reedspindle::discovery {
 
@@ -65,10 +65,10 @@
   int in_a_row = 1;
   Millis next_in = 0;
 };
-struct WakeAt {  // settle is wanted again then, at the latest; in the place of the time wanted before
+struct RequestWakeup {  // settle is wanted again then, at the latest; in the place of the time wanted before
   Millis at = 0;
 };
-using PollDecision = std::variant<Call, GiveUpCall, TellFailure, WakeAt>;
+using PollDecision = std::variant<Call, GiveUpCall, TellFailure, RequestWakeup>;
 
 class Poller {
  public:
--- a/src/discovery/server_table.cpp
+++ b/src/discovery/server_table.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
 
@@ -13,12 +13,12 @@
   left_out_ = 0;
 }
 
-std::optional<ListedServer> ServerTable::take(ListedServer row) {
-  const std::string id = row.entry.member.address;
+std::optional<net::ListedEndpoint> ServerTable::take(net::ListedEndpoint row) {
+  const std::string id = row.entry.id.address;
   const auto found = known_.find(id);
   if (found == known_.end()) {
-    if (row.entry.state == MemberState::gone) return std::nullopt;
-    if (staged_.contains(id)) throw Malformed("targets: uid is there twice: " + id);
+    if (row.entry.state == ServerState::gone) return std::nullopt;
+    if (staged_.contains(id)) throw InvalidInput("targets: uid is there twice: " + id);
     if (known_.size() + staged_.size() >= most_)
       ++left_out_;
     else
@@ -26,23 +26,23 @@
     return std::nullopt;
   }
   Known& known = found->second;
-  if (std::exchange(known.seen_in, list_) == list_) throw Malformed("targets: uid is there twice: " + id);
+  if (std::exchange(known.seen_in, list_) == list_) throw InvalidInput("targets: uid is there twice: " + id);
   if (row == known.row) return std::nullopt;
 
   // One that is gone comes back, if only to drain, with a list that has been read to its end.
-  const MemberState before = known.row.entry.state;
-  const bool is_there = before != MemberState::gone;
-  const bool leaves = is_there && row.entry.state != MemberState::ready && row.entry.state != before;
-  const bool started = is_there && row.entry.up_since > known.row.entry.up_since;
+  const ServerState before = known.row.entry.state;
+  const bool is_there = before != ServerState::gone;
+  const bool leaves = is_there && row.entry.state != ServerState::ready && row.entry.state != before;
+  const bool started = is_there && row.entry.started_at > known.row.entry.started_at;
   if (!leaves && !started) {
     staged_.emplace(id, std::move(row));
     return std::nullopt;
   }
   // Only this much of the row counts before the list has been read to its end.
   if (leaves) known.row.entry.state = row.entry.state;
-  if (row.entry.state == MemberState::gone) gone_.push_back(id);
-  if (started) known.row.entry.up_since = row.entry.up_since;
-  const ListedServer now = known.row;
+  if (row.entry.state == ServerState::gone) gone_.push_back(id);
+  if (started) known.row.entry.started_at = row.entry.started_at;
+  const net::ListedEndpoint now = known.row;
   if (row != now) staged_.emplace(id, std::move(row));
   return now;
 }
@@ -50,8 +50,8 @@
 void ServerTable::end(bool whole) {
   if (whole)
     for (auto& [id, known] : known_) {
-      if (known.seen_in == list_ || known.row.entry.state == MemberState::gone) continue;
-      known.row.entry.state = MemberState::gone;
+      if (known.seen_in == list_ || known.row.entry.state == ServerState::gone) continue;
+      known.row.entry.state = ServerState::gone;
       gone_.push_back(id);
       change(known.row);
     }
@@ -64,12 +64,12 @@
   staged_.clear();
   for (const std::string& id : std::exchange(gone_, {}))
     if (const auto found = known_.find(id);
-        found != known_.end() && found->second.row.entry.state == MemberState::gone)
+        found != known_.end() && found->second.row.entry.state == ServerState::gone)
       known_.erase(found);
 }
 
-std::vector<ListedServer> ServerTable::next_part(std::size_t rows) {
-  std::vector<ListedServer> part;
+std::vector<net::ListedEndpoint> ServerTable::next_part(std::size_t rows) {
+  std::vector<net::ListedEndpoint> part;
   while (part.size() < rows && !changes_.empty())
     part.push_back(std::move(changes_.extract(changes_.begin()).mapped()));
   return part;
--- a/src/discovery/server_table.hpp
+++ b/src/discovery/server_table.hpp
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "links/server_list.hpp"
+#include "net/endpoint_list.hpp"
 
 namespace reedspindle::discovery {
 
-using links::ListedServer;
+using net::ListedEndpoint;
 
 class ServerTable {
  public:
@@ -24,15 +24,15 @@
 
   // A list begins; what was read of one that did not end is forgotten.
   void begin();
-  // The row, if it counts at once, as it is to be handed on. Throws Malformed where the list has that server
-  // twice.
-  std::optional<ListedServer> take(ListedServer row);
+  // The row, if it counts at once, as it is to be handed on. Throws InvalidInput where the list has that
+  // server twice.
+  std::optional<net::ListedEndpoint> take(net::ListedEndpoint row);
   // The list has ended: what it changes is there for next_part. A whole list leaves out the servers that are
   // gone.
   void end(bool whole);
   // The next of what the last list has changed, so many rows at the most, servers that leave first; empty:
   // that was all.
-  std::vector<ListedServer> next_part(std::size_t rows);
+  std::vector<net::ListedEndpoint> next_part(std::size_t rows);
   bool has_parts() const { return !changes_.empty(); }
 
   std::size_t size() const { return known_.size(); }
@@ -41,19 +41,19 @@
 
  private:
   struct Known {
-    ListedServer row;
+    net::ListedEndpoint row;
     std::uint64_t seen_in = 0;  // the list that named it last
   };
 
-  void change(const ListedServer& row) {
-    changes_[{row.entry.state == MemberState::ready, row.entry.member.address}] = row;
+  void change(const net::ListedEndpoint& row) {
+    changes_[{row.entry.state == ServerState::ready, row.entry.id.address}] = row;
   }
 
   const std::size_t most_;
   std::uint64_t list_ = 0;
   std::map<std::string, Known> known_;
-  std::map<std::string, ListedServer> staged_;  // rows that wait for the end of their list
-  std::map<std::pair<bool, std::string>, ListedServer>
+  std::map<std::string, net::ListedEndpoint> staged_;  // rows that wait for the end of their list
+  std::map<std::pair<bool, std::string>, net::ListedEndpoint>
       changes_;                    // by whether the server is ready, and its id
   std::vector<std::string> gone_;  // forgotten once the list has ended, unless it has them again
   std::size_t left_out_ = 0;
--- a/src/rig/surroundings.cpp
+++ b/src/faulttest/environment.cpp
@@ -1,4 +1,4 @@
-#include "rig/surroundings.hpp"
+#include "faulttest/environment.hpp"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <numeric>
 #include <utility>
 
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 namespace {
 
 using Json = nlohmann::json;
@@ -17,7 +17,7 @@
 constexpr int kGates = 96, kStandIns = 128;
 constexpr std::size_t kUnderway = 1000;  // connections of discovery's whose answers are waited for
 
-std::vector<Endpoint> places_of(int count, const Surroundings::Own& own) {
+std::vector<Endpoint> places_of(int count, const TestEnvironment::Own& own) {
   std::vector<Endpoint> places;
   for (int store = 0; store < count; ++store) places.push_back(own(kStandIns, store));
   return places;
@@ -29,13 +29,13 @@
 Json settings_of(const Plan& plan, int front) {
   Json types = Json::array(), needs = Json::array(), bounds = Json::array();
   for (const ClientOp& op : plan.clients.mix) {
-    using rules::Effect, rules::Needs;
+    using invariants::Effect, invariants::Needs;
     types.push_back({{"name", op.name},
                      {"effect", op.effect == Effect::tokened     ? "by_key"
                                 : op.effect == Effect::retryable ? "repeatable"
                                                                  : "once"},
                      {"goalTime", ns(plan.clients.latency_target)},
-                     {"deadline", ns(plan.clients.op_timeout)},
+                     {"deadline", ns(plan.clients.request_timeout)},
                      {"keyScope", "cell"},
                      {"dedupWindow", ns(plan.work.token_memory)},
                      {"importance", 1}});
@@ -79,8 +79,8 @@
 
 }  // namespace
 
-Surroundings::Surroundings(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-                           const Plan& plan, const std::vector<Endpoint>& fronts, const Own& own)
+TestEnvironment::TestEnvironment(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                                 const Plan& plan, const std::vector<Endpoint>& fronts, const Own& own)
     : plan_(plan),
       clock_(clock),
       rules_(plan.terms),
@@ -99,7 +99,7 @@
     state.group = store % plan.groups, state.primary = store < plan.groups, state.lag = plan.lag;
   }
   for (int front = 0; front < plan.fronts; ++front) {
-    agents_.push_back(std::make_unique<Discovery>(
+    agents_.push_back(std::make_unique<TestDiscovery>(
         io, timers, clock, own(kStandIns, plan.stores + front),
         [this, front](long long) { return list_of(front); },
         [this, front](const Endpoint& to, std::size_t bytes, long long) {
@@ -120,7 +120,7 @@
              [this](int store, const std::string& op, const Endpoint& from) {
                ++sends_to_[static_cast<std::size_t>(store)];
                if (const auto crossing = streams_.crossing(from))
-                 rules_.note(rules::Sent{op, {crossing->gate / each()}, {store}, crossing->to.read});
+                 rules_.note(invariants::Sent{op, {crossing->gate / each()}, {store}, crossing->to.read});
              });
   streams_.on([this](const Streams::Passed& passed) {
     clients_.passed(passed);
@@ -136,14 +136,14 @@
   for (int front = 0; front < plan.fronts; ++front) first_.push_back(Json::parse(list_of(front).list));
 }
 
-nlohmann::json Surroundings::placement_of(int front) const {
+nlohmann::json TestEnvironment::placement_of(int front) const {
   const auto at = static_cast<std::size_t>(front);
-  return {{"discovery", links::text_of(seen_at_[at].back())},
+  return {{"discovery", config::text_of(seen_at_[at].back())},
           {"known", first_[at]},
           {"settings", settings_of(plan_, front)}};
 }
 
-std::vector<Surroundings::Listed> Surroundings::listed() const {
+std::vector<TestEnvironment::Listed> TestEnvironment::listed() const {
   std::vector<Listed> all;
   for (int store = 0; store < plan_.stores; ++store) {
     const StoreState& state = stores_.state(store);
@@ -152,11 +152,12 @@
   return all;
 }
 
-void Surroundings::told(int front, const std::vector<Listed>& listed, Millis at) {
-  for (const Listed& one : listed) rules_.note(rules::Told{{front}, {one.store}, one.wanted, one.booted, at});
+void TestEnvironment::told(int front, const std::vector<Listed>& listed, Millis at) {
+  for (const Listed& one : listed)
+    rules_.note(invariants::Told{{front}, {one.store}, one.wanted, one.booted, at});
 }
 
-Discovery::Now Surroundings::list_of(int front) const {
+TestDiscovery::Now TestEnvironment::list_of(int front) const {
   Json targets = Json::array();
   for (int store = 0; store < plan_.stores; ++store) {
     const StoreState& state = stores_.state(store);
@@ -164,7 +165,7 @@
     targets.push_back(
         {{"uid", fmt::format("s{}", store)},
          {"endpoint",
-          links::text_of(seen_at_[static_cast<std::size_t>(front)][static_cast<std::size_t>(store)])},
+          config::text_of(seen_at_[static_cast<std::size_t>(front)][static_cast<std::size_t>(store)])},
          {"pod_group", state.group},
          {"state", state.draining ? "leaving" : "active"},
          {"boot_ms", state.booted}});
@@ -172,16 +173,20 @@
   return {revision_, Json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump()};
 }
 
-void Surroundings::carried_out(const Carried_out& done) {
+void TestEnvironment::carried_out(const Carried_out& done) {
   const bool effect = done.writes && done.deed == Deed::ran;
-  if (effect) clients_.committed(done.op, done.position);
+  if (effect) clients_.committed(done.request, done.position);
   if (done.deed != Deed::ran) return;
   const auto crossing = streams_.crossing(done.from);
-  rules_.note(rules::Ran{
-      done.op, {done.store}, done.token, effect, crossing ? crossing->to.read : done.came, done.position});
+  rules_.note(invariants::Ran{done.request,
+                              {done.store},
+                              done.token,
+                              effect,
+                              crossing ? crossing->to.read : done.came,
+                              done.position});
 }
 
-std::vector<int> Surroundings::gates(const Step& step) const {
+std::vector<int> TestEnvironment::gates(const Step& step) const {
   std::vector<int> all;
   for (const int front : step.fronts) {
     for (const int store : step.stores) all.push_back(gate(front, store));
@@ -194,7 +199,7 @@
 // Of each link between the fronts and the others: first what the fronts say, then what they hear. Clients
 // open their links themselves, so there it is the other way round.
 template <typename Change>
-void Surroundings::ways(const Step& step, Change change) {
+void TestEnvironment::ways(const Step& step, Change change) {
   for (const int gate : gates(step)) {
     const bool of_clients = gate % each() == plan_.stores + 1;
     change(of_clients ? streams_.back(gate) : streams_.to(gate),
@@ -202,7 +207,7 @@
   }
 }
 
-void Surroundings::strike(const Step& step) {
+void TestEnvironment::strike(const Step& step) {
   if (step.fault.starts_with("cut"))
     ways(step, [&](Way& out, Way& in) {
       if (step.fault != "cut-back") out.cut = true;
@@ -228,7 +233,7 @@
     if (step.fault == "fall") stores_.fall(store);
     if (step.fault == "rise") {
       stores_.rise(store);
-      rules_.note(rules::Started{{store}, state.booted});
+      rules_.note(invariants::Started{{store}, state.booted});
       listed = true;
     }
     if (step.fault == "hang") state.answers = false;
@@ -253,33 +258,33 @@
   for (const auto& agent : agents_) agent->changed();
 }
 
-void Surroundings::heal() { streams_.heal(); }
+void TestEnvironment::heal() { streams_.heal(); }
 
-void Surroundings::begin() {
+void TestEnvironment::begin() {
   if (plan_.clients.rate <= 0 || std::exchange(begun_, true)) return;
   clients_.begin();
 }
 
-std::vector<rules::Broken> Surroundings::settle() { return rules_.settle(clock_.now()); }
+std::vector<invariants::Broken> TestEnvironment::settle() { return rules_.settle(clock_.now()); }
 
-std::uint64_t Surroundings::Asked::sends() const {
+std::uint64_t TestEnvironment::Asked::sends() const {
   return std::accumulate(sends_to.begin(), sends_to.end(), std::uint64_t{0});
 }
 
-Surroundings::Asked Surroundings::asked() const {
+TestEnvironment::Asked TestEnvironment::asked() const {
   Asked asked{stores_.probes(), 0, sends_to_};
   for (const auto& agent : agents_) asked.calls += agent->calls();
   return asked;
 }
 
-int Surroundings::connections(int store, const std::set<int>& without) const {
+int TestEnvironment::connections(int store, const std::set<int>& without) const {
   int sum = 0;
   for (int front = 0; front < plan_.fronts; ++front)
     if (!without.contains(front)) sum += streams_.open_at(gate(front, store));
   return sum;
 }
 
-Tally Surroundings::between(Millis from, Millis to) const {
+Tally TestEnvironment::between(Millis from, Millis to) const {
   Tally sum;
   sum.at = from;
   for (const Tally& tally : clients_.tallies()) {
@@ -290,4 +295,4 @@
   return sum;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/surroundings.hpp
+++ b/src/faulttest/environment.hpp
@@ -11,34 +11,34 @@
 #include <string>
 #include <vector>
 
-#include "rig/clients.hpp"
-#include "rig/discovery.hpp"
-#include "rig/plan.hpp"
-#include "rig/stores.hpp"
-#include "rig/streams.hpp"
-#include "rules/rules.hpp"
+#include "faulttest/plan.hpp"
+#include "faulttest/streams.hpp"
+#include "faulttest/test_clients.hpp"
+#include "faulttest/test_discovery.hpp"
+#include "faulttest/test_stores.hpp"
+#include "invariants/invariants.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
-class Surroundings {
+class TestEnvironment {
  public:
   // An address of the rig's own for a role and a number in it.
   using Own = std::function<Endpoint(int role, int number)>;
 
   // Fronts by where they listen for clients.
-  Surroundings(asio::io_context& io, links::Timers& timers, const links::Clock& clock, const Plan& plan,
-               const std::vector<Endpoint>& fronts, const Own& own);
+  TestEnvironment(asio::io_context& io, net::Timers& timers, const net::Clock& clock, const Plan& plan,
+                  const std::vector<Endpoint>& fronts, const Own& own);
 
   // What a front's placement says of them: discovery, known, settings.
   nlohmann::json placement_of(int front) const;
   void strike(const Step& step);
   void heal();
-  void note(rules::Event event) { rules_.note(std::move(event)); }
+  void enqueue(invariants::Event event) { rules_.note(std::move(event)); }
   // Clients begin, once.
   void begin();
   void rest() { clients_.rest(); }
   bool asking() const { return begun_; }
-  std::vector<rules::Broken> settle();
+  std::vector<invariants::Broken> settle();
   const std::deque<Tally>& tallies() const { return clients_.tallies(); }
   // Ops that were meant for a span of time and are over.
   Tally between(Millis from, Millis to) const;
@@ -51,7 +51,7 @@
     std::uint64_t sends() const;
   };
   Asked asked() const;
-  std::size_t open_ops() const { return clients_.open(); }
+  std::size_t open_requests() const { return clients_.open(); }
 
  private:
   struct Listed {
@@ -59,7 +59,7 @@
     bool wanted = true;
     Millis booted = 0;
   };
-  Discovery::Now list_of(int front) const;
+  TestDiscovery::Now list_of(int front) const;
   std::vector<Listed> listed() const;
   void told(int front, const std::vector<Listed>& listed, Millis at);
   void carried_out(const Carried_out& done);
@@ -71,14 +71,14 @@
   int gate(int front, int other) const { return front * each() + other; }
 
   const Plan& plan_;
-  const links::Clock& clock_;
-  rules::Rules rules_;
+  const net::Clock& clock_;
+  invariants::InvariantChecker rules_;
   Streams streams_;
-  Stores stores_;
-  std::vector<std::unique_ptr<Discovery>> agents_;
+  TestStores stores_;
+  std::vector<std::unique_ptr<TestDiscovery>> agents_;
   std::vector<std::vector<Endpoint>> seen_at_;  // of each front: where it meets stores and discovery
   std::vector<Endpoint> met_at_;                // where clients meet each front
-  Clients clients_;
+  TestClients clients_;
   long long revision_ = 1;
   nlohmann::json first_;  // the list as the run began, a front's saved one
   struct Underway {       // an answer of discovery, until it has reached its front
@@ -91,4 +91,4 @@
   std::vector<std::uint64_t> sends_to_;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/rig.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -1,4 +1,4 @@
-#include "rig/rig.hpp"
+#include "faulttest/fault_test.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -11,9 +11,9 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 namespace {
 
 using Json = nlohmann::json;
@@ -31,7 +31,7 @@
 }
 
 std::string text_of(const asio::ip::udp::endpoint& endpoint) {
-  return links::text_of({endpoint.address(), endpoint.port()});
+  return config::text_of({endpoint.address(), endpoint.port()});
 }
 
 // What a status file says, as the end of a line.
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-Rig::Rig(Plan plan, std::string program, std::string folder)
+FaultTest::FaultTest(Plan plan, std::string program, std::string folder)
     : plan_(std::move(plan)),
       io_(1),
       signals_(io_, SIGINT, SIGTERM),
@@ -65,44 +65,44 @@
   std::vector<Endpoint> listen;
   for (const auto& front : fronts_) listen.emplace_back(front.address(), front.port());
   surroundings_ =
-      std::make_unique<Surroundings>(io_, timers_, clock_, plan_, listen, [](int role, int number) {
+      std::make_unique<TestEnvironment>(io_, timers_, clock_, plan_, listen, [](int role, int number) {
         const auto at = own(role, number);
         return Endpoint(at.address(), at.port());
       });
 }
 
 // What the checker of the rules knows of a front's former life is over.
-void Rig::begin_anew(int front) {
-  if (surroundings_) surroundings_->note(rules::Down{{front}});
+void FaultTest::begin_anew(int front) {
+  if (surroundings_) surroundings_->enqueue(invariants::Down{{front}});
 }
 
-void Rig::start(int front, const Step& step) {
+void FaultTest::start(int front, const Step& step) {
   if (process(front).up()) return;
   begin_anew(front);
   if (!step.name.empty()) names_[static_cast<std::size_t>(front)] = step.name;
-  const membership::Charge& fleet = plan_.fleet;
+  const membership::Options& fleet = plan_.fleet;
   relay_->listening(front, true);
-  std::string shares;
-  if (plan_.shares.connections > 0)
-    shares = fmt::format(
+  std::string quota;
+  if (plan_.quota.connections > 0)
+    quota = fmt::format(
         " (shares (fleet {}) (connections {}) (lease {}ms) (evidence {}ms) (notice {}ms) (kept {}))",
-        plan_.fronts, plan_.shares.connections, plan_.shares.lease, plan_.shares.evidence,
-        plan_.shares.notice, plan_.shares.kept);
+        plan_.fronts, plan_.quota.connections, plan_.quota.lease, plan_.quota.evidence, plan_.quota.notice,
+        plan_.quota.kept);
   process(front).start(
       placement_of(front),
       fmt::format(
           "(reedspindle (log (form json) (lines-of-a-kind {}))\n (clock (offset {}ms))\n"
           " (fleet (place {}) (pace {}ms) (time-out {}ms) (patience {}) (forget {}ms) (status \"{}\"){}))\n",
-          kLinesOfAKind, step.clock, front, fleet.pace, fleet.time_out, fleet.patience, fleet.forget,
-          process(front).status_path(), shares + plan_.accord + plan_.resends));
+          kLinesOfAKind, step.clock, front, fleet.pace, fleet.timeout, fleet.suspicion_multiplier,
+          fleet.forget, process(front).status_path(), quota + plan_.consistency + plan_.resends));
 }
 
-std::string Rig::placement_of(int front) const {
+std::string FaultTest::placement_of(int front) const {
   Json peers = Json::array();
   for (int place = 0; place < listed_; ++place)
     peers.push_back(text_of(stands_[static_cast<std::size_t>(place)]));
   const auto at = static_cast<std::size_t>(front);
-  Json placement = {
+  Json config = {
       {"name", name_of(front)},
       {"listen", text_of(fronts_[at])},
       {"discovery", fmt::format("{}:1", stands_[0].address().to_string())},
@@ -111,11 +111,11 @@
       {"peers", peers},
       {"peers_all", text_of(stands_[at])},
       {"settings", {{"requestClasses", Json::array({{{"name", "look"}, {"effect", "repeatable"}}})}}}};
-  if (surroundings_) placement.update(surroundings_->placement_of(front));
-  return placement.dump();
+  if (surroundings_) config.update(surroundings_->placement_of(front));
+  return config.dump();
 }
 
-void Rig::strike(const Step& step) {
+void FaultTest::strike(const Step& step) {
   const auto each = [&](auto strike) {
     for (const int front : step.fronts) strike(front);
   };
@@ -135,13 +135,13 @@
   if (step.fault == "end") each([&](int front) { process(front).signal(SIGTERM); });
   if (step.fault == "stop")
     each([&](int front) {
-      if (surroundings_) surroundings_->note(rules::Paused{{front}, clock_.now()});
+      if (surroundings_) surroundings_->enqueue(invariants::Paused{{front}, clock_.now()});
       process(front).signal(SIGSTOP);
     });
   if (step.fault == "wake")
     each([&](int front) {
       process(front).signal(SIGCONT);
-      if (surroundings_) surroundings_->note(rules::Woken{{front}, clock_.now()});
+      if (surroundings_) surroundings_->enqueue(invariants::Woken{{front}, clock_.now()});
     });
   if (step.fault.starts_with("cut"))
     each([&](int front) {
@@ -168,7 +168,7 @@
     });
 }
 
-void Rig::run(Millis span) {
+void FaultTest::run(Millis span) {
   io_.restart();
   // Something to wait for even while no front speaks.
   const auto turn = timers_.set(clock_.now() + span, [] {});
@@ -176,7 +176,7 @@
   timers_.drop(turn);
 }
 
-Outcome Rig::carry_out(const Step& step) {
+Outcome FaultTest::carry_out(const Step& step) {
   before_.clear();
   for (int front = 0; front < plan_.fronts; ++front) before_.push_back(relay_->carried(front));
   for (int front = 0; front < plan_.fronts; ++front) process(front).log_lines();
@@ -186,7 +186,7 @@
   strike(step);
   happened_.push_back({from, text_of(step)});
   // A share of ops can be told once all of them are over.
-  const Millis over = step.acked > 0 || step.sends > 0 ? plan_.clients.op_timeout + 600 : 0;
+  const Millis over = step.acked > 0 || step.sends > 0 ? plan_.clients.request_timeout + 600 : 0;
   for (;;) {
     run(std::min(kLook, std::max(1.0, from + step.lasts - clock_.now())));
     const Millis took = spent_ = clock_.now() - from;
@@ -213,7 +213,7 @@
   }
 }
 
-Outcome Rig::finish() {
+Outcome FaultTest::finish() {
   if (!surroundings_ || !surroundings_->asking()) return {true, 0, ""};
   surroundings_->rest();
   const Millis from = clock_.now();
@@ -221,22 +221,23 @@
     run(kLook);
     const Millis took = clock_.now() - from;
     if (std::string why = broken(); !why.empty()) return {false, took, std::move(why)};
-    if (surroundings_->open_ops() == 0) return {true, took, ""};
+    if (surroundings_->open_requests() == 0) return {true, took, ""};
     // Clients give up by themselves.
-    if (took > plan_.clients.op_timeout + 5000) return {false, took, "ops are open that should have ended"};
+    if (took > plan_.clients.request_timeout + 5000)
+      return {false, took, "ops are open that should have ended"};
   }
 }
 
 // Rules that have been broken since the last look.
-std::string Rig::broken() {
+std::string FaultTest::broken() {
   if (!surroundings_) return "";
-  const std::vector<rules::Broken> found = surroundings_->settle();
+  const std::vector<invariants::Broken> found = surroundings_->settle();
   broken_.insert(broken_.end(), found.begin(), found.end());
   std::string text;
-  for (const rules::Broken& one : found) {
+  for (const invariants::Broken& one : found) {
     if (!text.empty()) text += "; ";
-    text += fmt::format("{}: {}", rules::word_of(one.rule), one.why);
-    if (!one.op.empty()) text += fmt::format(", op {}", one.op);
+    text += fmt::format("{}: {}", invariants::word_of(one.rule), one.why);
+    if (!one.request.empty()) text += fmt::format(", op {}", one.request);
     if (one.front.number >= 0) text += fmt::format(", front {}", name_of(one.front.number));
     if (one.store.number >= 0) text += fmt::format(", store s{}", one.store.number);
     text += fmt::format(", {:.0f} ms into the run", one.at - began_);
@@ -247,7 +248,7 @@
 
 // Beyond what a store takes from all fronts together. A process that stands still can't close what it has
 // open.
-std::string Rig::too_many() {
+std::string FaultTest::too_many() {
   if (!surroundings_) return "";
   // What has happened and was not taken yet: an end behind a beginning would count twice. Two looks in a row
   // have to show it, for the kernel may have the one and not yet the other.
@@ -258,17 +259,17 @@
   for (int store = 0; store < plan_.stores; ++store) {
     const int open = surroundings_->connections(store, stopped);
     most_ = std::max(most_, open);
-    if (plan_.shares.connections <= 0 || open <= plan_.shares.connections) continue;
+    if (plan_.quota.connections <= 0 || open <= plan_.quota.connections) continue;
     over.insert(store);
     if (over_.contains(store))
       return fmt::format("{} connections to store s{}, {} are there for all fronts", open, store,
-                         plan_.shares.connections);
+                         plan_.quota.connections);
   }
   over_ = std::move(over);
   return "";
 }
 
-std::string Rig::too_little(const Step& step) const {
+std::string FaultTest::too_little(const Step& step) const {
   if (step.part <= 0) return "";
   for (int front = 0; front < plan_.fronts; ++front) {
     if (!process(front).up() || process(front).stopped()) continue;
@@ -281,7 +282,7 @@
   return "";
 }
 
-std::string Rig::too_few(const Step& step, Millis from) const {
+std::string FaultTest::too_few(const Step& step, Millis from) const {
   if (step.acked <= 0 && step.sends <= 0) return "";
   if (!surroundings_ || !surroundings_->asking()) return "no client asks yet";
   const Tally tally = surroundings_->between(from, from + step.lasts);
@@ -298,7 +299,7 @@
   return text;
 }
 
-nlohmann::json Rig::record() const {
+nlohmann::json FaultTest::record() const {
   Json record{{"fronts", plan_.fronts},
               {"stores", plan_.stores},
               {"seed", plan_.seed},
@@ -306,9 +307,9 @@
   record["steps"] = Json::array(), record["broken"] = Json::array(), record["spans"] = Json::array();
   for (const Happened& one : happened_)
     record["steps"].push_back({{"at", one.at - began_}, {"text", one.text}});
-  for (const rules::Broken& one : broken_)
-    record["broken"].push_back({{"rule", rules::word_of(one.rule)},
-                                {"op", one.op},
+  for (const invariants::Broken& one : broken_)
+    record["broken"].push_back({{"rule", invariants::word_of(one.rule)},
+                                {"op", one.request},
                                 {"front", one.front.number},
                                 {"store", one.store.number},
                                 {"at", one.at - began_},
@@ -327,7 +328,7 @@
 }
 
 // How the others hold whom the step names, or one another.
-std::string Rig::missing(const Step& step) const {
+std::string FaultTest::missing(const Step& step) const {
   if (step.until == "now") return "";
   std::set<int> running;
   for (int front = 0; front < plan_.fronts; ++front)
@@ -342,7 +343,7 @@
     if (status["yielded"].get<bool>()) continue;  // out of the fleet
     if (of_accord(step.until)) {
       if (step.until != "accord" && !step.of.contains(front)) continue;
-      if (std::string why = accord(front, step); !why.empty()) return why;
+      if (std::string why = consistency(front, step); !why.empty()) return why;
       continue;
     }
     std::string why;
@@ -357,7 +358,8 @@
 }
 
 // Whether a front holds those so, and, where they are to be alone, nobody else here.
-std::string Rig::hold(int front, const std::set<int>& of, const std::string& standing, bool alone) const {
+std::string FaultTest::hold(int front, const std::set<int>& of, const std::string& standing,
+                            bool alone) const {
   std::map<std::string, std::string> held;
   const Json status = process(front).status();
   for (const Json& fellow : status["fellows"]) held[fellow["name"]] = fellow["standing"];
@@ -378,7 +380,7 @@
 }
 
 // Whether a front says of itself what the step waits for.
-std::string Rig::accord(int front, const Step& step) const {
+std::string FaultTest::consistency(int front, const Step& step) const {
   const Json status = process(front).status();
   const Json& says = status["accord"];
   if (says.is_null()) return fmt::format("{} says nothing of its accord", name_of(front));
@@ -398,9 +400,9 @@
 }
 
 // An op that reached a store which the step spares.
-std::string Rig::not_spared(const Step& step) const {
+std::string FaultTest::not_spared(const Step& step) const {
   if (step.spared.empty()) return "";
-  const Surroundings::Asked now = surroundings_->asked();
+  const TestEnvironment::Asked now = surroundings_->asked();
   for (const int store : step.spared) {
     const auto at = static_cast<std::size_t>(store);
     if (now.sends_to[at] > counted_first_.sends_to[at])
@@ -410,10 +412,10 @@
 }
 
 // What came to stores and discovery in a second of the step, where it was more than it may be.
-std::string Rig::too_often(const Step& step) {
+std::string FaultTest::too_often(const Step& step) {
   if (!surroundings_ || clock_.now() < counted_at_ + 1000) return "";
   const double seconds = (clock_.now() - counted_at_) / 1000;
-  const Surroundings::Asked now = surroundings_->asked();
+  const TestEnvironment::Asked now = surroundings_->asked();
   const double probes = static_cast<double>(now.probes - counted_.probes) / seconds / plan_.stores,
                calls = static_cast<double>(now.calls - counted_.calls) / seconds;
   counted_ = now, counted_at_ = clock_.now();
@@ -426,7 +428,7 @@
 }
 
 // Whom somebody has come to hold failed in this step who must not be.
-std::string Rig::mistaken(const Step& step) {
+std::string FaultTest::mistaken(const Step& step) {
   if (step.none_failed.empty()) return "";
   std::set<std::string> spared;
   for (const int front : step.none_failed) spared.insert(name_of(front));
@@ -438,7 +440,7 @@
   return "";
 }
 
-std::vector<std::string> Rig::views() const {
+std::vector<std::string> FaultTest::views() const {
   std::vector<std::string> lines;
   for (int front = 0; front < plan_.fronts; ++front) {
     const char* is = !process(front).up() ? "down" : process(front).stopped() ? "stopped" : "up";
@@ -447,7 +449,7 @@
   return lines;
 }
 
-std::vector<std::string> Rig::views(const std::string& folder) {
+std::vector<std::string> FaultTest::views(const std::string& folder) {
   std::map<int, std::string> by_place;
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
     if (entry.path().extension() != ".status") continue;
@@ -462,7 +464,7 @@
   return lines;
 }
 
-std::string Rig::load() const {
+std::string FaultTest::load() const {
   double datagrams = 0, bytes = 0;
   for (int front = 0; front < plan_.fronts; ++front) {
     const Carried now = relay_->carried(front), then = before_.at(static_cast<std::size_t>(front));
@@ -483,4 +485,4 @@
   return text;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/rig.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "links/clock.hpp"
-#include "rig/plan.hpp"
-#include "rig/process.hpp"
-#include "rig/relay.hpp"
-#include "rig/surroundings.hpp"
+#include "faulttest/environment.hpp"
+#include "faulttest/plan.hpp"
+#include "faulttest/process.hpp"
+#include "faulttest/relay.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 // What came of a step.
 struct Outcome {
@@ -24,9 +24,9 @@
   std::string why;  // where it did not hold
 };
 
-class Rig {
+class FaultTest {
  public:
-  Rig(Plan plan, std::string program, std::string folder);
+  FaultTest(Plan plan, std::string program, std::string folder);
 
   Outcome carry_out(const Step& step);
   // Clients ask nothing more, what is open comes to its end.
@@ -49,7 +49,7 @@
   // Empty: it is so.
   std::string missing(const Step& step) const;
   std::string hold(int front, const std::set<int>& of, const std::string& standing, bool alone) const;
-  std::string accord(int front, const Step& step) const;
+  std::string consistency(int front, const Step& step) const;
   std::string too_often(const Step& step);
   std::string not_spared(const Step& step) const;
   std::string mistaken(const Step& step);
@@ -66,21 +66,21 @@
   asio::io_context io_;
   asio::signal_set signals_;  // that end the run early, so that nothing of it is left behind
   bool interrupted_ = false;
-  const links::Clock clock_;
-  links::Timers timers_;
+  const net::Clock clock_;
+  net::Timers timers_;
   std::vector<asio::ip::udp::endpoint> fronts_, stands_;
   std::unique_ptr<Relay> relay_;
-  std::unique_ptr<Surroundings> surroundings_;  // none: fronts alone
+  std::unique_ptr<TestEnvironment> surroundings_;  // none: fronts alone
   struct Happened {
     Millis at = 0;
     std::string text;
   };
   std::vector<Happened> happened_;
-  std::vector<rules::Broken> broken_;
+  std::vector<invariants::Broken> broken_;
   std::set<int> over_;  // stores that had too many at the last look
   int most_ = 0;        // connections that any store had at once
   // Of the second that runs, and the highest of the step.
-  Surroundings::Asked counted_, counted_first_;
+  TestEnvironment::Asked counted_, counted_first_;
   Millis counted_at_ = 0;
   double most_probes_ = 0, most_calls_ = 0;
   std::vector<std::string> names_;
@@ -91,4 +91,4 @@
   const Millis began_;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/main.cpp
+++ b/src/faulttest/main.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <iostream>
 
-#include "rig/report.hpp"
-#include "rig/rig.hpp"
+#include "faulttest/fault_test.hpp"
+#include "faulttest/report.hpp"
 
 namespace {
 
@@ -23,7 +23,7 @@
       path_ = std::filesystem::absolute(kept);
       std::filesystem::create_directories(path_);
     } else {
-      std::string made = (std::filesystem::temp_directory_path() / "reedspindle-rig-XXXXXX").string();
+      std::string made = (std::filesystem::temp_directory_path() / "reedspindle-faulttest-XXXXXX").string();
       if (!mkdtemp(made.data())) throw std::runtime_error("no folder can be made for the run");
       path_ = made;
     }
@@ -39,13 +39,13 @@
   std::filesystem::path path_;
 };
 
-int run(const rig::Plan& plan, const std::string& program, const std::string& keep, bool times) {
+int run(const faulttest::Plan& plan, const std::string& program, const std::string& keep, bool times) {
   const Folder folder(keep);
-  rig::Rig rig(plan, program, folder.path());
+  faulttest::FaultTest rig(plan, program, folder.path());
   const auto record = [&] { std::ofstream(folder.path() + "/run.json") << rig.record().dump() << '\n'; };
-  for (const rig::Step& step : plan.steps) {
-    std::cout << rig::text_of(step) << std::endl;
-    const rig::Outcome outcome = rig.carry_out(step);
+  for (const faulttest::Step& step : plan.steps) {
+    std::cout << faulttest::text_of(step) << std::endl;
+    const faulttest::Outcome outcome = rig.carry_out(step);
     std::string text = step.until == "now" ? "" : step.until;
     for (const int front : step.of) text += fmt::format(" {}", front);
     if (!step.none_failed.empty()) text += text.empty() ? "nobody is mistaken" : ", nobody is mistaken";
@@ -59,7 +59,7 @@
     record();
     return 1;
   }
-  const rig::Outcome end = rig.finish();
+  const faulttest::Outcome end = rig.finish();
   record();
   if (!end.held) {
     std::cout << "  at the end: " << end.why << std::endl;
@@ -74,8 +74,8 @@
 
 int main(int count, char** words) {
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"Runs real fronts on loopback and breaks the links between them", "reedspindle-rig"};
-  app.set_version_flag("--version", std::string("reedspindle-rig ") + REEDSPINDLE_VERSION);
+  CLI::App app{"Runs real fronts on loopback and breaks the links between them", "reedspindle-faulttest"};
+  app.set_version_flag("--version", std::string("reedspindle-faulttest ") + REEDSPINDLE_VERSION);
   app.require_subcommand(1);
   std::string path, keep, program = (std::filesystem::path(words[0]).parent_path() / "reedspindle").string();
   bool times = false;
@@ -103,7 +103,7 @@
   }
   try {
     if (*fleet) {
-      for (const std::string& view : rig::Rig::views(path)) std::cout << view << '\n';
+      for (const std::string& view : faulttest::FaultTest::views(path)) std::cout << view << '\n';
       return 0;
     }
     if (*telling) {
@@ -112,19 +112,19 @@
       if (!record.is_object()) throw std::runtime_error(path + "/run.json is missing or does not read");
       if (times) std::cout << record.dump(2) << '\n';
       if (!times)
-        for (const std::string& line : rig::report(record)) std::cout << line << '\n';
+        for (const std::string& line : faulttest::report(record)) std::cout << line << '\n';
       return 0;
     }
-    const rig::Plan plan = rig::plan_in(operators::read_file(path, rig::kPlan), path);
+    const faulttest::Plan plan = faulttest::plan_in(operators::read_file(path, faulttest::kPlan), path);
     if (*check) std::cout << path << ": sound\n";
     if (*show)
-      for (const rig::Step& step : plan.steps) std::cout << rig::text_of(step) << '\n';
+      for (const faulttest::Step& step : plan.steps) std::cout << faulttest::text_of(step) << '\n';
     return *running ? run(plan, program, keep, times) : 0;
-  } catch (const operators::Faulty& faulty) {
+  } catch (const operators::InvalidFile& faulty) {
     std::cerr << faulty.what() << '\n';
     return 2;
   } catch (const std::exception& fault) {
-    std::cerr << "reedspindle-rig: " << fault.what() << '\n';
+    std::cerr << "reedspindle-faulttest: " << fault.what() << '\n';
     return 1;
   }
 }
--- a/src/rig/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -1,4 +1,4 @@
-#include "rig/plan.hpp"
+#include "faulttest/plan.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -7,7 +7,7 @@
 #include <random>
 #include <sstream>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 extern const char* const kSchema;  // plan.json
 const operators::Form kPlan{"rig", kSchema};
@@ -46,12 +46,13 @@
   plan.work.work = stores["work"], plan.work.workers = stores["workers"], plan.work.queue = stores["queue"];
   plan.work.cold_from = terms["cold-from"], plan.work.warm_within = terms["warm-within"];
   plan.clients.rate = clients["rate"], plan.clients.sessions = clients["sessions"];
-  plan.clients.op_timeout = clients["op-timeout"], plan.clients.latency_target = clients["latency-target"];
+  plan.clients.request_timeout = clients["op-timeout"],
+  plan.clients.latency_target = clients["latency-target"];
   plan.terms.slack = terms["slack"], plan.terms.drain_grace = terms["drain-grace"];
   plan.terms.fall_multiple = terms["fall-multiple"], plan.terms.fall = terms["fall"];
   plan.terms.cold_from = terms["cold-from"], plan.terms.warm_within = terms["warm-within"];
   plan.terms.capacity = plan.work.workers * 1000 / plan.work.work;
-  using rules::Effect, rules::Needs;
+  using invariants::Effect, invariants::Needs;
   for (const nlohmann::json& told : values.value("op-type", nlohmann::json::array())) {
     ClientOp op;
     op.name = told["name"], op.weight = told["weight"], op.bound = told["bound"];
@@ -86,15 +87,15 @@
   Plan plan;
   plan.fronts = file.values["fronts"], plan.seed = file.values["seed"], plan.longest = file.values["longest"];
   const nlohmann::json& fleet = file.values["fleet"];
-  plan.fleet.pace = fleet["pace"], plan.fleet.time_out = fleet["time-out"];
-  plan.fleet.patience = fleet["patience"], plan.fleet.forget = fleet["forget"];
+  plan.fleet.pace = fleet["pace"], plan.fleet.timeout = fleet["time-out"];
+  plan.fleet.suspicion_multiplier = fleet["patience"], plan.fleet.forget = fleet["forget"];
   if (fleet.contains("shares")) {
     const nlohmann::json& told = fleet["shares"];
-    plan.shares = {told["connections"], told["lease"], told["evidence"], told["notice"], told["kept"]};
+    plan.quota = {told["connections"], told["lease"], told["evidence"], told["notice"], told["kept"]};
   }
   if (fleet.contains("accord")) {
     const nlohmann::json& told = fleet["accord"];
-    plan.accord =
+    plan.consistency =
         fmt::format(" (accord (pace {}ms) (grace {}ms) (silence {}ms) (writes-for {}ms) (reads-for {}ms))",
                     told["pace"].get<double>(), told["grace"].get<double>(), told["silence"].get<double>(),
                     told["writes-for"].get<double>(), told["reads-for"].get<double>());
@@ -143,7 +144,7 @@
       fault("'stores' goes with what strikes stores, who need it, and with cut, slow, limit and reset");
     if (step.of.empty() != (step.until == "now" || step.until == "agreed" || step.until == "accord"))
       fault("'of' goes with until there, failed, left, yielded, differs or cut-off, and they need it");
-    if (plan.accord.empty() && of_accord(step.until))
+    if (plan.consistency.empty() && of_accord(step.until))
       fault("until accord, differs or cut-off needs (fleet (accord ...))");
     if (!step.name.empty() && (step.fault != "start" || step.fronts.size() != 1))
       fault("'name' goes with the start of one front");
@@ -155,7 +156,7 @@
       plan.steps.push_back(std::move(step));
     }
   }
-  if (!faults.empty()) throw operators::Faulty(std::move(faults));
+  if (!faults.empty()) throw operators::InvalidFile(std::move(faults));
   return plan;
 }
 
@@ -215,4 +216,4 @@
   return text;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/plan.hpp
+++ b/src/faulttest/plan.hpp
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
+#include "faulttest/test_clients.hpp"
+#include "faulttest/test_stores.hpp"
+#include "invariants/invariants.hpp"
 #include "membership/membership.hpp"
 #include "operators/file.hpp"
-#include "rig/clients.hpp"
-#include "rig/stores.hpp"
-#include "rules/rules.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 extern const operators::Form kPlan;
 
@@ -35,17 +35,17 @@
   int fronts = 0, stores = 0, groups = 1;
   std::uint64_t seed = 0;
   Millis longest = 0;
-  membership::Charge fleet;
-  struct Shares {
+  membership::Options fleet;
+  struct QuotaManager {
     int connections = 0;  // that one store takes from all fronts together; 0: nothing is shared
     Millis lease = 0, evidence = 0, notice = 0;
     double kept = 0;
-  } shares;
-  std::string accord, resends;  // as the operators' file has them; empty: off
-  Millis lag = 0;               // that replicas stand behind, unless a step changes it
+  } quota;
+  std::string consistency, resends;  // as the operators' file has them; empty: off
+  Millis lag = 0;                    // that replicas stand behind, unless a step changes it
   StoreWork work;
   ClientWork clients;
-  rules::Terms terms;
+  invariants::Terms terms;
   std::vector<Step> steps;
 };
 
@@ -59,4 +59,4 @@
 // What a step does, as one line.
 std::string text_of(const Step& step);
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/process.cpp
+++ b/src/faulttest/process.cpp
@@ -1,4 +1,4 @@
-#include "rig/process.hpp"
+#include "faulttest/process.hpp"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -12,18 +12,18 @@
 #include <iterator>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 Process::Process(std::string program, std::string folder, std::string label)
     : program_(std::move(program)), folder_(std::move(folder)), label_(std::move(label)) {}
 
 Process::~Process() { signal(SIGKILL); }
 
-void Process::start(const std::string& placement, const std::string& orders) {
+void Process::start(const std::string& config, const std::string& orders) {
   if (up()) return;
   if (ending_) signal(SIGKILL);  // it was told to end and has not yet
   const std::string base = folder_ + "/" + label_;
-  std::ofstream(base + ".json") << placement;
+  std::ofstream(base + ".json") << config;
   std::ofstream(base + ".sexp") << orders;
   std::error_code none;
   std::filesystem::remove(status_path(), none);
@@ -42,8 +42,8 @@
   _exit(127);
 }
 
-void Process::reload(const std::string& placement) {
-  std::ofstream(folder_ + "/" + label_ + ".json") << placement;
+void Process::reload(const std::string& config) {
+  std::ofstream(folder_ + "/" + label_ + ".json") << config;
   if (up()) signal(SIGHUP);
 }
 
@@ -87,4 +87,4 @@
   return lines;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/process.hpp
+++ b/src/faulttest/process.hpp
@@ -8,9 +8,9 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 class Process {
  public:
@@ -19,9 +19,9 @@
   ~Process();
   Process(const Process&) = delete;
 
-  void start(const std::string& placement, const std::string& orders);
+  void start(const std::string& config, const std::string& orders);
   // The placement is another from now on, and it is told so.
-  void reload(const std::string& placement);
+  void reload(const std::string& config);
   void signal(int signal);  // SIGSTOP, SIGCONT and such as end it
   bool up() const { return pid_ > 0 && !ending_; }
   // There is a process, even if it was told to end.
@@ -44,4 +44,4 @@
   std::size_t log_read_ = 0;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/relay.cpp
+++ b/src/faulttest/relay.cpp
@@ -1,9 +1,9 @@
-#include "rig/relay.hpp"
+#include "faulttest/relay.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 constexpr std::size_t kKept = 256;  // datagrams of each front, for replays
 
@@ -22,8 +22,8 @@
   std::deque<std::string> sent;  // by this front, the last ones
 };
 
-Relay::Relay(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-             std::vector<Endpoint> fronts, std::vector<Endpoint> stands, std::uint64_t seed)
+Relay::Relay(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::vector<Endpoint> fronts,
+             std::vector<Endpoint> stands, std::uint64_t seed)
     : timers_(timers),
       clock_(clock),
       fronts_(std::move(fronts)),
@@ -116,4 +116,4 @@
   for (std::size_t at = 0; at < sent.size() && static_cast<int>(at) < count; ++at) pass(from, to, sent[at]);
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/relay.hpp
+++ b/src/faulttest/relay.hpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "links/clock.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 // One way.
 struct Link {
@@ -32,7 +32,7 @@
   using Endpoint = asio::ip::udp::endpoint;
 
   // Where each front listens, and where the relay stands in for it.
-  Relay(asio::io_context& io, links::Timers& timers, const links::Clock& clock, std::vector<Endpoint> fronts,
+  Relay(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::vector<Endpoint> fronts,
         std::vector<Endpoint> stands, std::uint64_t seed);
 
   ~Relay();
@@ -61,8 +61,8 @@
   }
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
-  links::Timers& timers_;
-  const links::Clock& clock_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
   const std::vector<Endpoint> fronts_;
   std::minstd_rand random_;
   std::vector<Link> links_;
@@ -70,4 +70,4 @@
   std::vector<std::unique_ptr<Stand>> stands_;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/report.cpp
+++ b/src/faulttest/report.cpp
@@ -1,4 +1,4 @@
-#include "rig/report.hpp"
+#include "faulttest/report.hpp"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <cmath>
 #include <map>
 
-#include "rig/clients.hpp"
+#include "faulttest/test_clients.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 namespace {
 
@@ -69,4 +69,4 @@
   return lines;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/report.hpp
+++ b/src/faulttest/report.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
-// The record of a run (Rig::record) as lines.
+// The record of a run (FaultTest::record) as lines.
 std::vector<std::string> report(const nlohmann::json& record);
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -1,4 +1,4 @@
-#include "rig/scale.hpp"
+#include "faulttest/scale.hpp"
 
 #include <fmt/format.h>
 #include <unistd.h>
@@ -15,18 +15,18 @@
 #include <stdexcept>
 #include <utility>
 
-#include "links/clock.hpp"
-#include "links/pgwire.hpp"
-#include "links/placement.hpp"
-#include "rig/discovery.hpp"
-#include "rig/process.hpp"
-#include "rig/stores.hpp"
-#include "samples.hpp"
+#include "config/instance_config.hpp"
+#include "faulttest/process.hpp"
+#include "faulttest/test_discovery.hpp"
+#include "faulttest/test_stores.hpp"
+#include "net/clock.hpp"
+#include "postgres/codec.hpp"
+#include "routing/replica_samples.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 namespace {
 
-namespace pgwire = links::pgwire;
+namespace postgres = postgres;
 using Json = nlohmann::json;
 using Tcp = asio::ip::tcp;
 
@@ -121,13 +121,13 @@
     std::uint64_t life = 0;  // counts connections: callbacks of an earlier one are none of this one's
   };
 
-  Discovery::Now list_since(long long since);
+  TestDiscovery::Now list_since(long long since);
   std::string row_of(int server) const;
   void publish(const std::vector<int>& servers, bool whole);
   void release_step(int step);
   void connect(Client& client);
   void read(Client& client);
-  void take(Client& client, const pgwire::Message& message);
+  void take(Client& client, const postgres::Message& message);
   void ask(Client& client);
   void ask_later(Client& client);
   void answered(Client& client);
@@ -143,17 +143,17 @@
   const ScaleDay day_;
   const int total_, groups_;
   asio::io_context io_{1};
-  const links::Clock clock_;
-  links::Timers timers_{io_, clock_};
+  const net::Clock clock_;
+  net::Timers timers_{io_, clock_};
   std::minstd_rand random_{11};
-  Stores servers_;
+  TestStores servers_;
   long long revision_ = 1;
   std::vector<long long> changed_at_;                  // the revision in which each server's row changed last
   std::vector<std::optional<Millis>> unwanted_since_;  // told draining or gone
   enum class Listing { absent, active, leaving, left };
   std::vector<Listing> listed_;
   bool whole_next_ = false;
-  Discovery discovery_;
+  TestDiscovery discovery_;
   Process front_;
   const Tcp::endpoint front_at_;
   std::vector<std::unique_ptr<Client>> clients_;
@@ -218,11 +218,11 @@
             "      \"capacity_hint\": 1.0,\n      \"boot_ms\": {:.0f}\n    }}"
           : R"({{"uid":"s-{:08x}","endpoint":"{}","az":"a","model":"m","pod_group":{},)"
             R"("state":"{}","capacity_hint":1.0,"boot_ms":{:.0f}}})";
-  return fmt::format(fmt::runtime(form), server, links::text_of(servers_.at(server)),
+  return fmt::format(fmt::runtime(form), server, config::text_of(servers_.at(server)),
                      servers_.state(server).group, state, servers_.state(server).booted);
 }
 
-Discovery::Now Day::list_since(long long since) {
+TestDiscovery::Now Day::list_since(long long since) {
   const bool whole = since < 0 || std::exchange(whole_next_, false);
   std::string rows;
   for (int server = 0; server < total_; ++server) {
@@ -233,8 +233,8 @@
     if (day_.indented) rows += '\n';
     rows += row_of(server);
   }
-  Discovery::Now now{revision_,
-                     fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, whole, rows)};
+  TestDiscovery::Now now{revision_,
+                         fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, whole, rows)};
   cost_.list_bytes += now.list.size();
   // What is written here counts as told.
   for (int server = 0; server < total_; ++server) {
@@ -306,7 +306,7 @@
     }
     asio::error_code none;
     client.socket.set_option(Tcp::no_delay(true), none);
-    client.out = pgwire::startup("svc", "main");
+    client.out = postgres::startup("svc", "main");
     asio::async_write(client.socket, asio::buffer(client.out), [](const asio::error_code&, std::size_t) {});
     read(client);
   });
@@ -335,10 +335,10 @@
       });
 }
 
-void Day::take(Client& client, const pgwire::Message& message) {
+void Day::take(Client& client, const postgres::Message& message) {
   if (message.type == 'D') client.has_row = true;
   if (message.type == 'E')
-    if (const auto fields = pgwire::read_error(message.body)) client.error_code = fields->code;
+    if (const auto fields = postgres::read_error(message.body)) client.error_code = fields->code;
   if (message.type != 'Z') return;
   if (!std::exchange(client.welcomed, true)) {
     if (&client == pinger_.get()) return ping();
@@ -363,11 +363,11 @@
   const double kind = draw();
   if (kind < 0.1)
     client.out =
-        pgwire::query(fmt::format("INSERT INTO records (k, v) VALUES ('k{}', '\\x01') RETURNING v /* "
-                                  "id={},c=book,d={:.0f},k={},cluster={} */",
-                                  group, client.request, kPatience, client.request, group));
+        postgres::query(fmt::format("INSERT INTO records (k, v) VALUES ('k{}', '\\x01') RETURNING v /* "
+                                    "id={},c=book,d={:.0f},k={},cluster={} */",
+                                    group, client.request, kPatience, client.request, group));
   else
-    client.out = pgwire::query(
+    client.out = postgres::query(
         fmt::format("SELECT v FROM records WHERE k = 'k{}' /* id={},c={},d={:.0f},cluster={} */", group,
                     client.request, kind < 0.5 ? "look" : "recent", kPatience, group));
   requests_[client.request] = {clock_.now(), std::nullopt};
@@ -416,7 +416,7 @@
 
 void Day::ping() {
   pinged_ = clock_.now();
-  pinger_->out = pgwire::query("");
+  pinger_->out = postgres::query("");
   asio::async_write(pinger_->socket, asio::buffer(pinger_->out), [](const asio::error_code&, std::size_t) {});
 }
 
@@ -434,7 +434,7 @@
   const asio::ip::udp::endpoint to(front_at_.address(), front_at_.port());
   for (std::size_t at = 0; at < part; ++at) {
     const int group = static_cast<int>(next_group_++ % static_cast<std::size_t>(groups_));
-    std::vector<ToldSample> samples;
+    std::vector<GossipedSample> samples;
     const auto tell = [&](int server) {
       // The others, too, know of a drain when discovery tells, and keep the pace until then.
       const auto& unwanted = unwanted_since_[static_cast<std::size_t>(server)];
@@ -495,22 +495,22 @@
   const std::string peer_address = own_address(kPeerRole);
   peer_.open(asio::ip::udp::v4());
   peer_.bind({asio::ip::make_address(peer_address), kFirstPort});
-  Json peers = {fmt::format("{}:{}", peer_address, kFirstPort), links::text_of(front_at_)};
+  Json peers = {fmt::format("{}:{}", peer_address, kFirstPort), config::text_of(front_at_)};
   for (int other = 2; other < day_.fronts; ++other)
     peers.push_back(fmt::format("{}:{}", peer_address, kFirstPort + other));
-  const Json placement = {{"name", "n0"},
-                          {"listen", links::text_of(front_at_)},
-                          {"discovery", links::text_of(discovery_.at())},
-                          {"seed", "7"},
-                          {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
-                          {"peer_listen", links::text_of(front_at_)},
-                          {"peers", peers},
-                          {"peers_all", fmt::format("{}:{}", peer_address, kFirstPort)},
-                          {"known", Json::parse(list_since(-1).list)},
-                          {"settings", settings_of(day_)}};
+  const Json config = {{"name", "n0"},
+                       {"listen", config::text_of(front_at_)},
+                       {"discovery", config::text_of(discovery_.at())},
+                       {"seed", "7"},
+                       {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
+                       {"peer_listen", config::text_of(front_at_)},
+                       {"peers", peers},
+                       {"peers_all", fmt::format("{}:{}", peer_address, kFirstPort)},
+                       {"known", Json::parse(list_since(-1).list)},
+                       {"settings", settings_of(day_)}};
   cost_.list_bytes = 0;
   front_.start(
-      placement.dump(),
+      config.dump(),
       fmt::format("(reedspindle (log (form json) (level {}) (lines-of-a-kind 100000)))\n", day_.log_level));
   pinger_ = std::make_unique<Client>(io_);
   connect(*pinger_);
@@ -526,7 +526,7 @@
     clients_.push_back(std::make_unique<Client>(io_));
     connect(*clients_.back());
   }
-  std::optional<links::Timers::Handle> hold;
+  std::optional<net::Timers::Handle> hold;
   std::function<void(bool)> alternate = [&](bool run) {
     constexpr Millis kPeriod = 10;
     front_.signal(run ? SIGCONT : SIGSTOP);
@@ -565,4 +565,4 @@
 
 ScaleCost play_scale_day(const ScaleDay& day, const std::string& folder) { return Day(day, folder).play(); }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/scale.hpp
+++ b/src/faulttest/scale.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 struct ScaleDay {
   std::string program;    // the front's
@@ -48,4 +48,4 @@
 // start.
 ScaleCost play_scale_day(const ScaleDay& day, const std::string& folder);
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/streams.cpp
+++ b/src/faulttest/streams.cpp
@@ -1,11 +1,11 @@
-#include "rig/streams.hpp"
+#include "faulttest/streams.hpp"
 
 #include <algorithm>
 #include <array>
 #include <deque>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 namespace {
 
@@ -52,7 +52,7 @@
   std::size_t bytes_held = 0;
   Millis last_due = 0;
   bool reading = false, writing = false, over = false;
-  std::optional<links::Timers::Handle> wake;
+  std::optional<net::Timers::Handle> wake;
   std::array<char, 16384> buffer;
 };
 
@@ -74,7 +74,7 @@
   bool connecting = false, connected = false, given_back = false;
 };
 
-Streams::Streams(asio::io_context& io, links::Timers& timers, const links::Clock& clock, std::uint64_t seed)
+Streams::Streams(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::uint64_t seed)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -251,4 +251,4 @@
   return gone == gone_.end() ? nullptr : gone->second.second;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/streams.hpp
+++ b/src/faulttest/streams.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "links/clock.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 using Endpoint = asio::ip::tcp::endpoint;
 
@@ -40,7 +40,7 @@
 
 class Streams {
  public:
-  Streams(asio::io_context& io, links::Timers& timers, const links::Clock& clock, std::uint64_t seed);
+  Streams(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::uint64_t seed);
   ~Streams();
 
   int open(const Endpoint& at, const Endpoint& target);
@@ -82,8 +82,8 @@
   void give_back(const Connected& connection);
 
   asio::io_context& io_;
-  links::Timers& timers_;
-  const links::Clock& clock_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
   std::minstd_rand random_;
   std::vector<std::unique_ptr<Gate>> gates_;
   std::list<Connected> connections_;  // the one owner of each
@@ -93,4 +93,4 @@
   std::function<void(const Passed&)> passed_;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
