--- a/src/rig/clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -1,4 +1,4 @@
-#include "rig/clients.hpp"
+#include "faulttest/test_clients.hpp"
 
 #include <fmt/format.h>
 
@@ -7,11 +7,11 @@
 #include <cmath>
 #include <utility>
 
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
-namespace pgwire = links::pgwire;
+namespace postgres = postgres;
 using Tcp = asio::ip::tcp;
 
 namespace {
@@ -40,24 +40,24 @@
   return found == came.end() ? 0 : static_cast<double>(found->second) / std::max(1, ops());
 }
 
-struct Clients::Session {
+struct TestClients::Session {
   int number = 0, home = 0, front = 0;
   Millis moved = 0, token = 0;  // token: the position of its last commit
   std::vector<Connected> idle;
   std::size_t connections = 0;
 };
 
-struct Clients::Op {
+struct TestClients::Op {
   std::string id, text;
   const ClientOp* type = nullptr;
   Session* session = nullptr;
   int front = 0;
   Millis meant = 0, after = 0;
   bool taken = false;
-  std::optional<links::Timers::Handle> limit;
+  std::optional<net::Timers::Handle> limit;
 };
 
-struct Clients::Connection {
+struct TestClients::Connection {
   Connection(asio::io_context& io, Session& of) : session(of), front(of.front), socket(io) {}
   Session& session;
   const int front;
@@ -69,12 +69,12 @@
   bool welcomed = false, given_back = false, has_value = false;
   bool taken = false, used = false;  // taken: the op it has; used: an op was answered on it
   std::string code, value;
-  std::shared_ptr<Op> op;
+  std::shared_ptr<Op> request;
 };
 
-Clients::Clients(asio::io_context& io, links::Timers& timers, const links::Clock& clock, Streams& streams,
-                 rules::Rules& rules, std::vector<Endpoint> fronts, int groups, const ClientWork& work,
-                 std::uint64_t seed)
+TestClients::TestClients(asio::io_context& io, net::Timers& timers, const net::Clock& clock, Streams& streams,
+                         invariants::InvariantChecker& rules, std::vector<Endpoint> fronts, int groups,
+                         const ClientWork& work, std::uint64_t seed)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -91,18 +91,18 @@
   }
 }
 
-Clients::~Clients() = default;
+TestClients::~TestClients() = default;
 
-void Clients::begin() {
+void TestClients::begin() {
   meant_ = clock_.now();
   next();
 }
 
-void Clients::rest() { timers_.drop(next_); }
+void TestClients::rest() { timers_.drop(next_); }
 
 // By a clock of its own: where the loop was late, ops that were meant for then are sent now and count from
 // then.
-void Clients::next() {
+void TestClients::next() {
   timers_.drop(next_);
   const Millis now = clock_.now();
   while (meant_ <= now) {
@@ -120,49 +120,49 @@
   next_ = timers_.set(meant_, [this] { next_.reset(), next(); });
 }
 
-void Clients::ask(const std::shared_ptr<Op>& op) {
+void TestClients::ask(const std::shared_ptr<Op>& op) {
   Session& session = *op->session;
   const Millis now = clock_.now();
   if (session.front != session.home && now - session.moved > kHome) session.front = session.home;
   std::erase_if(session.idle, [&](const Connected& idle) { return idle->given_back; });
   const auto known = std::ranges::find(session.idle, session.front, &Connection::front);
   if (known == session.idle.end() && session.connections >= kOfSession) {
-    if (op->taken) rules_.note(rules::Gone{op->id});
+    if (op->taken) rules_.note(invariants::Gone{op->id});
     return end(op, Came::unsent, now);
   }
   ops_[op->id] = op;
   op->front = session.front;
-  const double left = std::max(1.0, op->meant + work_.op_timeout - now);
+  const double left = std::max(1.0, op->meant + work_.request_timeout - now);
   const int group = session.number % groups_;
   std::string more;
-  if (op->type->effect == rules::Effect::tokened) more += fmt::format(",k=t{}", op->id);
+  if (op->type->effect == invariants::Effect::tokened) more += fmt::format(",k=t{}", op->id);
   more += fmt::format(",cluster={}", group);
-  if (op->type->needs == rules::Needs::session && session.token > 0)
+  if (op->type->needs == invariants::Needs::session && session.token > 0)
     more += fmt::format(",after={:.0f}", op->after = std::ceil(session.token));
   const std::string comment = fmt::format("/* id={},c={},d={:.0f}{} */", op->id, op->type->name, left, more);
-  op->text = op->type->needs == rules::Needs::write
+  op->text = op->type->needs == invariants::Needs::write
                  ? fmt::format("INSERT INTO records (k, v) VALUES ('s{}', '\\x9f03') RETURNING v {}",
                                session.number, comment)
                  : fmt::format("SELECT v FROM records WHERE k = 's{}' {}", session.number, comment);
   if (!op->limit)
-    op->limit = timers_.set(op->meant + work_.op_timeout + kGivesUp, [this, op] {
+    op->limit = timers_.set(op->meant + work_.request_timeout + kGivesUp, [this, op] {
       op->limit.reset();
       give_up(op);
     });
   if (known != session.idle.end()) {
     const Connected connection = *known;
     session.idle.erase(known);
-    connection->op = op;
+    connection->request = op;
     return write(connection);
   }
   const auto connection = std::make_shared<Connection>(io_, session);
   ++session.connections;
   connections_.push_back(connection);
-  connection->op = op;
+  connection->request = op;
   connect(connection);
 }
 
-void Clients::connect(const Connected& connection) {
+void TestClients::connect(const Connected& connection) {
   connection->socket.async_connect(fronts_[static_cast<std::size_t>(connection->front)],
                                    [this, connection](const asio::error_code& fault) {
                                      if (connection->given_back) return;
@@ -171,14 +171,14 @@
                                      connection->socket.set_option(Tcp::no_delay(true), ignored);
                                      connection->end = connection->socket.local_endpoint(ignored);
                                      ends_[connection->end] = connection;
-                                     connection->out = pgwire::startup("svc", "main");
+                                     connection->out = postgres::startup("svc", "main");
                                      write(connection);
                                      read(connection);
                                    });
 }
 
-void Clients::write(const Connected& connection) {
-  connection->out += pgwire::query(connection->op->text);
+void TestClients::write(const Connected& connection) {
+  connection->out += postgres::query(connection->request->text);
   connection->sent += connection->out.size();
   connection->code.clear(), connection->value.clear(), connection->has_value = connection->taken = false;
   asio::async_write(connection->socket, asio::buffer(connection->out),
@@ -189,79 +189,78 @@
                     });
 }
 
-void Clients::passed(const Streams::Passed& passed) {
+void TestClients::passed(const Streams::Passed& passed) {
   const auto found = ends_.find(passed.opener);
   const Connected connection = found == ends_.end() ? nullptr : found->second.lock();
-  if (!connection || !connection->op || passed.back || passed.given < connection->sent) return;
-  Op& op = *connection->op;
+  if (!connection || !connection->request || passed.back || passed.given < connection->sent) return;
+  Op& op = *connection->request;
   connection->taken = true;
   if (std::exchange(op.taken, true)) return;
-  rules_.note(rules::Taken{op.id,
-                           {op.front},
-                           op.type->needs,
-                           op.type->effect,
-                           passed.at,
-                           std::max(1.0, op.meant + work_.op_timeout - passed.at),
-                           op.type->bound,
-                           op.after});
+  rules_.note(invariants::Taken{op.id,
+                                {op.front},
+                                op.type->needs,
+                                op.type->effect,
+                                passed.at,
+                                std::max(1.0, op.meant + work_.request_timeout - passed.at),
+                                op.type->bound,
+                                op.after});
 }
 
-void Clients::read(const Connected& connection) {
-  connection->socket.async_read_some(asio::buffer(connection->bytes),
-                                     [this, connection](const asio::error_code& fault, std::size_t count) {
-                                       if (connection->given_back) return;
-                                       if (fault) return broken(connection);
-                                       connection->held.append(connection->bytes.data(), count);
-                                       for (;;) {
-                                         const pgwire::Read read = pgwire::read_from_store(connection->held);
-                                         const auto* message = std::get_if<pgwire::Message>(&read);
-                                         if (!message) break;
-                                         const std::string body(message->body);
-                                         const char type = message->type;
-                                         connection->held.erase(0, message->bytes.size());
-                                         if (type == 'E') {
-                                           const auto fields = pgwire::read_error(body);
-                                           connection->code = fields ? fields->code : "?";
-                                         }
-                                         if (type == 'D')
-                                           if (const auto value = pgwire::read_row(body))
-                                             connection->value = *value, connection->has_value = true;
-                                         if (type == 'Z' && std::exchange(connection->welcomed, true))
-                                           answered(connection);
-                                         if (connection->given_back) return;
-                                       }
-                                       this->read(connection);
-                                     });
+void TestClients::read(const Connected& connection) {
+  connection->socket.async_read_some(
+      asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
+        if (connection->given_back) return;
+        if (fault) return broken(connection);
+        connection->held.append(connection->bytes.data(), count);
+        for (;;) {
+          const postgres::Read read = postgres::read_from_store(connection->held);
+          const auto* message = std::get_if<postgres::Message>(&read);
+          if (!message) break;
+          const std::string body(message->body);
+          const char type = message->type;
+          connection->held.erase(0, message->bytes.size());
+          if (type == 'E') {
+            const auto fields = postgres::read_error(body);
+            connection->code = fields ? fields->code : "?";
+          }
+          if (type == 'D')
+            if (const auto value = postgres::read_row(body))
+              connection->value = *value, connection->has_value = true;
+          if (type == 'Z' && std::exchange(connection->welcomed, true)) answered(connection);
+          if (connection->given_back) return;
+        }
+        this->read(connection);
+      });
 }
 
-void Clients::answered(const Connected& connection) {
-  const std::shared_ptr<Op> op = std::exchange(connection->op, nullptr);
+void TestClients::answered(const Connected& connection) {
+  const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
   if (!op) return;
   const auto crossing = streams_.crossing(connection->end);
   const Millis now = clock_.now();
   const bool busy = connection->code == "53300" || connection->code == "57P03";
-  const rules::Answer answer = connection->code.empty() ? rules::Answer::acked
-                               : busy                   ? rules::Answer::busy_replied
-                                                        : rules::Answer::errored;
-  rules_.note(rules::Answered{op->id, answer, crossing ? crossing->back.read : now,
-                              connection->has_value && connection->value == "\x9f" + op->id});
-  if (answer == rules::Answer::acked && op->type->needs == rules::Needs::write)
+  const invariants::Answer answer = connection->code.empty() ? invariants::Answer::acked
+                                    : busy                   ? invariants::Answer::busy_replied
+                                                             : invariants::Answer::errored;
+  rules_.note(invariants::Answered{op->id, answer, crossing ? crossing->back.read : now,
+                                   connection->has_value && connection->value == "\x9f" + op->id});
+  if (answer == invariants::Answer::acked && op->type->needs == invariants::Needs::write)
     if (const auto commit = commits_.find(op->id); commit != commits_.end())
       op->session->token = std::max(op->session->token, commit->second);
   const bool in_time = now - op->meant <= work_.latency_target;
   end(op,
-      answer == rules::Answer::acked ? (in_time ? Came::in_time : Came::late)
-      : busy                         ? Came::busy_replied
-                                     : Came::errored,
+      answer == invariants::Answer::acked ? (in_time ? Came::in_time : Came::late)
+      : busy                              ? Came::busy_replied
+                                          : Came::errored,
       now);
   connection->used = true;
   connection->session.idle.push_back(connection);
 }
 
-void Clients::broken(const Connected& connection) {
+void TestClients::broken(const Connected& connection) {
   // A fatal error is an answer, and needs no ReadyForQuery behind it.
-  if (connection->op && !connection->code.empty()) answered(connection);
-  const std::shared_ptr<Op> op = std::exchange(connection->op, nullptr);
+  if (connection->request && !connection->code.empty()) answered(connection);
+  const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
   const auto crossing = streams_.crossing(connection->end);
   give_back(connection);
   if (!op) return;
@@ -269,29 +268,29 @@
   Session& session = *op->session;
   // The first op on a connection that is closed at once was turned away with it.
   if (connection->taken && connection->used && ended >= 0 && ended - came > kCrosses) {
-    rules_.note(rules::Broken_off{op->id, ended});
-  } else if (connection->used && ended >= 0 && clock_.now() < op->meant + work_.op_timeout) {
+    rules_.note(invariants::Broken_off{op->id, ended});
+  } else if (connection->used && ended >= 0 && clock_.now() < op->meant + work_.request_timeout) {
     return ask(op);  // the front ended the connection before it can have read the op
   } else if (op->taken) {
-    rules_.note(rules::Gone{op->id});
+    rules_.note(invariants::Gone{op->id});
   }
   move_on(session);
   end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
 }
 
-void Clients::give_up(const std::shared_ptr<Op>& op) {
-  if (op->taken) rules_.note(rules::Gone{op->id});
+void TestClients::give_up(const std::shared_ptr<Op>& op) {
+  if (op->taken) rules_.note(invariants::Gone{op->id});
   for (const Connected& connection : std::list<Connected>(connections_))
-    if (connection->op == op) give_back(connection);
+    if (connection->request == op) give_back(connection);
   move_on(*op->session);
   end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
 }
 
-void Clients::move_on(Session& session) {
+void TestClients::move_on(Session& session) {
   session.front = (session.front + 1) % static_cast<int>(fronts_.size()), session.moved = clock_.now();
 }
 
-void Clients::end(const std::shared_ptr<Op>& op, Came came, Millis at) {
+void TestClients::end(const std::shared_ptr<Op>& op, Came came, Millis at) {
   timers_.drop(op->limit);
   ops_.erase(op->id);
   commits_.erase(op->id);
@@ -305,7 +304,7 @@
   if (tallies_.size() > kTallies) tallies_.pop_front();
 }
 
-void Clients::give_back(const Connected& connection) {
+void TestClients::give_back(const Connected& connection) {
   if (std::exchange(connection->given_back, true)) return;
   asio::error_code ignored;
   connection->socket.close(ignored);
@@ -315,4 +314,4 @@
   connections_.remove(connection);
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/clients.hpp
+++ b/src/faulttest/test_clients.hpp
@@ -15,24 +15,24 @@
 #include <string>
 #include <vector>
 
-#include "links/clock.hpp"
-#include "rig/streams.hpp"
-#include "rules/rules.hpp"
+#include "faulttest/streams.hpp"
+#include "invariants/invariants.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 struct ClientOp {
   std::string name;
   double weight = 0;
-  rules::Needs needs = rules::Needs::any;
-  rules::Effect effect = rules::Effect::retryable;
+  invariants::Needs needs = invariants::Needs::any;
+  invariants::Effect effect = invariants::Effect::retryable;
   Millis bound = 0;
 };
 
 struct ClientWork {
   double rate = 0;  // ops a second, of all together
   int sessions = 32;
-  Millis op_timeout = 1000, latency_target = 300;
+  Millis request_timeout = 1000, latency_target = 300;
   std::vector<ClientOp> mix;
 };
 
@@ -50,13 +50,13 @@
 };
 constexpr Millis kTallied = 100;  // the span of a tally
 
-class Clients {
+class TestClients {
  public:
   // Fronts by where clients reach them.
-  Clients(asio::io_context& io, links::Timers& timers, const links::Clock& clock, Streams& streams,
-          rules::Rules& rules, std::vector<Endpoint> fronts, int groups, const ClientWork& work,
-          std::uint64_t seed);
-  ~Clients();
+  TestClients(asio::io_context& io, net::Timers& timers, const net::Clock& clock, Streams& streams,
+              invariants::InvariantChecker& rules, std::vector<Endpoint> fronts, int groups,
+              const ClientWork& work, std::uint64_t seed);
+  ~TestClients();
 
   void begin();
   // No new ops from now on.
@@ -90,10 +90,10 @@
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
   asio::io_context& io_;
-  links::Timers& timers_;
-  const links::Clock& clock_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
   Streams& streams_;
-  rules::Rules& rules_;
+  invariants::InvariantChecker& rules_;
   const std::vector<Endpoint> fronts_;
   const int groups_;
   const ClientWork work_;
@@ -104,9 +104,9 @@
   std::map<Endpoint, std::weak_ptr<Connection>> ends_;
   std::map<std::string, Millis> commits_;  // of writes that are open
   std::deque<Tally> tallies_;
-  std::optional<links::Timers::Handle> next_;
+  std::optional<net::Timers::Handle> next_;
   Millis meant_ = 0;  // when the next op is meant to be sent
   std::uint64_t last_ = 0;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/discovery.cpp
+++ b/src/faulttest/test_discovery.cpp
@@ -1,4 +1,4 @@
-#include "rig/discovery.hpp"
+#include "faulttest/test_discovery.hpp"
 
 #include <fmt/format.h>
 
@@ -6,11 +6,11 @@
 #include <optional>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 using Tcp = asio::ip::tcp;
 
-struct Discovery::Link {
+struct TestDiscovery::Link {
   explicit Link(Tcp::socket open) : socket(std::move(open)) {}
   Tcp::socket socket;
   Tcp::endpoint from;
@@ -18,18 +18,18 @@
   std::array<char, 4096> bytes;
   std::size_t sent = 0;
   long long since = -1;  // of a watch that waits
-  std::optional<links::Timers::Handle> until;
+  std::optional<net::Timers::Handle> until;
 };
 
-Discovery::Discovery(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-                     const Tcp::endpoint& at, Ask ask, Written written)
+TestDiscovery::TestDiscovery(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                             const Tcp::endpoint& at, Ask ask, Written written)
     : timers_(timers), clock_(clock), acceptor_(io, at), ask_(std::move(ask)), written_(std::move(written)) {
   accept();
 }
 
-Discovery::~Discovery() = default;
+TestDiscovery::~TestDiscovery() = default;
 
-void Discovery::accept() {
+void TestDiscovery::accept() {
   acceptor_.async_accept([this](const asio::error_code& fault, Tcp::socket socket) {
     if (fault) return;
     const auto link = std::make_shared<Link>(std::move(socket));
@@ -40,7 +40,7 @@
   });
 }
 
-void Discovery::read(const Linked& link) {
+void TestDiscovery::read(const Linked& link) {
   link->socket.async_read_some(asio::buffer(link->bytes),
                                [this, link](const asio::error_code& fault, std::size_t count) {
                                  if (fault) return timers_.drop(link->until);
@@ -55,7 +55,7 @@
                                });
 }
 
-void Discovery::take(const Linked& link, const std::string& line) {
+void TestDiscovery::take(const Linked& link, const std::string& line) {
   const auto number = [&line](const char* name, long long other) {
     const std::size_t at = line.find(name);
     return at == std::string::npos ? other : std::stoll(line.substr(at + std::string(name).size()));
@@ -75,7 +75,7 @@
   });
 }
 
-void Discovery::changed() {
+void TestDiscovery::changed() {
   std::erase_if(watching_, [](const auto& weak) { return weak.expired() || weak.lock()->since < 0; });
   if (silent_) return;
   for (const auto& weak : std::exchange(watching_, {})) {
@@ -86,7 +86,7 @@
   }
 }
 
-void Discovery::answer(const Linked& link, const std::string& body, long long revision) {
+void TestDiscovery::answer(const Linked& link, const std::string& body, long long revision) {
   link->since = -1;
   timers_.drop(link->until);
   link->out = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
@@ -95,4 +95,4 @@
   asio::async_write(link->socket, asio::buffer(link->out), [link](const asio::error_code&, std::size_t) {});
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/discovery.hpp
+++ b/src/faulttest/test_discovery.hpp
@@ -9,11 +9,11 @@
 #include <memory>
 #include <string>
 
-#include "links/clock.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
-class Discovery {
+class TestDiscovery {
  public:
   struct Now {
     long long revision = 0;
@@ -25,9 +25,9 @@
   using Written =
       std::function<void(const asio::ip::tcp::endpoint& to, std::size_t bytes, long long revision)>;
 
-  Discovery(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-            const asio::ip::tcp::endpoint& at, Ask ask, Written written = {});
-  ~Discovery();
+  TestDiscovery(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                const asio::ip::tcp::endpoint& at, Ask ask, Written written = {});
+  ~TestDiscovery();
 
   asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
   // Those who watch are told.
@@ -44,8 +44,8 @@
   void take(const Linked& link, const std::string& line);
   void answer(const Linked& link, const std::string& body, long long revision);
 
-  links::Timers& timers_;
-  const links::Clock& clock_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
   asio::ip::tcp::acceptor acceptor_;
   const Ask ask_;
   const Written written_;
@@ -54,4 +54,4 @@
   std::uint64_t calls_ = 0;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/stores.cpp
+++ b/src/faulttest/test_stores.cpp
@@ -1,4 +1,4 @@
-#include "rig/stores.hpp"
+#include "faulttest/test_stores.hpp"
 
 #include <fmt/format.h>
 
@@ -7,11 +7,11 @@
 #include <cmath>
 #include <utility>
 
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
-namespace pgwire = links::pgwire;
+namespace postgres = postgres;
 using Tcp = asio::ip::tcp;
 
 namespace {
@@ -35,16 +35,16 @@
                                   std::string("\0\0\0\31\377\377\377\377\377\377\0\0", 12);
   return message('T', description) +
          message('D', std::string("\0\1", 2) + big_endian(static_cast<std::uint32_t>(value.size())) + value) +
-         pgwire::completed(tag);
+         postgres::completed(tag);
 }
 
 std::string failed(const char* code, const char* text) {
-  return pgwire::error(pgwire::Severity::error, code, text) + pgwire::ready();
+  return postgres::error(postgres::Severity::error, code, text) + postgres::ready();
 }
 
 }  // namespace
 
-struct Stores::Connection {
+struct TestStores::Connection {
   Connection(Place& of, Tcp::socket open) : place(of), socket(std::move(open)) {}
   Place& place;
   Tcp::socket socket;
@@ -54,15 +54,15 @@
   bool started = false;
 };
 
-struct Stores::Job {
+struct TestStores::Job {
   Connected connection;
-  std::string op, token;
+  std::string request, token;
   bool writes = false;
   Millis came = 0;
   int life = 0;
 };
 
-struct Stores::Place {
+struct TestStores::Place {
   Place(asio::io_context& io, int number) : store(number), acceptor(io) {}
   const int store;
   Tcp::acceptor acceptor;
@@ -70,7 +70,7 @@
   StoreState state;
   std::list<std::weak_ptr<Connection>> connections;
   std::deque<Job> queue;
-  int busy = 0, life = 0;
+  int utilization = 0, life = 0;
 
   void listen() {
     acceptor.open(at.protocol());
@@ -81,8 +81,8 @@
   }
 };
 
-Stores::Stores(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-               const std::vector<Tcp::endpoint>& at, const StoreWork& work, std::uint64_t seed)
+TestStores::TestStores(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                       const std::vector<Tcp::endpoint>& at, const StoreWork& work, std::uint64_t seed)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -96,31 +96,31 @@
   }
 }
 
-Stores::~Stores() = default;
+TestStores::~TestStores() = default;
 
-Tcp::endpoint Stores::at(int store) const { return places_.at(static_cast<std::size_t>(store))->at; }
-StoreState& Stores::state(int store) { return place(store).state; }
-const StoreState& Stores::state(int store) const {
+Tcp::endpoint TestStores::at(int store) const { return places_.at(static_cast<std::size_t>(store))->at; }
+StoreState& TestStores::state(int store) { return place(store).state; }
+const StoreState& TestStores::state(int store) const {
   return places_.at(static_cast<std::size_t>(store))->state;
 }
 
-Millis Stores::position(int store) const {
+Millis TestStores::position(int store) const {
   const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
   if (state.primary) return clock_.now();
   return state.stalled_at >= 0 ? state.stalled_at : std::max(state.reached, clock_.now() - state.lag);
 }
 
-double Stores::warmth(int store) const {
+double TestStores::slow_start_fraction(int store) const {
   const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
   if (state.booted <= 0) return 1;
   const double run = std::min(1.0, (clock_.now() - state.booted) / work_.warm_within);
   return work_.cold_from + (1 - work_.cold_from) * run;
 }
 
-void Stores::fall(int store) {
+void TestStores::fall(int store) {
   Place& place = this->place(store);
   if (!std::exchange(place.state.up, false)) return;
-  ++place.life, place.busy = 0;
+  ++place.life, place.utilization = 0;
   place.queue.clear();
   asio::error_code ignored;
   place.acceptor.close(ignored);
@@ -131,7 +131,7 @@
     }
 }
 
-void Stores::rise(int store) {
+void TestStores::rise(int store) {
   Place& place = this->place(store);
   if (std::exchange(place.state.up, true)) return;
   place.state.booted = clock_.now();
@@ -139,7 +139,7 @@
   accept(place);
 }
 
-void Stores::accept(Place& place) {
+void TestStores::accept(Place& place) {
   place.acceptor.async_accept([this, &place](const asio::error_code& fault, Tcp::socket socket) {
     if (fault || !place.state.up) return;
     ++accepted_;
@@ -154,7 +154,7 @@
   });
 }
 
-void Stores::read(const Connected& connection) {
+void TestStores::read(const Connected& connection) {
   connection->socket.async_read_some(
       asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
         if (fault) return;
@@ -165,15 +165,15 @@
           return;
         }
         for (;;) {
-          const pgwire::Read read = connection->started ? pgwire::read_from_client(connection->held)
-                                                        : pgwire::read_startup(connection->held);
-          const auto* asked = std::get_if<pgwire::Message>(&read);
+          const postgres::Read read = connection->started ? postgres::read_from_client(connection->held)
+                                                          : postgres::read_startup(connection->held);
+          const auto* asked = std::get_if<postgres::Message>(&read);
           if (!asked) break;
           const std::string text(asked->body.substr(0, asked->body.empty() ? 0 : asked->body.size() - 1));
           const bool asks = asked->type == 'Q';
           connection->held.erase(0, asked->bytes.size());
           if (!std::exchange(connection->started, true))
-            answer(connection, pgwire::welcome());
+            answer(connection, postgres::welcome());
           else if (asks)
             take(connection, text);
         }
@@ -181,22 +181,22 @@
       });
 }
 
-void Stores::take(const Connected& connection, const std::string& text) {
+void TestStores::take(const Connected& connection, const std::string& text) {
   Place& place = connection->place;
   if (!place.state.answers) return;
   if (text == "SHOW vitals") {
     ++probes_;
-    const double load = static_cast<double>(place.busy) / work_.workers;
+    const double load = static_cast<double>(place.utilization) / work_.workers;
     return answer(connection, row(fmt::format("x0={:.6f},x1={},cpu={:.2f}", position(place.store) / 1000,
                                               place.state.primary ? 1 : 0, std::min(1.0, load)),
                                   "SHOW") +
-                                  pgwire::ready());
+                                  postgres::ready());
   }
-  const auto read = pgwire::read_statement(text);
-  const auto* statement = std::get_if<pgwire::Statement>(&read);
+  const auto read = postgres::read_statement(text);
+  const auto* statement = std::get_if<postgres::Statement>(&read);
   if (!statement) {
     // Blanks are answered and do nothing; a store closes on anything else.
-    if (pgwire::first_word(text).empty()) return answer(connection, pgwire::empty_answer());
+    if (postgres::first_word(text).empty()) return answer(connection, postgres::empty_answer());
     asio::error_code ignored;
     connection->socket.close(ignored);
     return;
@@ -204,11 +204,11 @@
   const Millis now = clock_.now();
   const Job job{connection, std::string(statement->id), std::string(statement->token), statement->writes, now,
                 place.life};
-  if (came_) came_(place.store, job.op, connection->from);
+  if (came_) came_(place.store, job.request, connection->from);
   const auto refuse = [&](Deed deed, const char* code, const char* why) {
     if (told_)
-      told_({place.store, connection->from, job.op, job.token, job.writes, place.state.primary, deed, now,
-             now, position(place.store)});
+      told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
+             now, now, position(place.store)});
     answer(connection, failed(code, why));
   };
   const double drawn = static_cast<double>(random_()) / static_cast<double>(random_.max());
@@ -219,22 +219,23 @@
   work(place);
 }
 
-void Stores::work(Place& place) {
-  const int workers = std::max(1, static_cast<int>(std::lround(work_.workers * warmth(place.store))));
-  while (place.busy < workers && !place.queue.empty()) {
+void TestStores::work(Place& place) {
+  const int workers =
+      std::max(1, static_cast<int>(std::lround(work_.workers * slow_start_fraction(place.store))));
+  while (place.utilization < workers && !place.queue.empty()) {
     const Job job = place.queue.front();
     place.queue.pop_front();
-    ++place.busy;
+    ++place.utilization;
     timers_.set(clock_.now() + work_.work, [this, &place, job] {
       if (job.life != place.life) return;
-      --place.busy;
+      --place.utilization;
       done(job.connection, job);
       work(place);
     });
   }
 }
 
-void Stores::done(const Connected& connection, const Job& job) {
+void TestStores::done(const Connected& connection, const Job& job) {
   Place& place = connection->place;
   const Millis now = clock_.now(), position = this->position(place.store);
   while (!by_age_.empty() && now - by_age_.front().first > work_.token_memory) {
@@ -251,16 +252,16 @@
       deed = Deed::repeated;
   }
   if (told_)
-    told_({place.store, connection->from, job.op, job.token, job.writes, place.state.primary, deed, job.came,
-           now, position});
+    told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
+           job.came, now, position});
   if (!place.state.answers) return;
   if (deed == Deed::not_primary) return answer(connection, failed("25006", "no primary"));
-  answer(connection, row("\x9f" + job.op, job.writes ? "INSERT 0 1" : "SELECT 1") +
+  answer(connection, row("\x9f" + job.request, job.writes ? "INSERT 0 1" : "SELECT 1") +
                          parameter("rank", place.state.primary ? "source" : "copy") +
-                         parameter("as_of", fmt::format("{:.0f}", std::floor(position))) + pgwire::ready());
+                         parameter("as_of", fmt::format("{:.0f}", std::floor(position))) + postgres::ready());
 }
 
-void Stores::answer(const Connected& connection, const std::string& bytes) {
+void TestStores::answer(const Connected& connection, const std::string& bytes) {
   connection->out += bytes;
   if (!connection->writing.empty()) return;
   connection->writing = std::exchange(connection->out, "");
@@ -271,7 +272,7 @@
                     });
 }
 
-void Stores::pass_on(const Connected& connection, int port) {
+void TestStores::pass_on(const Connected& connection, int port) {
   const auto other = std::make_shared<Connection>(connection->place, Tcp::socket(io_));
   other->writing = std::exchange(connection->held, "");
   const Tcp::endpoint to(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port));
@@ -286,7 +287,7 @@
   });
 }
 
-void Stores::relay(const Connected& from, const Connected& to) {
+void TestStores::relay(const Connected& from, const Connected& to) {
   from->socket.async_read_some(
       asio::buffer(from->bytes), [this, from, to](const asio::error_code& fault, std::size_t count) {
         asio::error_code ignored;
@@ -302,4 +303,4 @@
       });
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/stores.hpp
+++ b/src/faulttest/test_stores.hpp
@@ -15,9 +15,9 @@
 #include <string>
 #include <vector>
 
-#include "links/clock.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 struct StoreState {
   int group = 0;
@@ -46,7 +46,7 @@
 struct Carried_out {
   int store = -1;
   asio::ip::tcp::endpoint from;  // the connection it came on
-  std::string op;                // its id, as the client named it
+  std::string request;           // its id, as the client named it
   std::string token;             // empty: none
   bool writes = false, primary = false;
   Deed deed = Deed::ran;
@@ -54,14 +54,14 @@
   Millis position = 0;      // up to where the store had applied commits
 };
 
-class Stores {
+class TestStores {
  public:
   using Told = std::function<void(const Carried_out&)>;
   using Came = std::function<void(int store, const std::string& op, const asio::ip::tcp::endpoint& from)>;
 
-  Stores(asio::io_context& io, links::Timers& timers, const links::Clock& clock,
-         const std::vector<asio::ip::tcp::endpoint>& at, const StoreWork& work, std::uint64_t seed);
-  ~Stores();
+  TestStores(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+             const std::vector<asio::ip::tcp::endpoint>& at, const StoreWork& work, std::uint64_t seed);
+  ~TestStores();
 
   void on(Told told, Came came) { told_ = std::move(told), came_ = std::move(came); }
   // What begins as HTTP/2 at a store is handed to this port.
@@ -72,7 +72,7 @@
   StoreState& state(int store);
   const StoreState& state(int store) const;
   Millis position(int store) const;
-  double warmth(int store) const;
+  double slow_start_fraction(int store) const;
   // Nobody listens any more, all connections are reset; or it listens again, what it had done kept, cold.
   void fall(int store);
   void rise(int store);
@@ -97,8 +97,8 @@
   Place& place(int store) { return *places_.at(static_cast<std::size_t>(store)); }
 
   asio::io_context& io_;
-  links::Timers& timers_;
-  const links::Clock& clock_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
   const StoreWork work_;
   std::minstd_rand random_;
   std::vector<std::unique_ptr<Place>> places_;
@@ -110,4 +110,4 @@
   std::uint64_t probes_ = 0, accepted_ = 0;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -1,16 +1,16 @@
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 // What a socket holds while its process is stopped.
 constexpr std::size_t kSocket = 256;
 
-VirtualFleet::VirtualFleet(int fronts, membership::Charge charge, std::uint64_t seed, Maker maker)
+VirtualFleet::VirtualFleet(int fronts, membership::Options charge, std::uint64_t seed, Maker maker)
     : charge_(std::move(charge)),
       maker_(std::move(maker)),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
@@ -20,22 +20,22 @@
 
 void VirtualFleet::start(int front) {
   Process& process = processes_.at(at(front));
-  membership::Charge charge = charge_;
+  membership::Options charge = charge_;
   charge.name = process.name, charge.place = {front}, charge.places = size();
   process.core = maker_(charge, random_());
   ++process.life, process.stopped = false;
-  process.wakes = process.shares_wake = process.accord_wake = 0;
+  process.wakes = process.quota_wake = process.consistency_wake = 0;
   process.waiting.clear();
   process.born = now_;
   if (sharing_) {
-    shares::Charge charge_of = *sharing_;
-    charge_of.place = {front};
-    process.shares = shares::make_shares(charge_of, random_());
+    quota::Options membership_options = *sharing_;
+    membership_options.place = {front};
+    process.quota = quota::make_quota_manager(membership_options, random_());
   }
   if (comparing_) {
-    accord::Charge charge_of = *comparing_;
-    charge_of.place = {front};
-    process.accord = accord::make_accord(charge_of, random_());
+    consistency::Options membership_options = *comparing_;
+    membership_options.place = {front};
+    process.consistency = consistency::make_consistency_monitor(membership_options, random_());
   }
   settle(front);
 }
@@ -43,44 +43,44 @@
 void VirtualFleet::kill(int front) {
   Process& process = processes_.at(at(front));
   process.core.reset();
-  process.shares.reset();
-  process.accord.reset();
+  process.quota.reset();
+  process.consistency.reset();
   ++process.life;
 }
 
-void VirtualFleet::want(int front, const shares::Demand& demand) {
+void VirtualFleet::want(int front, const quota::Demand& demand) {
   Process& process = processes_.at(at(front));
-  if (!process.shares || process.stopped) return;
-  process.shares->note(demand);
-  settle(front, Of::shares);
+  if (!process.quota || process.stopped) return;
+  process.quota->enqueue(demand);
+  settle(front, Of::quota);
 }
 
-void VirtualFleet::act(int front, const accord::Acts& acts) {
+void VirtualFleet::act(int front, const consistency::Acts& acts) {
   Process& process = processes_.at(at(front));
-  if (!process.accord || process.stopped) return;
-  process.accord->note(acts);
-  settle(front, Of::accord);
+  if (!process.consistency || process.stopped) return;
+  process.consistency->enqueue(acts);
+  settle(front, Of::consistency);
 }
 
 void VirtualFleet::confirm(int front) {
   Process& process = processes_.at(at(front));
-  if (!process.accord || process.stopped) return;
-  process.accord->note(accord::Confirmed{});
-  settle(front, Of::accord);
+  if (!process.consistency || process.stopped) return;
+  process.consistency->enqueue(consistency::Confirmed{});
+  settle(front, Of::consistency);
 }
 
-shares::Part VirtualFleet::part(int front) const {
+quota::Part VirtualFleet::part(int front) const {
   const Process& process = processes_.at(at(front));
-  return process.shares && !process.stopped ? process.shares->part(own(process, now_)) : shares::Part{};
+  return process.quota && !process.stopped ? process.quota->part(own(process, now_)) : quota::Part{};
 }
 
 void VirtualFleet::leave(int front) {
   Process& process = processes_.at(at(front));
-  process.core->note(membership::Leaving{});
+  process.core->enqueue(membership::Leaving{});
   settle(front);
-  if (!process.shares) return;
-  process.shares->note(shares::Leaving{});
-  settle(front, Of::shares);
+  if (!process.quota) return;
+  process.quota->enqueue(quota::Leaving{});
+  settle(front, Of::quota);
 }
 
 void VirtualFleet::stop(int front) { processes_.at(at(front)).stopped = true; }
@@ -91,15 +91,16 @@
   for (const Process::Datagram& waited : std::exchange(process.waiting, {}))
     note(front, waited.of, waited.from, waited.bytes);
   settle(front);
-  settle(front, Of::shares);
-  settle(front, Of::accord);
+  settle(front, Of::quota);
+  settle(front, Of::consistency);
 }
 
 void VirtualFleet::note(int front, Of of, int from, const std::string& bytes) {
   Process& process = processes_[at(front)];
-  if (of == Of::membership) process.core->note(membership::Heard{{from}, bytes});
-  if (of == Of::shares && process.shares) process.shares->note(shares::Heard{{from}, bytes});
-  if (of == Of::accord && process.accord) process.accord->note(accord::Heard{{from}, bytes});
+  if (of == Of::membership) process.core->enqueue(DatagramReceived{{from}, bytes});
+  if (of == Of::quota && process.quota) process.quota->enqueue(DatagramReceived{{from}, bytes});
+  if (of == Of::consistency && process.consistency)
+    process.consistency->enqueue(DatagramReceived{{from}, bytes});
 }
 
 void VirtualFleet::hear(int front, int from, const std::string& bytes) {
@@ -110,7 +111,7 @@
   Process& process = processes_.at(at(front));
   if (!process.core) {
     // The machine says that nobody listens, where that gets back.
-    if (of == Of::shares && (!passes || passes(front, from)))
+    if (of == Of::quota && (!passes || passes(front, from)))
       due_.push({now_ + network.delay + network.jitter * chance(), ++order_, from,
                  processes_.at(at(from)).life, front, Of::refusal, bytes});
     return;
@@ -133,12 +134,12 @@
     Process& process = processes_[at(due.front)];
     const bool awake = process.core && !process.stopped && due.life == process.life;
     const Millis wakes = due.of == Of::membership ? process.wakes
-                         : due.of == Of::shares   ? process.shares_wake
-                                                  : process.accord_wake;
+                         : due.of == Of::quota    ? process.quota_wake
+                                                  : process.consistency_wake;
     if (due.of == Of::refusal) {
-      if (awake && process.shares) {
-        process.shares->note(shares::Refused{{due.from}, due.bytes});
-        settle(due.front, Of::shares);
+      if (awake && process.quota) {
+        process.quota->enqueue(quota::Refused{{due.from}, due.bytes});
+        settle(due.front, Of::quota);
       }
     } else if (due.from >= 0) {
       hear(due.front, due.of, due.from, due.bytes);
@@ -153,7 +154,7 @@
 template <typename Core, typename Took>
 void VirtualFleet::decide(int front, Core& core, Of of, Millis& wakes, Load& load, Took took) {
   Process& process = processes_[at(front)];
-  for (const auto& decision : core.settle(own(process, now_)))
+  for (const auto& decision : core.process(own(process, now_)))
     std::visit(
         [&](const auto& taken) {
           if constexpr (requires { taken.to, taken.bytes; }) {
@@ -176,10 +177,10 @@
   Process& process = processes_[at(front)];
   const auto nothing = [](const auto&) {};
   if (of == Of::membership) settle(front);
-  if (of == Of::shares && process.shares)
-    decide(front, *process.shares, of, process.shares_wake, process.shares_load, nothing);
-  if (of == Of::accord && process.accord)
-    decide(front, *process.accord, of, process.accord_wake, process.accord_load, nothing);
+  if (of == Of::quota && process.quota)
+    decide(front, *process.quota, of, process.quota_wake, process.quota_load, nothing);
+  if (of == Of::consistency && process.consistency)
+    decide(front, *process.consistency, of, process.consistency_wake, process.consistency_load, nothing);
 }
 
 // The membership's turn, and where its view has changed, the others'.
@@ -194,13 +195,13 @@
       found_(now_, front, taken);
     }
   });
-  if (!process.shares && !process.accord) return;
-  std::set<Place> there;
+  if (!process.quota && !process.consistency) return;
+  std::set<SlotId> there;
   if (changed) there = membership::there_in(process.core->view());
-  if (changed && process.shares) process.shares->note(shares::Fellows{there});
-  if (changed && process.accord) process.accord->note(accord::Fellows{there, size()});
-  if (changed || process.shares_wake == 0) settle(front, Of::shares);
-  if (changed || process.accord_wake == 0) settle(front, Of::accord);
+  if (changed && process.quota) process.quota->enqueue(quota::PeersChanged{there});
+  if (changed && process.consistency) process.consistency->enqueue(consistency::PeersChanged{there, size()});
+  if (changed || process.quota_wake == 0) settle(front, Of::quota);
+  if (changed || process.consistency_wake == 0) settle(front, Of::consistency);
 }
 
 void VirtualFleet::send(int from, int to, Of of, const std::string& bytes) {
@@ -220,7 +221,7 @@
   for (const Process& process : processes_) {
     if (!process.core) continue;
     std::size_t there = 0;
-    for (const membership::FellowView& fellow : process.core->view().fellows) {
+    for (const membership::PeerView& fellow : process.core->view().fellows) {
       if (fellow.standing == membership::Standing::failed || fellow.standing == membership::Standing::left)
         continue;
       if (fellow.standing != membership::Standing::there || !up.contains(fellow.name)) return false;
@@ -231,4 +232,4 @@
   return true;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -14,15 +14,13 @@
 #include <string>
 #include <vector>
 
-#include "accord/accord.hpp"
+#include "consistency/consistency_monitor.hpp"
 #include "membership/membership.hpp"
-#include "shares/shares.hpp"
+#include "quota/quota_manager.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 using membership::Happening;
-using membership::Place;
-
 struct Network {
   Millis delay = 0.5, jitter = 1;  // of a datagram: from the first to the sum of both
   double loss = 0, doubled = 0;    // shares of datagrams
@@ -35,11 +33,11 @@
 class VirtualFleet {
  public:
   using Maker =
-      std::function<std::unique_ptr<membership::Membership>(const membership::Charge&, std::uint64_t)>;
+      std::function<std::unique_ptr<membership::Membership>(const membership::Options&, std::uint64_t)>;
   using Seen = std::function<void(Millis at, int front, const membership::Change&)>;
   using Found = std::function<void(Millis at, int front, const membership::Found&)>;
 
-  VirtualFleet(int fronts, membership::Charge charge, std::uint64_t seed,
+  VirtualFleet(int fronts, membership::Options charge, std::uint64_t seed,
                Maker maker = membership::make_membership);
 
   void on(Seen seen, Found found = {}) { seen_ = std::move(seen), found_ = std::move(found); }
@@ -53,16 +51,18 @@
   void drift(int front, double share) { processes_.at(at(front)).rate = 1 + share; }
 
   // From their next start on the processes share what the fleet has, too.
-  void share(const shares::Charge& charge) { sharing_ = charge; }
-  void want(int front, const shares::Demand& demand);
+  void share(const quota::Options& charge) { sharing_ = charge; }
+  void want(int front, const quota::Demand& demand);
   // What a process may use now, by its own clock; nothing where it does not run or is stopped.
-  shares::Part part(int front) const;
-  const shares::Shares* shares(int front) const { return processes_.at(at(front)).shares.get(); }
+  quota::Part part(int front) const;
+  const quota::QuotaManager* quota(int front) const { return processes_.at(at(front)).quota.get(); }
   // From their next start on the processes compare what they act on, too.
-  void compare(const accord::Charge& charge) { comparing_ = charge; }
-  void act(int front, const accord::Acts& acts);
+  void compare(const consistency::Options& charge) { comparing_ = charge; }
+  void act(int front, const consistency::Acts& acts);
   void confirm(int front);  // discovery speaks to it
-  const accord::Accord* accord(int front) const { return processes_.at(at(front)).accord.get(); }
+  const consistency::ConsistencyMonitor* consistency(int front) const {
+    return processes_.at(at(front)).consistency.get();
+  }
   // Called after each step with the time.
   std::function<void(Millis)> stepped;
 
@@ -81,22 +81,22 @@
   membership::View view(int front) const { return processes_.at(at(front)).core->view(); }
   std::string name_of(int front) const { return processes_.at(at(front)).name; }
   Load load(int front) const { return processes_.at(at(front)).load; }
-  Load shares_load(int front) const { return processes_.at(at(front)).shares_load; }
-  Load accord_load(int front) const { return processes_.at(at(front)).accord_load; }
+  Load quota_load(int front) const { return processes_.at(at(front)).quota_load; }
+  Load consistency_load(int front) const { return processes_.at(at(front)).consistency_load; }
   // Whether each front that is up holds each other that is up for there, and nobody else for here.
   bool agreed() const;
 
  private:
-  enum class Of { membership, shares, accord, refusal };
+  enum class Of { membership, quota, consistency, refusal };
   struct Process {
     std::string name;
     std::unique_ptr<membership::Membership> core;
-    std::unique_ptr<shares::Shares> shares;
-    std::unique_ptr<accord::Accord> accord;
+    std::unique_ptr<quota::QuotaManager> quota;
+    std::unique_ptr<consistency::ConsistencyMonitor> consistency;
     double rate = 1;
     Millis born = 0;
     int life = 0;  // datagrams and wake-ups of an earlier one come to nothing
-    Millis apart = 0, wakes = 0, shares_wake = 0, accord_wake = 0;
+    Millis apart = 0, wakes = 0, quota_wake = 0, consistency_wake = 0;
     bool stopped = false;
     struct Datagram {
       Of of = Of::membership;
@@ -105,7 +105,7 @@
     };
     std::vector<Datagram> waiting;  // while it is stopped, as in a socket
     std::string last;
-    Load load, shares_load, accord_load;
+    Load load, quota_load, consistency_load;
   };
   struct Due {
     Millis at = 0;
@@ -133,10 +133,10 @@
     return process.born + (own - process.apart - process.born) / process.rate;
   }
 
-  const membership::Charge charge_;
+  const membership::Options charge_;
   const Maker maker_;
-  std::optional<shares::Charge> sharing_;
-  std::optional<accord::Charge> comparing_;
+  std::optional<quota::Options> sharing_;
+  std::optional<consistency::Options> comparing_;
   std::minstd_rand random_;
   std::vector<Process> processes_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
@@ -146,4 +146,4 @@
   Found found_;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/virtual_steering.cpp
+++ b/src/faulttest/virtual_routers.cpp
@@ -1,117 +1,118 @@
-#include "rig/virtual_steering.hpp"
+#include "faulttest/virtual_routers.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 namespace {
 
 constexpr Millis kStep = 5;    // the modules' shortest time between two settles
 constexpr Millis kLook = 250;  // between two looks at all samples
 constexpr std::size_t kSocket = 256;
 
-Values values_of(const Stage& stage, int rank) {
-  Values values{{"instances", static_cast<double>(stage.fronts)},
-                {"rank", static_cast<double>(rank)},
-                {"tick", kStep},
-                {"op_types", 1.0},
-                {"op_type.0.needs", "bounded"},
-                {"op_type.0.effect", "retryable"},
-                {"op_type.0.bound", 1500.0},
-                {"op_type.0.latency_target", 300.0},
-                {"list", "push"},
-                {"checks", "none"},
-                {"allow.probes", 1.0},
-                {"allow.peers", 1.0}};
+Settings router_settings_in(const Stage& stage, int rank) {
+  Settings values{{"instances", static_cast<double>(stage.fronts)},
+                  {"rank", static_cast<double>(rank)},
+                  {"tick", kStep},
+                  {"op_types", 1.0},
+                  {"op_type.0.needs", "bounded"},
+                  {"op_type.0.effect", "retryable"},
+                  {"op_type.0.bound", 1500.0},
+                  {"op_type.0.latency_target", 300.0},
+                  {"list", "push"},
+                  {"checks", "none"},
+                  {"allow.probes", 1.0},
+                  {"allow.peers", 1.0}};
   return values;
 }
 
 }  // namespace
 
-VirtualSteering::VirtualSteering(const Stage& stage, std::uint64_t seed)
+VirtualRouters::VirtualRouters(const Stage& stage, std::uint64_t seed)
     : stage_(stage),
-      fleet_(stage.fronts, membership::Charge{}, seed),
+      fleet_(stage.fronts, membership::Options{}, seed),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       fronts_(static_cast<std::size_t>(stage.fronts)) {
   fleet_.passes = [this](int from, int to) { return cut_.empty() || !cut_.contains({from, to}); };
   fleet_.on([this](Millis, int by, const membership::Change&) { front(by).changed = true; });
 }
 
-ListRead VirtualSteering::list() const {
-  ListRead read{ListKind::complete, {}};
+EndpointListReceived VirtualRouters::list() const {
+  EndpointListReceived read{EndpointListKind::complete, {}};
   for (int group = 0; group < stage_.groups; ++group)
     for (int member = 0; member < stage_.members; ++member) {
-      ListedMember entry;
-      entry.member = {fmt::format("g{}m{}", group, member)};
+      ServerEntry entry;
+      entry.id = {fmt::format("g{}m{}", group, member)};
       entry.group = {group};
-      read.members.push_back(entry);
+      read.servers.push_back(entry);
     }
   return read;
 }
 
-void VirtualSteering::start(int number) {
+void VirtualRouters::start(int number) {
   Front& front = this->front(number);
-  front.router = make_router(values_of(stage_, number), random_());
+  front.router = make_router(router_settings_in(stage_, number), random_());
   ++front.life, front.stopped = false, front.changed = true;
   front.waiting.clear();
-  front.waiting.emplace_back(std::in_place_type<ListRead>, list());
+  front.waiting.emplace_back(std::in_place_type<EndpointListReceived>, list());
   fleet_.start(number);
 }
 
-void VirtualSteering::kill(int number) {
+void VirtualRouters::kill(int number) {
   front(number).router.reset();
   fleet_.kill(number);
 }
 
-void VirtualSteering::stop(int number) {
+void VirtualRouters::stop(int number) {
   front(number).stopped = true;
   fleet_.stop(number);
 }
 
-void VirtualSteering::wake(int number) {
+void VirtualRouters::wake(int number) {
   front(number).stopped = false;
   fleet_.wake(number);
 }
 
-void VirtualSteering::due(Millis at, int number, Event event) {
+void VirtualRouters::due(Millis at, int number, Event event) {
   due_.push({at, ++order_, number, front(number).life, std::move(event)});
 }
 
-void VirtualSteering::settle(int number) {
+void VirtualRouters::settle(int number) {
   Front& front = this->front(number);
   const Millis now = fleet_.now();
   if (std::exchange(front.changed, false) && stage_.by_view) {
-    AmongPeers among;
-    for (const Place place : membership::there_in(fleet_.view(number))) among.there.insert(place.number);
-    const Event event(std::in_place_type<AmongPeers>, std::move(among));
-    front.router->note(event);
+    FleetViewChanged among;
+    for (const SlotId place : membership::there_in(fleet_.view(number)))
+      among.alive_peers.insert(place.number);
+    const Event event(std::in_place_type<FleetViewChanged>, std::move(among));
+    front.router->enqueue(event);
   }
-  for (Event& event : std::exchange(front.waiting, {})) front.router->note(event);
-  for (const Decision& decision : front.router->settle(now)) {
-    if (const auto* probe = std::get_if<reedspindle::Probe>(&decision)) {
+  for (Event& event : std::exchange(front.waiting, {})) front.router->enqueue(event);
+  for (const Decision& decision : front.router->process(now)) {
+    if (const auto* probe = std::get_if<reedspindle::StartProbe>(&decision)) {
       ++probes_;
-      const bool primary = probe->member.address.ends_with("m0");
-      ProbeEnded ended{probe->member, true, stage_.answer, {}};
+      const bool primary = probe->server.address.ends_with("m0");
+      ProbeCompleted ended{probe->server, true, stage_.answer, {}};
       const Millis at = now + stage_.answer * (1 + chance());
-      ended.seen = {primary ? Role::primary : Role::replica, primary ? at : at - stage_.lag, 0.3};
+      ended.sample = {primary ? Role::primary : Role::replica, primary ? at : at - stage_.lag, 0.3};
       due(at, number, std::move(ended));
-    } else if (const auto* wake = std::get_if<Wake>(&decision)) {
-      due(wake->at, number, TimerDue{wake->timer});
-    } else if (const auto* words = std::get_if<TellPeers>(&decision)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&decision)) {
+      due(wake->at, number, TimerExpired{wake->timer});
+    } else if (const auto* words = std::get_if<BroadcastToPeers>(&decision)) {
       ++words_;
       for (int other = 0; other < stage_.fronts; ++other) {
         if (other == number || !this->front(other).router || cut_.contains({number, other})) continue;
         if (fleet_.network.loss > 0 && chance() < fleet_.network.loss) continue;
         due(now + fleet_.network.delay + fleet_.network.jitter * chance(), other,
-            PeerSpoke{number, words->text});
+            PeerMessageReceived{number, words->text});
       }
     }
   }
 }
 
-Probing VirtualSteering::run(Millis span) {
+Probing VirtualRouters::run(Millis span) {
   const Millis from = fleet_.now();
   const std::uint64_t probes = probes_, words = words_;
   Millis next_look = from + kLook;
@@ -134,8 +135,8 @@
     next_look += kLook;
     for (Front& front : fronts_)
       if (front.router && !front.stopped)
-        for (const MemberView& member : front.router->view())
-          ages.push_back(member.sampled < 0 ? span : now - member.sampled);
+        for (const ServerView& member : front.router->view())
+          ages.push_back(member.sampled_at < 0 ? span : now - member.sampled_at);
   }
   const double seconds = span / 1000;
   Probing probing;
@@ -150,4 +151,4 @@
   return probing;
 }
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rig/virtual_steering.hpp
+++ b/src/faulttest/virtual_routers.hpp
@@ -1,6 +1,6 @@
 // Many fronts' decision modules in virtual time, with their membership beside them: who probes which store,
-// what is told of it, and how old the samples are that ops are steered by. Stores answer probes; no ops yet.
-// One thread, one seed, the same run each time.
+// what is told of it, and how old the samples are that ops are steered by. TestStores answer probes; no ops
+// yet. One thread, one seed, the same run each time.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 #include <set>
 #include <vector>
 
-#include "logic.hpp"
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::rig {
+namespace reedspindle::faulttest {
 
 struct Stage {
   int fronts = 10, groups = 4, members = 6;  // members of each group, the first is primary
@@ -29,9 +29,9 @@
   double unusable = 0;                      // share of them over a second old, by which no read may go
 };
 
-class VirtualSteering {
+class VirtualRouters {
  public:
-  VirtualSteering(const Stage& stage, std::uint64_t seed);
+  VirtualRouters(const Stage& stage, std::uint64_t seed);
 
   void start(int front);
   void kill(int front);
@@ -59,7 +59,7 @@
   };
   Front& front(int number) { return fronts_.at(static_cast<std::size_t>(number)); }
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
-  ListRead list() const;
+  EndpointListReceived list() const;
   void settle(int number);
   void due(Millis at, int number, Event event);
 
@@ -72,4 +72,4 @@
   std::uint64_t order_ = 0, probes_ = 0, words_ = 0;
 };
 
-}  // namespace reedspindle::rig
+}  // namespace reedspindle::faulttest
--- a/src/rules/rules.cpp
+++ b/src/invariants/invariants.cpp
@@ -1,4 +1,4 @@
-#include "rules/rules.hpp"
+#include "invariants/invariants.hpp"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace reedspindle::rules {
+namespace reedspindle::invariants {
 
 namespace {
 // What is over is kept for as long: later than this nothing of it can still be under way.
@@ -22,7 +22,7 @@
   return words[static_cast<int>(rule)];
 }
 
-std::vector<Broken> Rules::settle(Millis now) {
+std::vector<Broken> InvariantChecker::settle(Millis now) {
   now_ = now;
   for (const Event& event : std::exchange(events_, {}))
     std::visit([this](const auto& happened) { take(happened); }, event);
@@ -35,7 +35,7 @@
     Op& op = ops_.at(id);
     broken(Rule::lost, id, op.taken.front, {}, now,
            fmt::format("no final answer {:.0f} ms after it was taken, its client waits {:.0f} ms; sends: {}",
-                       now - op.taken.at, op.taken.patience, op.sends.size()));
+                       now - op.taken.at, op.taken.remaining, op.sends.size()));
     end(op, now);
   }
   while (!ended_.empty() && now - ended_.front().first > kKept) {
@@ -49,31 +49,31 @@
   return std::exchange(found_, {});
 }
 
-void Rules::broken(Rule rule, const std::string& op, FrontNumber front, StoreNumber store, Millis at,
-                   std::string why) {
+void InvariantChecker::broken(Rule rule, const std::string& op, FrontNumber front, StoreNumber store,
+                              Millis at, std::string why) {
   found_.push_back({rule, op, front, store, at, std::move(why)});
 }
 
-void Rules::take(const Taken& taken) {
-  if (ops_.contains(taken.op)) return;
-  ops_[taken.op] = {taken, taken.at + taken.patience, -1, 0, 0, {}};
-  open_.insert(taken.op);
+void InvariantChecker::take(const Taken& taken) {
+  if (ops_.contains(taken.request)) return;
+  ops_[taken.request] = {taken, taken.at + taken.remaining, -1, 0, 0, {}};
+  open_.insert(taken.request);
 }
 
-void Rules::take(const Sent& sent) {
+void InvariantChecker::take(const Sent& sent) {
   // A send after the answer breaks the rule whether or not the store did anything with it.
-  if (const auto found = ops_.find(sent.op); found != ops_.end()) {
+  if (const auto found = ops_.find(sent.request); found != ops_.end()) {
     Op& op = found->second;
     op.sends.push_back(sent);
     if (op.ended >= 0 && op.answers > 0 && sent.at > op.ended + terms_.order)
-      broken(Rule::lost, sent.op, sent.front, sent.store, sent.at,
+      broken(Rule::lost, sent.request, sent.front, sent.store, sent.at,
              fmt::format("sent {:.0f} ms after its final answer", sent.at - op.ended));
   }
   const auto& listed = told_[sent.front];
   const auto listing = listed.find(sent.store);
   if (listing != listed.end() && !listing->second.wanted &&
       sent.at > listing->second.since + terms_.drain_grace + terms_.slack)
-    broken(Rule::drain, sent.op, sent.front, sent.store, sent.at,
+    broken(Rule::drain, sent.request, sent.front, sent.store, sent.at,
            fmt::format("sent {:.0f} ms after its front was told", sent.at - listing->second.since));
   const auto started = started_.find(sent.store);
   if (started == started_.end() || sent.at > started->second + terms_.warm_within) return;
@@ -82,19 +82,19 @@
   weigh_cold(sent.store, sent.at);
 }
 
-double Rules::warmth(Millis since, Millis at) const {
+double InvariantChecker::slow_start_fraction(Millis since, Millis at) const {
   const double run = std::clamp((at - since) / terms_.warm_within, 0.0, 1.0);
   return terms_.cold_from + (1 - terms_.cold_from) * run;
 }
 
-void Rules::weigh_cold(StoreNumber store, Millis now) {
+void InvariantChecker::weigh_cold(StoreNumber store, Millis now) {
   std::deque<std::pair<Millis, bool>>& sends = cold_sends_[store];
   const Millis since = started_.at(store);
   while (!sends.empty() && sends.front().first < now - terms_.fall) sends.pop_front();
   // Its capacity grows in a straight line, so over the span it is that of the middle.
   const Millis from = std::max(since, now - terms_.fall);
-  const double allowed =
-      terms_.fall_multiple * terms_.capacity * warmth(since, (from + now) / 2) * terms_.fall / 1000;
+  const double allowed = terms_.fall_multiple * terms_.capacity *
+                         slow_start_fraction(since, (from + now) / 2) * terms_.fall / 1000;
   const auto told = std::ranges::count(sends, true, &std::pair<Millis, bool>::second);
   if (static_cast<double>(sends.size()) <= with_chance(allowed) || 3 * told <= 2 * std::ssize(sends)) return;
   broken(Rule::pushed_over, "", {}, store, now,
@@ -104,75 +104,76 @@
   sends.clear();
 }
 
-void Rules::take(const Ran& ran) {
+void InvariantChecker::take(const Ran& ran) {
   if (ran.effect && !ran.token.empty()) {
     auto& [count, first] = effects_[ran.token];
     if (++count == 1) tokens_.emplace_back(first = now_, ran.token);
     if (count > 1)
-      broken(Rule::twice, ran.op, {}, ran.store, now_,
+      broken(Rule::twice, ran.request, {}, ran.store, now_,
              fmt::format("token {} has had an effect before", ran.token));
   }
-  const auto found = ops_.find(ran.op);
+  const auto found = ops_.find(ran.request);
   if (found == ops_.end()) return;
   Op& op = found->second;
   const Taken& taken = op.taken;
   if (ran.effect && ran.token.empty() && ++op.effects > 1)
-    broken(Rule::twice, ran.op, taken.front, ran.store, now_, "it has had an effect before");
+    broken(Rule::twice, ran.request, taken.front, ran.store, now_, "it has had an effect before");
   if (taken.needs == Needs::bounded && ran.position < ran.sent - taken.bound - terms_.slack)
-    broken(Rule::stale, ran.op, taken.front, ran.store, now_,
+    broken(Rule::stale, ran.request, taken.front, ran.store, now_,
            fmt::format("data {:.0f} ms old when it was sent, at most {:.0f} ms are allowed",
                        ran.sent - ran.position, taken.bound));
   if (taken.needs == Needs::session && ran.position + 1 < taken.after)
     broken(
-        Rule::stale, ran.op, taken.front, ran.store, now_,
+        Rule::stale, ran.request, taken.front, ran.store, now_,
         fmt::format("the store was {:.0f} ms short of its session's last write", taken.after - ran.position));
 }
 
-void Rules::take(const Answered& answered) {
-  const auto found = ops_.find(answered.op);
+void InvariantChecker::take(const Answered& answered) {
+  const auto found = ops_.find(answered.request);
   if (found == ops_.end()) return;
   Op& op = found->second;
   if (++op.answers > 1)
-    broken(Rule::lost, answered.op, op.taken.front, {}, answered.at, "a second final answer");
+    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at, "a second final answer");
   if (answered.answer == Answer::acked && !answered.mine)
-    broken(Rule::lost, answered.op, op.taken.front, {}, answered.at, "acked with what no store made for it");
+    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at,
+           "acked with what no store made for it");
   if (op.ended >= 0) return;
   if (answered.at > op.until + terms_.slack)
-    broken(Rule::lost, answered.op, op.taken.front, {}, answered.at,
+    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at,
            fmt::format("answered {:.0f} ms late", answered.at - op.until));
   end(op, answered.at);
 }
 
-void Rules::take(const Broken_off& off) {
-  const auto found = ops_.find(off.op);
+void InvariantChecker::take(const Broken_off& off) {
+  const auto found = ops_.find(off.request);
   if (found == ops_.end() || found->second.ended >= 0) return;
-  broken(Rule::lost, off.op, found->second.taken.front, {}, off.at,
+  broken(Rule::lost, off.request, found->second.taken.front, {}, off.at,
          "its connection was ended with no answer");
   end(found->second, off.at);
 }
 
-void Rules::take(const Gone& gone) {
-  if (const auto found = ops_.find(gone.op); found != ops_.end()) end(found->second, now_);
+void InvariantChecker::take(const Gone& gone) {
+  if (const auto found = ops_.find(gone.request); found != ops_.end()) end(found->second, now_);
 }
 
-void Rules::end(Op& op, Millis at) {
+void InvariantChecker::end(Op& op, Millis at) {
   if (op.ended >= 0) return;
   op.ended = at;
-  open_.erase(op.taken.op);
-  ended_.emplace_back(now_, op.taken.op);
+  open_.erase(op.taken.request);
+  ended_.emplace_back(now_, op.taken.request);
 }
 
-void Rules::take(const Down& down) {
+void InvariantChecker::take(const Down& down) {
   for (const std::string& id : std::set<std::string>(open_))
     if (Op& op = ops_.at(id); op.taken.front == down.front) end(op, now_);
   told_.erase(down.front);
   paused_.erase(down.front);
 }
 
-void Rules::take(const Paused& paused) { paused_.emplace(paused.front, paused.at); }
+void InvariantChecker::take(const Paused& paused) { paused_.emplace(paused.front, paused.at); }
 
 // What came or was told while it could do nothing counts from when it could.
-void Rules::take(const Woken& woken) {
+void InvariantChecker::take(const Woken& woken) {
   const auto paused = paused_.find(woken.front);
   if (paused == paused_.end()) return;
   for (const std::string& id : open_)
@@ -183,15 +184,15 @@
   paused_.erase(paused);
 }
 
-void Rules::take(const Told& told) {
+void InvariantChecker::take(const Told& told) {
   Listing& listing = told_[told.front][told.store];
   if (listing.wanted != told.wanted) listing.since = told.at;
   listing.wanted = told.wanted, listing.booted = told.booted;
 }
 
-void Rules::take(const Started& started) {
+void InvariantChecker::take(const Started& started) {
   started_[started.store] = started.at;
   cold_sends_[started.store].clear();
 }
 
-}  // namespace reedspindle::rules
+}  // namespace reedspindle::invariants
--- a/src/rules/rules.hpp
+++ b/src/invariants/invariants.hpp
@@ -12,9 +12,9 @@
 #include <variant>
 #include <vector>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::rules {
+namespace reedspindle::invariants {
 
 struct FrontNumber {
   int number = -1;
@@ -42,21 +42,21 @@
 
 // Events. Times are of one clock.
 struct Taken {  // the op's last byte has reached the front
-  std::string op;
+  std::string request;
   FrontNumber front;
   Needs needs = Needs::any;
   Effect effect = Effect::retryable;
-  Millis at = 0, patience = 0;
+  Millis at = 0, remaining = 0;
   Millis bound = 0, after = 0;  // how old data may be; the position that the read has to see
 };
 struct Sent {  // the op has left the front for a store
-  std::string op;
+  std::string request;
   FrontNumber front;
   StoreNumber store;
   Millis at = 0;
 };
 struct Ran {  // the store has carried it out
-  std::string op;
+  std::string request;
   StoreNumber store;
   std::string token;    // of a write
   bool effect = false;  // something was written
@@ -65,17 +65,17 @@
 };
 enum class Answer { acked, busy_replied, errored };
 struct Answered {
-  std::string op;
+  std::string request;
   Answer answer = Answer::acked;
   Millis at = 0;     // when its last byte left the front
   bool mine = true;  // what a store made for this op
 };
 struct Broken_off {  // the front has ended the op's connection with no whole answer
-  std::string op;
+  std::string request;
   Millis at = 0;
 };
 struct Gone {  // the client has left
-  std::string op;
+  std::string request;
 };
 struct Down {  // the process was killed: what it held is nobody's fault
   FrontNumber front;
@@ -106,16 +106,16 @@
 
 struct Broken {
   Rule rule = Rule::lost;
-  std::string op;  // empty: of no one op
+  std::string request;  // empty: of no one op
   FrontNumber front;
   StoreNumber store;
   Millis at = 0;
   std::string why;
 };
 
-class Rules {
+class InvariantChecker {
  public:
-  explicit Rules(const Terms& terms) : terms_(terms) {}
+  explicit InvariantChecker(const Terms& terms) : terms_(terms) {}
   void note(Event event) { events_.push_back(std::move(event)); }
   std::vector<Broken> settle(Millis now);
   // Held and not yet over.
@@ -148,7 +148,7 @@
 
   void end(Op& op, Millis at);
   void weigh_cold(StoreNumber store, Millis now);
-  double warmth(Millis since, Millis at) const;
+  double slow_start_fraction(Millis since, Millis at) const;
   void broken(Rule rule, const std::string& op, FrontNumber front, StoreNumber store, Millis at,
               std::string why);
 
@@ -167,4 +167,4 @@
   std::map<StoreNumber, std::deque<std::pair<Millis, bool>>> cold_sends_;  // whether its front was told
 };
 
-}  // namespace reedspindle::rules
+}  // namespace reedspindle::invariants
--- a/src/links/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "links/log.hpp"
+#include "logging/log.hpp"
 
 #include <poll.h>
 #include <spdlog/details/null_mutex.h>
@@ -11,7 +11,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace reedspindle::links {
+namespace reedspindle::logging {
 namespace {
 constexpr Millis kSpan = 10000;          // in which a kind may write so many lines
 constexpr std::size_t kWaiting = 65536;  // what waits for a slow reader at most
@@ -92,7 +92,7 @@
   int lost_ = 0;
 };
 
-LogManner log_manner_in(const nlohmann::json& log) {
+LogOptions log_options_in(const nlohmann::json& log) {
   const std::string level = log["level"];
   return {log["form"] == "json" ? LogForm::json : LogForm::text,
           level == "debug"  ? LogLevel::debug
@@ -102,7 +102,7 @@
           log["lines-of-a-kind"]};
 }
 
-Log::Log(const Clock& clock)
+Log::Log(const net::Clock& clock)
     : clock_(clock),
       waiting_(std::make_shared<Waiting>()),
       logger_(std::make_unique<spdlog::logger>("", waiting_)) {
@@ -111,7 +111,7 @@
 
 Log::~Log() { flush(); }
 
-void Log::be(const LogManner& manner) {
+void Log::be(const LogOptions& manner) {
   manner_ = manner;
   const char* pattern = manner.form == LogForm::json ? "{\"time\":%E.%e,\"level\":\"%l\",%v}" : "%E.%e %l %v";
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern));
@@ -160,4 +160,4 @@
 
 void Log::flush() { waiting_->write(); }
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::logging
--- a/src/links/log.hpp
+++ b/src/logging/log.hpp
@@ -13,13 +13,13 @@
 #include <string_view>
 #include <type_traits>
 
-#include "links/clock.hpp"
+#include "net/clock.hpp"
 
 namespace spdlog {
 class logger;
 }
 
-namespace reedspindle::links {
+namespace reedspindle::logging {
 
 // What a line tells of: "member", "group", "version", "peer", "why", ...
 struct Field {
@@ -33,24 +33,24 @@
 
 enum class LogForm { text, json };
 enum class LogLevel { debug, info, warn, error };
-struct LogManner {
+struct LogOptions {
   LogForm form = LogForm::text;
   LogLevel level = LogLevel::info;
   int lines_of_a_kind = 5;  // in ten seconds: enough to see what it is and that it goes on
 };
 // Of the operators' file, complete and checked.
-LogManner log_manner_in(const nlohmann::json& log);
+LogOptions log_options_in(const nlohmann::json& log);
 
 class Log {
  public:
   using Fields = std::initializer_list<Field>;
 
-  explicit Log(const Clock& clock);
+  explicit Log(const net::Clock& clock);
   ~Log();
   Log(const Log&) = delete;
 
   // From now on.
-  void be(const LogManner& manner);
+  void be(const LogOptions& manner);
 
   // The kind says what part of the program speaks, the event what happened, in one word or two.
   void debug(std::string_view kind, std::string_view event, Fields fields = {}) {
@@ -83,11 +83,11 @@
     Millis since = 0;
     int written = 0, dropped = 0;
   };
-  const Clock& clock_;
-  LogManner manner_;
+  const net::Clock& clock_;
+  LogOptions manner_;
   std::map<std::string, Kind, std::less<>> kinds_;
   std::shared_ptr<Waiting> waiting_;
   std::unique_ptr<spdlog::logger> logger_;
 };
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::logging
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <utility>
 
-#include "membership/fellows.hpp"
+#include "membership/peer_table.hpp"
 
 namespace reedspindle::membership {
 namespace {
@@ -38,15 +38,15 @@
 
 class Watch final : public Membership {
  public:
-  Watch(const Charge& charge, std::uint64_t seed)
+  Watch(const Options& charge, std::uint64_t seed)
       : charge_(charge),
         random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
         fellows_(charge.most),
         heard_of_(static_cast<std::size_t>(charge.places)) {}
 
-  void note(Event event) override { events_.push_back(std::move(event)); }
+  void enqueue(Event event) override { events_.push_back(std::move(event)); }
 
-  std::vector<Decision> settle(Millis now) override {
+  std::vector<Decision> process(Millis now) override {
     decisions_.clear();
     if (born_ == 0) begin(now);
     mind_the_gap(now);
@@ -78,7 +78,7 @@
  private:
   struct Probe {
     std::string name;
-    Place place;
+    SlotId place;
     std::uint32_t number = 0;
     Millis sent = 0;
     bool asked = false;
@@ -86,7 +86,7 @@
   };
   // A probe for another front.
   struct Errand {
-    Place of, place;
+    SlotId of, place;
     std::uint32_t number_of = 0, number = 0;
     Millis until = 0;
   };
@@ -95,7 +95,7 @@
     int sent = 0;
   };
   struct Rival {
-    Place place;
+    SlotId place;
     Incarnation incarnation;
     int tries = 0;
     Millis next = 0;
@@ -137,11 +137,11 @@
     Word word = self();
     word.standing = Standing::left;
     spread(word);
-    for (const Place place : some(kFarewells, place_))
+    for (const SlotId place : some(kFarewells, place_))
       tell(place, Kind::words, 0, [](Message& message) { message.answer = true; });
   }
 
-  void take(const Heard& heard) {
+  void take(const DatagramReceived& heard) {
     const auto from = static_cast<std::size_t>(heard.from.number);
     if (from >= heard_of_.size()) return void(++dropped_.strange);
     // Guards against a flood from one address: beyond this its datagrams are not even read.
@@ -166,7 +166,7 @@
   // The sender itself is there. What it should hear of itself, if anything.
   std::optional<Word> meet(const Message& message) {
     // Who answers at a place is the only one there.
-    if (const Fellow* other = fellows_.at(message.place); other && other->word.name != message.name) {
+    if (const Peer* other = fellows_.at(message.place); other && other->word.name != message.name) {
       Word gone = other->word;
       gone.standing = Standing::failed, gone.by = place_;
       accept(gone);
@@ -176,9 +176,9 @@
                     message.leaving ? Standing::left : Standing::there,
                     message.incarnation,
                     {}};
-    const Fellow* held = fellows_.find(message.name);
+    const Peer* held = fellows_.find(message.name);
     const bool new_here = !held || !is_here(held->word.standing);
-    if (fellows_.weigh(word) == Fellows::Weight::news) {
+    if (fellows_.weigh(word) == PeerTable::Weight::news) {
       accept(word);
       // Met for the first time, or again: both find out what the other knows.
       if (new_here && !message.leaving) differ_with_ = message.place;
@@ -235,7 +235,7 @@
       if (!std::ranges::count(asked_, std::pair(message.number, message.place))) ++dropped_.late;
       return;
     }
-    if (const Fellow* there = fellows_.find(message.name))
+    if (const Peer* there = fellows_.find(message.name))
       tell(errand->of, Kind::vouch, errand->number_of,
            [&](Message& vouch) { vouch.words.push_back(there->word); });
     errands_.erase(errand);
@@ -248,9 +248,9 @@
     if (word.place.number >= charge_.places || !likely(word.incarnation)) return void(++dropped_.strange);
     if (word.name == charge_.name) return hear_of_self(word);
     switch (fellows_.weigh(word)) {
-      case Fellows::Weight::news:
+      case PeerTable::Weight::news:
         return accept(word);
-      case Fellows::Weight::confirmation:
+      case PeerTable::Weight::confirmation:
         return doubt(*fellows_.find(word.name), word.by);
       default:
         return;
@@ -259,7 +259,7 @@
 
   // One more that suspects it, as far as that still counts; told on, for it shortens the others' patience
   // too.
-  void doubt(Fellow& fellow, Place by) {
+  void doubt(Peer& fellow, SlotId by) {
     if (by.number < 0 || fellow.doubters.size() > kSure || std::ranges::count(fellow.doubters, by)) return;
     fellow.doubters.push_back(by);
     Word word = fellow.word;
@@ -269,7 +269,7 @@
 
   // A word that outweighs what is held.
   void accept(Word word) {
-    const Fellow* held = fellows_.find(word.name);
+    const Peer* held = fellows_.find(word.name);
     if (!held && !is_here(word.standing)) return fellows_.bury(word.name, word.incarnation);
     const std::optional<Word> before = held ? std::optional(held->word) : std::nullopt;
     // Who is there in our eyes gets the time to refute it: guards against one half's belief about the other
@@ -280,7 +280,7 @@
       if (before->standing == Standing::suspected && now_ - held->suspected < least() / 2)
         return doubt(*fellows_.find(word.name), word.by);
     }
-    Fellow& fellow = fellows_.take(word, now_);
+    Peer& fellow = fellows_.take(word, now_);
     if (word.standing == Standing::suspected && word.by.number >= 0) fellow.doubters.push_back(word.by);
     spread(word);
     const bool was_here = before && is_here(before->standing), here = is_here(word.standing);
@@ -321,7 +321,7 @@
 
   // Another process with this front's name.
 
-  void contest(Place place, Incarnation incarnation) {
+  void contest(SlotId place, Incarnation incarnation) {
     if (rival_ && rival_->place == place) {
       rival_->incarnation = std::max(rival_->incarnation, incarnation);
       return;
@@ -362,9 +362,9 @@
   Millis stretched(Millis span) const { return span * (1 + health_); }
 
   void probe() {
-    if (probe_ && !probe_->asked && now_ >= probe_->sent + stretched(charge_.time_out)) {
+    if (probe_ && !probe_->asked && now_ >= probe_->sent + stretched(charge_.timeout)) {
       probe_->asked = true;
-      for (const Place helper : some(kHelpers, probe_->place)) {
+      for (const SlotId helper : some(kHelpers, probe_->place)) {
         ++probe_->helpers;
         tell(helper, Kind::ask, probe_->number, [this](Message& ask) { ask.about = probe_->place; });
       }
@@ -372,7 +372,7 @@
     if (now_ < next_probe_) return;
     if (probe_) unanswered(*std::exchange(probe_, std::nullopt));
     next_probe_ = now_ + stretched(charge_.pace);
-    const Fellow* next = next_in_turn();
+    const Peer* next = next_in_turn();
     if (!next) return;
     const Word word = next->word;
     ask(word.place, word.standing == Standing::suspected ? &word : nullptr);
@@ -380,7 +380,7 @@
   }
 
   // A question whether somebody is there; who is suspected is told so with it.
-  void ask(Place place, const Word* word = nullptr) {
+  void ask(SlotId place, const Word* word = nullptr) {
     asked_[++asked_last_ % asked_.size()] = {++number_, place};
     tell(place, Kind::ping, number_, [&](Message& ping) {
       if (word) ping.words.push_back(*word);
@@ -391,7 +391,7 @@
     // Helpers that said nothing either speak against ourselves.
     const int silent = probe.helpers > 0 ? probe.helpers - probe.nacks : 1;
     health_ = std::clamp(health_ + silent, 0, kWorst);
-    const Fellow* fellow = fellows_.find(probe.name);
+    const Peer* fellow = fellows_.find(probe.name);
     if (!fellow || !is_here(fellow->word.standing)) return;
     Word word = fellow->word;
     word.standing = Standing::suspected, word.by = place_;
@@ -399,7 +399,7 @@
   }
 
   // All in turn, in an order of chance that is drawn anew each round (SWIM's bounded time to a first probe).
-  const Fellow* next_in_turn() {
+  const Peer* next_in_turn() {
     for (std::size_t tries = 0; tries <= ring_.size(); ++tries) {
       if (turn_ >= ring_.size()) {
         turn_ = 0;
@@ -410,17 +410,17 @@
           std::swap(ring_[left - 1], ring_[random_() % left]);
       }
       if (ring_.empty()) return nullptr;
-      const Fellow* next = fellows_.find(ring_[turn_++]);
+      const Peer* next = fellows_.find(ring_[turn_++]);
       if (next && is_here(next->word.standing)) return next;
     }
     return nullptr;
   }
 
   // Places of fellows that are here, drawn by chance, without one.
-  std::vector<Place> some(int count, Place without) {
-    std::vector<Place> places;
+  std::vector<SlotId> some(int count, SlotId without) {
+    std::vector<SlotId> places;
     for (int tries = 0; tries < 4 * count && !ring_.empty() && std::ssize(places) < count; ++tries) {
-      const Fellow* drawn = fellows_.find(ring_[random_() % ring_.size()]);
+      const Peer* drawn = fellows_.find(ring_[random_() % ring_.size()]);
       if (drawn && is_here(drawn->word.standing) && drawn->word.place != without &&
           !std::ranges::count(places, drawn->word.place))
         places.push_back(drawn->word.place);
@@ -432,7 +432,7 @@
     if (message.about.number >= charge_.places || message.about == place_ || errands_.size() >= kErrands)
       return;
     errands_.push_back(
-        {message.place, message.about, message.number, ++number_, now_ + charge_.time_out * kNackAfter});
+        {message.place, message.about, message.number, ++number_, now_ + charge_.timeout * kNackAfter});
     tell(message.about, Kind::ping, number_);
   }
 
@@ -448,7 +448,7 @@
   void judge() {
     std::vector<Word> failed;
     for (const std::string& name : fellows_.suspects())
-      if (const Fellow& fellow = *fellows_.find(name); now_ >= ends(fellow)) failed.push_back(fellow.word);
+      if (const Peer& fellow = *fellows_.find(name); now_ >= ends(fellow)) failed.push_back(fellow.word);
     for (Word& word : failed) {
       word.standing = Standing::failed, word.by = place_;
       accept(word);
@@ -456,10 +456,10 @@
   }
 
   Millis least() const {
-    return charge_.patience * std::max(1.0, std::log10(fellows_.here() + 1)) * charge_.pace;
+    return charge_.suspicion_multiplier * std::max(1.0, std::log10(fellows_.here() + 1)) * charge_.pace;
   }
 
-  Millis ends(const Fellow& fellow) const {
+  Millis ends(const Peer& fellow) const {
     const double here = fellows_.here() + 1;
     const Millis least = this->least();
     const double others = std::min<double>(kSure, here - 3);
@@ -478,7 +478,7 @@
     int asks = alone ? kHelpers : 1;
     const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, charge_.places)));
     for (int step = 0; step < charge_.places && asks > 0; ++step) {
-      const Place place{(first + step) % charge_.places};
+      const SlotId place{(first + step) % charge_.places};
       if (place == place_ || fellows_.at(place)) continue;
       --asks;
       ask(place);
@@ -496,7 +496,7 @@
     if (const auto with = std::exchange(differ_with_, std::nullopt)) send_digest(*with, {});
   }
 
-  void send_digest(Place to, Range range) {
+  void send_digest(SlotId to, Range range) {
     tell(to, Kind::digest, 0, [&](Message& digest) {
       digest.range = range;
       digest.sums = fellows_.sums(range, self());
@@ -521,7 +521,7 @@
   }
 
   // Words on all in the range but those that the other has told the same; sums where they are too many.
-  void send_range(Place to, Range range, bool answer, const std::vector<Word>* told = nullptr) {
+  void send_range(SlotId to, Range range, bool answer, const std::vector<Word>* told = nullptr) {
     auto words = fellows_.words(range, self(), kOfRange);
     if (!words && range.depth < kDeepest) return send_digest(to, range);
     if (!words) return;
@@ -547,7 +547,7 @@
 
   // The news sent least often go along, behind what the message itself has to say.
   template <typename Fill>
-  void tell(Place to, Kind kind, std::uint32_t number, Fill fill) {
+  void tell(SlotId to, Kind kind, std::uint32_t number, Fill fill) {
     Message message;
     message.kind = kind, message.number = number, message.name = charge_.name, message.place = place_;
     message.incarnation = incarnation_, message.born = born_, message.leaving = leaving_;
@@ -559,12 +559,12 @@
     if (news.size() > kMostWords) news.resize(kMostWords);
     for (const News* one : news) message.words.push_back(one->word);
     std::size_t told = 0;
-    decisions_.push_back(Tell{to, bytes_of(message, told)});
+    decisions_.push_back(SendDatagram{to, bytes_of(message, told)});
     const int most = static_cast<int>(std::ceil(kSentOn * std::log10(fellows_.here() + 2)));
     for (std::size_t at = own; at < told; ++at)
       if (News* one = news[at - own]; ++one->sent >= most) news_.erase(std::string(one->word.name));
   }
-  void tell(Place to, Kind kind, std::uint32_t number) {
+  void tell(SlotId to, Kind kind, std::uint32_t number) {
     tell(to, kind, number, [](Message&) {});
   }
 
@@ -572,7 +572,7 @@
     ++version_;
     decisions_.push_back(Change{word.name, word.place, happening, word.incarnation});
   }
-  void found(Finding finding, Place place, Millis span = 0) {
+  void found(Finding finding, SlotId place, Millis span = 0) {
     decisions_.push_back(Found{finding, place, span});
   }
 
@@ -583,32 +583,32 @@
       if (rival_) at(rival_->next);
       if (!yielded_) {
         at(next_probe_), at(next_seek_), at(next_compare_);
-        if (probe_ && !probe_->asked) at(probe_->sent + stretched(charge_.time_out));
+        if (probe_ && !probe_->asked) at(probe_->sent + stretched(charge_.timeout));
         for (const Errand& errand : errands_) at(errand.until);
       }
     }
     for (const std::string& name : fellows_.suspects()) at(ends(*fellows_.find(name)));
     // Alone with its farewell it still minds its clock, so that a gap can be told from quiet.
     wake_ = std::max(now_, std::min(next, now_ + charge_.pace));
-    decisions_.push_back(WakeAt{wake_});
+    decisions_.push_back(RequestWakeup{wake_});
   }
 
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
-  Charge charge_;
-  const Place place_ = charge_.place;
+  Options charge_;
+  const SlotId place_ = charge_.place;
   std::minstd_rand random_;
   std::vector<Event> events_;
   std::vector<Decision> decisions_;
-  Fellows fellows_;
+  PeerTable fellows_;
   std::vector<std::string> ring_;  // who is probed in turn
   std::size_t turn_ = 0;
   std::map<std::string, News> news_;
   std::optional<Probe> probe_;
   std::vector<Errand> errands_;
   std::optional<Rival> rival_;
-  std::optional<Place> differ_with_;
-  std::array<std::pair<std::uint32_t, Place>, 16> asked_{};  // this front's last questions
+  std::optional<SlotId> differ_with_;
+  std::array<std::pair<std::uint32_t, SlotId>, 16> asked_{};  // this front's last questions
   std::size_t asked_last_ = 0;
   std::vector<int> heard_of_;  // datagrams of each place in this pace
   Dropped dropped_;
@@ -634,14 +634,14 @@
   return words[static_cast<int>(happening)];
 }
 
-std::set<Place> there_in(const View& view) {
-  std::set<Place> there;
-  for (const FellowView& fellow : view.fellows)
+std::set<SlotId> there_in(const View& view) {
+  std::set<SlotId> there;
+  for (const PeerView& fellow : view.fellows)
     if (fellow.standing == Standing::there) there.insert(fellow.place);
   return there;
 }
 
-std::unique_ptr<Membership> make_membership(const Charge& charge, std::uint64_t seed) {
+std::unique_ptr<Membership> make_membership(const Options& charge, std::uint64_t seed) {
   return std::make_unique<Watch>(charge, seed);
 }
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -10,19 +10,21 @@
 #include <variant>
 #include <vector>
 
-#include "logic.hpp"
+#include "core/datagram.hpp"
+#include "core/event_core.hpp"
 #include "membership/message.hpp"
 
 namespace reedspindle::membership {
 
 // What a front is told of itself and of how to watch its fellows.
-struct Charge {
+struct Options {
   std::string name;
-  Place place;             // where it stands in the tier's list itself
-  int places = 0;          // how many the list has
-  Millis pace = 500;       // between two probes
-  Millis time_out = 200;   // until fellows are asked to probe as well
-  double patience = 4;     // paces that a suspicion lasts at least, times log10 of how many are there
+  SlotId place;          // where it stands in the tier's list itself
+  int places = 0;        // how many the list has
+  Millis pace = 500;     // between two probes
+  Millis timeout = 200;  // until fellows are asked to probe as well
+  double suspicion_multiplier =
+      4;                   // paces that a suspicion lasts at least, times log10 of how many are there
   Millis forget = 300000;  // until who is gone is shown no more
   int most = 4096;         // fronts that are kept
 };
@@ -31,28 +33,17 @@
 struct Listed {
   int places = 0;
 };
-struct Heard {
-  Place from;
-  std::string bytes;
-};
 struct Leaving {};
-using Event = std::variant<Listed, Heard, Leaving>;
+using Event = std::variant<Listed, DatagramReceived, Leaving>;
 
 // Decisions.
-struct Tell {
-  Place to;
-  std::string bytes;
-};
-struct WakeAt {
-  Millis at = 0;
-};
 enum class Happening { joined, suspected, cleared, failed, left, back, moved, forgotten };
 const char* word_of(Standing standing);
 const char* word_of(Happening happening);
 // How a fellow stands has changed in this front's eyes.
 struct Change {
   std::string name;
-  Place place;
+  SlotId place;
   Happening happening = Happening::joined;
   Incarnation incarnation;
 };
@@ -60,14 +51,14 @@
 enum class Finding { stopped, refuted, contested, yields, claims };
 struct Found {
   Finding finding = Finding::stopped;
-  Place place;      // of whom it is about, where there is one
+  SlotId place;     // of whom it is about, where there is one
   Millis span = 0;  // stopped: for how long
 };
-using Decision = std::variant<Tell, WakeAt, Change, Found>;
+using Decision = std::variant<SendDatagram, RequestWakeup, Change, Found>;
 
-struct FellowView {
+struct PeerView {
   std::string name;
-  Place place;
+  SlotId place;
   Standing standing = Standing::there;
   Incarnation incarnation;
   Millis since = 0;
@@ -79,25 +70,22 @@
   std::uint64_t late = 0;     // answers to what was not asked, or not any more
 };
 struct View {
-  std::uint64_t version = 0;        // rises with each change
-  Incarnation incarnation;          // of this front
-  int health = 0;                   // how much it doubts itself, from 0
-  bool yielded = false;             // another holds its name
-  std::vector<FellowView> fellows;  // without itself, by name
+  std::uint64_t version = 0;      // rises with each change
+  Incarnation incarnation;        // of this front
+  int health = 0;                 // how much it doubts itself, from 0
+  bool yielded = false;           // another holds its name
+  std::vector<PeerView> fellows;  // without itself, by name
   Dropped dropped;
 };
 
 // Places of those that are there.
-std::set<Place> there_in(const View& view);
+std::set<SlotId> there_in(const View& view);
 
-class Membership {
+class Membership : public EventCore<Event, Decision> {
  public:
-  virtual ~Membership() = default;
-  virtual void note(Event event) = 0;
-  virtual std::vector<Decision> settle(Millis now) = 0;
   virtual View view() const = 0;
 };
 
-std::unique_ptr<Membership> make_membership(const Charge& charge, std::uint64_t seed);
+std::unique_ptr<Membership> make_membership(const Options& charge, std::uint64_t seed);
 
 }  // namespace reedspindle::membership
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -19,10 +19,10 @@
 constexpr int kForm = 1;
 constexpr std::uint64_t kMostPlaces = 1 << 16;
 
-std::optional<Place> place_in(const Json& json) {
+std::optional<SlotId> place_in(const Json& json) {
   const auto number = whole(json, kMostPlaces - 1);
   if (!number) return std::nullopt;
-  return Place{static_cast<int>(*number)};
+  return SlotId{static_cast<int>(*number)};
 }
 
 std::optional<std::string> name_in(const Json& json) {
@@ -42,7 +42,7 @@
   const auto place = place_in(json[1]);
   const auto standing = whole(json[2], static_cast<int>(Standing::left));
   const auto incarnation = whole(json[3], std::numeric_limits<std::uint64_t>::max() >> 1);
-  const auto by = json.size() == 5 ? place_in(json[4]) : std::optional<Place>(Place{});
+  const auto by = json.size() == 5 ? place_in(json[4]) : std::optional<SlotId>(SlotId{});
   if (!name || !place || !standing || !incarnation || !by) return std::nullopt;
   return Word{*name, *place, static_cast<Standing>(*standing), {*incarnation}, *by};
 }
@@ -84,7 +84,7 @@
              std::string_view::npos;
 }
 
-bool is_for_membership(std::string_view bytes) { return bytes.starts_with(kLetter); }
+bool is_membership_message(std::string_view bytes) { return bytes.starts_with(kLetter); }
 
 std::string bytes_of(const Message& message, std::size_t& told) {
   Json json = {kForm,
@@ -113,7 +113,7 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) try {
-  if (!is_for_membership(bytes) || bytes.size() > kLongest) return std::nullopt;
+  if (!is_membership_message(bytes) || bytes.size() > kLongest) return std::nullopt;
   const Json head = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
   if (!head.is_array() || head.size() != 10 || head[0] != kForm || !head[9].is_array()) return std::nullopt;
   Message message;
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -10,14 +10,10 @@
 #include <string_view>
 #include <vector>
 
+#include "core/datagram.hpp"
+
 namespace reedspindle::membership {
 
-// Where a front stands in the list of the tier, from 0: the same number everywhere, whatever address each
-// front reaches it by.
-struct Place {
-  int number = -1;
-  auto operator<=>(const Place&) const = default;
-};
 // Of one front: what is said under a higher one outweighs what was said under a lower one. Raised by that
 // front alone; it begins at the Unix ms of its start.
 struct Incarnation {
@@ -30,10 +26,10 @@
 // What somebody holds true of one front.
 struct Word {
   std::string name;
-  Place place;
+  SlotId place;
   Standing standing = Standing::there;
   Incarnation incarnation;
-  Place by;  // who came to suspect it
+  SlotId by;  // who came to suspect it
   bool operator==(const Word&) const = default;
 };
 
@@ -51,12 +47,12 @@
   Kind kind = Kind::ping;
   std::uint32_t number = 0;  // an answer has that of its question
   std::string name;          // of the sender
-  Place place;
+  SlotId place;
   Incarnation incarnation;
   std::uint64_t born = 0;  // Unix ms of the sender's start
   bool leaving = false;
   bool answer = false;              // words: those of the receiver are not asked for
-  Place about;                      // ask: whom to ping
+  SlotId about;                     // ask: whom to ping
   Range range;                      // digest, words: of which names
   std::vector<std::uint32_t> sums;  // digest: of each part of the range, kFan of them
   std::vector<Word> words;
@@ -73,6 +69,6 @@
 std::string bytes_of(const Message& message, std::size_t& told);
 std::optional<Message> message_in(std::string_view bytes);
 // Whether a datagram is meant for the membership; the decision module's texts are not.
-bool is_for_membership(std::string_view bytes);
+bool is_membership_message(std::string_view bytes);
 
 }  // namespace reedspindle::membership
--- a/src/membership/fellows.cpp
+++ b/src/membership/peer_table.cpp
@@ -1,4 +1,4 @@
-#include "membership/fellows.hpp"
+#include "membership/peer_table.hpp"
 
 // Only in here, from the header alone: the front needs no library at run time for it.
 #define XXH_INLINE_ALL
@@ -26,8 +26,8 @@
 
 bool is_here(Standing standing) { return standing == Standing::there || standing == Standing::suspected; }
 
-Fellows::Weight Fellows::weigh(const Word& word) const {
-  const Fellow* held = find(word.name);
+PeerTable::Weight PeerTable::weigh(const Word& word) const {
+  const Peer* held = find(word.name);
   if (!held) {
     const auto grave = graves_.find(word.name);
     if (grave != graves_.end() && word.incarnation <= grave->second) return Weight::old;
@@ -41,8 +41,8 @@
   return word.standing == Standing::suspected ? Weight::confirmation : Weight::known;
 }
 
-Fellow& Fellows::take(const Word& word, Millis now) {
-  Fellow& fellow = fellows_[word.name];
+Peer& PeerTable::take(const Word& word, Millis now) {
+  Peer& fellow = fellows_[word.name];
   if (is_here(fellow.word.standing) && fellow.word.place.number >= 0) {
     --here_;
     if (const auto at = places_.find(fellow.word.place); at != places_.end() && at->second == word.name)
@@ -57,21 +57,21 @@
   return fellow;
 }
 
-Fellow* Fellows::find(const std::string& name) {
+Peer* PeerTable::find(const std::string& name) {
   const auto found = fellows_.find(name);
   return found == fellows_.end() ? nullptr : &found->second;
 }
-const Fellow* Fellows::find(const std::string& name) const {
+const Peer* PeerTable::find(const std::string& name) const {
   const auto found = fellows_.find(name);
   return found == fellows_.end() ? nullptr : &found->second;
 }
 
-const Fellow* Fellows::at(Place place) const {
+const Peer* PeerTable::at(SlotId place) const {
   const auto found = places_.find(place);
   return found == places_.end() ? nullptr : find(found->second);
 }
 
-std::vector<Word> Fellows::forget(Millis since) {
+std::vector<Word> PeerTable::forget(Millis since) {
   std::vector<Word> gone;
   for (auto at = fellows_.begin(); at != fellows_.end();) {
     if (is_here(at->second.word.standing) || at->second.since > since) {
@@ -87,12 +87,12 @@
 
 // Guards against old words, sent again or late: they bring nobody back who was forgotten. As many as there
 // may be fellows; then the oldest are given up.
-void Fellows::bury(const std::string& name, Incarnation last) {
+void PeerTable::bury(const std::string& name, Incarnation last) {
   if (graves_.insert_or_assign(name, last).second) buried_.push_back(name);
   while (static_cast<int>(buried_.size()) > most_) graves_.erase(buried_.front()), buried_.pop_front();
 }
 
-std::vector<std::uint32_t> Fellows::sums(Range range, const Word& self) const {
+std::vector<std::uint32_t> PeerTable::sums(Range range, const Word& self) const {
   std::vector<std::uint32_t> sums(kFan);
   const auto add = [&](const Word& word) {
     const std::uint64_t hash = hash_of(word.name);
@@ -103,7 +103,7 @@
   return sums;
 }
 
-std::optional<std::vector<Word>> Fellows::words(Range range, const Word& self, std::size_t most) const {
+std::optional<std::vector<Word>> PeerTable::words(Range range, const Word& self, std::size_t most) const {
   std::vector<Word> words;
   if (within(hash_of(self.name), range)) words.push_back(self);
   for (const auto& [name, fellow] : fellows_) {
--- a/src/membership/fellows.hpp
+++ b/src/membership/peer_table.hpp
@@ -14,30 +14,30 @@
 
 namespace reedspindle::membership {
 
-struct Fellow {
+struct Peer {
   Word word;
-  Millis since = 0;             // of its standing
-  Millis suspected = 0;         // when it came to be suspected
-  std::vector<Place> doubters;  // who suspects it, the first few
+  Millis since = 0;              // of its standing
+  Millis suspected = 0;          // when it came to be suspected
+  std::vector<SlotId> doubters;  // who suspects it, the first few
 };
 
 bool is_here(Standing standing);  // there or suspected
 
-class Fellows {
+class PeerTable {
  public:
-  explicit Fellows(int most) : most_(most) {}
+  explicit PeerTable(int most) : most_(most) {}
 
   // Whether a word outweighs what is held. Of equal incarnations the graver word does.
   enum class Weight { news, confirmation, known, old };
   Weight weigh(const Word& word) const;
   // Takes it as what is held from now on.
-  Fellow& take(const Word& word, Millis now);
+  Peer& take(const Word& word, Millis now);
 
-  Fellow* find(const std::string& name);
-  const Fellow* find(const std::string& name) const;
+  Peer* find(const std::string& name);
+  const Peer* find(const std::string& name) const;
   // Who is here at a place, if anybody.
-  const Fellow* at(Place place) const;
-  const std::map<std::string, Fellow>& all() const { return fellows_; }
+  const Peer* at(SlotId place) const;
+  const std::map<std::string, Peer>& all() const { return fellows_; }
   int here() const { return here_; }
   const std::set<std::string>& suspects() const { return suspects_; }
   // Who has been gone for as long is held no longer, but what is said of that life stays known.
@@ -52,8 +52,8 @@
  private:
   const int most_;
   int here_ = 0;
-  std::map<std::string, Fellow> fellows_;
-  std::map<Place, std::string> places_;  // of who is here
+  std::map<std::string, Peer> fellows_;
+  std::map<SlotId, std::string> places_;  // of who is here
   std::set<std::string> suspects_;
   std::map<std::string, Incarnation> graves_;
   std::deque<std::string> buried_;  // the oldest first
--- a/src/links/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace reedspindle::links {
+namespace reedspindle::net {
 
 // The bytes that one kind of peer may make the front hold.
 class Allowance {
@@ -63,4 +63,4 @@
   std::size_t begin_ = 0, end_ = 0;
 };
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::net
--- a/src/links/clock.hpp
+++ b/src/net/clock.hpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <utility>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
-namespace reedspindle::links {
+namespace reedspindle::net {
 
 class Clock {
  public:
@@ -96,4 +96,4 @@
   std::map<Handle, std::function<void()>> due_;
 };
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::net
--- a/src/links/server_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -5,24 +5,24 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
-namespace reedspindle::links {
+namespace reedspindle::net {
 
-struct ListedServer {
-  ListedMember entry;
+struct ListedEndpoint {
+  ServerEntry entry;
   std::string zone;  // as discovery names it
   asio::ip::tcp::endpoint endpoint;
-  bool operator==(const ListedServer&) const = default;
+  bool operator==(const ListedEndpoint&) const = default;
 };
 
 // A list as it is handed on. A long one comes as several of the kind changes, of which only the last counts
 // as the whole of its revision.
-struct ServerList {
-  ListKind kind = ListKind::complete;
+struct EndpointList {
+  EndpointListKind kind = EndpointListKind::complete;
   long long revision = 0;
-  std::vector<ListedServer> servers;
+  std::vector<ListedEndpoint> servers;
   bool last = true;
 };
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::net
--- a/src/operators/command.cpp
+++ b/src/operators/command.cpp
@@ -32,7 +32,7 @@
     if (*check) std::cout << path << ": sound\n";
     if (*run) program.run(file, path);
     return 0;
-  } catch (const Faulty& faulty) {
+  } catch (const InvalidFile& faulty) {
     std::cerr << faulty.what() << '\n';
     return 2;
   } catch (const std::exception& fault) {
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -34,7 +34,7 @@
   std::ranges::stable_sort(faults, {}, &Fault::line);
   std::vector<std::string> lines;
   for (const Fault& fault : faults) lines.push_back(fmt::format("{}:{}: {}", name, fault.line, fault.text));
-  throw Faulty(std::move(lines));
+  throw InvalidFile(std::move(lines));
 }
 
 // The lines of all opening parentheses, in their order: the library's tree has no places, and its lists come
@@ -354,7 +354,7 @@
 
 }  // namespace
 
-Faulty::Faulty(std::vector<std::string> of)
+InvalidFile::InvalidFile(std::vector<std::string> of)
     : std::runtime_error([&of] {
         std::string text;
         for (const std::string& line : of) text += fmt::format("{}{}", text.empty() ? "" : "\n", line);
@@ -381,7 +381,7 @@
     text.resize(static_cast<std::size_t>(stream.gcount()));
   }
   if (stream.bad() || (!stream.eof() && !stream) || !stream.is_open())
-    throw Faulty({fmt::format("{}: can't be read", path)});
+    throw InvalidFile({fmt::format("{}: can't be read", path)});
   return read_text(text, path, form);
 }
 
--- a/src/operators/file.hpp
+++ b/src/operators/file.hpp
@@ -20,8 +20,8 @@
 namespace reedspindle::operators {
 
 // All faults of a file at once: one line each, "FILE:LINE: KEY: what was expected", in the order of the file.
-struct Faulty : std::runtime_error {
-  explicit Faulty(std::vector<std::string> lines);
+struct InvalidFile : std::runtime_error {
+  explicit InvalidFile(std::vector<std::string> lines);
   std::vector<std::string> lines;
 };
 
--- a/src/links/pgwire.cpp
+++ b/src/postgres/codec.cpp
@@ -1,11 +1,11 @@
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstdint>
 
-namespace reedspindle::links::pgwire {
+namespace reedspindle::postgres {
 namespace {
 
 constexpr std::uint32_t kVersion3 = 196608, kCancel = 80877102, kSsl = 80877103, kGss = 80877104;
@@ -172,8 +172,10 @@
 
   std::string_view repeat, patience, group, position;
   const std::pair<std::string_view, std::string_view*> names[] = {
-      {"id", &statement.id}, {"c", &statement.op_type}, {"d", &patience}, {"k", &statement.token},
-      {"cluster", &group},   {"after", &position},      {"r", &repeat}};
+      {"id", &statement.id}, {"c", &statement.request_class},
+      {"d", &patience},      {"k", &statement.token},
+      {"cluster", &group},   {"after", &position},
+      {"r", &repeat}};
   for (bool more = true; more;) {
     const std::string_view item = take_up_to(rest, ',');
     more = take(rest, ",");
@@ -190,8 +192,8 @@
   const auto wrong = [](const char* of) {
     return Fault{"22023", std::string(of) + " is no number that fits"};
   };
-  if (!all_of(patience, part_of_number) || !number_of(patience, statement.patience) ||
-      statement.patience <= 0 || statement.patience > kLongestPatience)
+  if (!all_of(patience, part_of_number) || !number_of(patience, statement.remaining) ||
+      statement.remaining <= 0 || statement.remaining > kLongestPatience)
     return wrong("d");
   if (!all_of(group, digit) || !number_of(group, statement.group)) return wrong("cluster");
   if (!position.empty() && (!all_of(position, part_of_number) || !number_of(position, statement.position)))
@@ -202,7 +204,7 @@
   return statement;
 }
 
-std::string with_patience(std::string_view text, Place place, double patience) {
+std::string with_patience(std::string_view text, TextSpan place, double patience) {
   std::string out(text.substr(0, place.at));
   out += std::to_string(static_cast<long long>(std::max(1.0, std::ceil(patience))));
   return out.append(text.substr(place.at + place.size));
@@ -289,4 +291,4 @@
   return message('E', body);
 }
 
-}  // namespace reedspindle::links::pgwire
+}  // namespace reedspindle::postgres
--- a/src/links/pgwire.hpp
+++ b/src/postgres/codec.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-namespace reedspindle::links::pgwire {
+namespace reedspindle::postgres {
 
 // Values are at most 64 KiB, twice that as hexadecimal digits; the rest of a statement is short.
 constexpr std::size_t kLongestValue = 64 * 1024, kLongestMessage = 2 * kLongestValue + 1024;
@@ -51,26 +51,26 @@
 std::optional<double> number(std::string_view text);
 
 // Where a piece of a text stands.
-struct Place {
+struct TextSpan {
   std::size_t at = 0, size = 0;
 };
 // A statement in one of the two forms that stores take, checked to its last byte; the views point into its
 // text. Guards stores against what they can't read, on which they close.
 struct Statement {
   bool writes = false;
-  std::string_view id, op_type, key;
-  double patience = 0;  // ms, as the client gives it
+  std::string_view id, request_class, key;
+  double remaining = 0;  // ms, as the client gives it
   int group = 0;
   double position = 0;     // that the read has to see; 0: none
   std::string_view token;  // empty: none
   bool repeat = false;
-  Place patience_place;
+  TextSpan patience_place;
 };
 // In capitals; empty: nothing but blanks and semicolons.
 std::string first_word(std::string_view text);
 std::variant<Statement, Fault> read_statement(std::string_view text);
 // The same text with another patience.
-std::string with_patience(std::string_view text, Place place, double patience);
+std::string with_patience(std::string_view text, TextSpan place, double patience);
 
 // Bodies of what a store answers.
 struct ErrorFields {
@@ -93,4 +93,4 @@
 std::string error(Severity severity, std::string_view code, std::string_view text,
                   std::string_view detail = "");
 
-}  // namespace reedspindle::links::pgwire
+}  // namespace reedspindle::postgres
--- a/src/front/arrival_bound.hpp
+++ b/src/proxy/arrival_bound.hpp
@@ -12,9 +12,9 @@
 #include <algorithm>
 #include <array>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 class ArrivalBound {
  public:
@@ -58,4 +58,4 @@
   std::array<Millis, 3> sent_{};  // when the last markers were sent, the last one first
 };
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/clients.cpp
+++ b/src/proxy/client_connections.cpp
@@ -1,4 +1,4 @@
-#include "front/clients.hpp"
+#include "proxy/client_connections.hpp"
 
 #include <poll.h>
 
@@ -6,13 +6,13 @@
 #include <random>
 #include <utility>
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 using Tcp = asio::ip::tcp;
 
 namespace {
 // What a client may send ahead of its answers: one message of the longest kind.
-constexpr std::size_t kAhead = pgwire::kLongestMessage + 5;
+constexpr std::size_t kAhead = postgres::kLongestMessage + 5;
 // How many commands of one connection are handled side by side. A command that waits longer than its client
 // does, behind answers to others, is lost; some times what a client sends within one slow answer.
 constexpr std::size_t kPipelined = 64;
@@ -35,11 +35,11 @@
 constexpr int kFaultsInARow = 8;
 }  // namespace
 
-struct Clients::Connection {
-  Connection(Tcp::socket accepted, Allowance& buffers, Allowance& replies)
+struct ClientConnections::Connection {
+  Connection(Tcp::socket accepted, net::Allowance& buffers, net::Allowance& replies)
       : socket(std::move(accepted)), buffer(buffers), owed(replies) {}
   Tcp::socket socket;
-  Buffer buffer;
+  net::Buffer buffer;
   PendingReplies owed;
   std::string out;  // being written
   // starting: before the startup message. closing: no more commands are taken, what is owed is still written.
@@ -48,31 +48,32 @@
   bool writing = false, reading = false, skipping = false, ended = false;
   bool commanded = false;  // a whole command has come
   int faults = 0;          // in a row
-  std::optional<pgwire::CancelKey> key;
+  std::optional<postgres::CancelKey> key;
   std::size_t read_out = 0;
-  Millis since = 0;                     // when it came, was last heard or last answered
-  std::optional<Timers::Handle> limit;  // of what the client owes, or of reading it out
+  Millis since = 0;                          // when it came, was last heard or last answered
+  std::optional<net::Timers::Handle> limit;  // of what the client owes, or of reading it out
   std::list<Connected>::iterator place;
 
   static State state_of(const Connected& connection) { return connection->state; }
 };
 
-Clients::Clients(asio::io_context& io, Timers& timers, const Clock& clock, Log& log,
-                 const Placement& placement, RequestOwner& owner)
+ClientConnections::ClientConnections(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                                     logging::Log& log, const config::InstanceConfig& config,
+                                     RequestOwner& owner)
     : io_(io),
       timers_(timers),
       clock_(clock),
       log_(log),
-      placement_(placement),
+      config_(config),
       owner_(owner),
       acceptor_(io),
-      allowance_(placement.memory / 8),
-      reply_allowance_(placement.memory / 8) {}
+      allowance_(config.memory / 8),
+      reply_allowance_(config.memory / 8) {}
 
-void Clients::listen() {
-  acceptor_.open(placement_.listen.protocol());
+void ClientConnections::listen() {
+  acceptor_.open(config_.listen.protocol());
   acceptor_.set_option(Tcp::acceptor::reuse_address(true));
-  acceptor_.bind(placement_.listen);
+  acceptor_.bind(config_.listen);
   acceptor_.listen();
   acceptor_.non_blocking(true);
   accept();
@@ -83,11 +84,11 @@
 // idle for long, the longest first; above a quarter, any that is idle. Guards usual clients, who may hold no
 // more than their part, against those that ask once and stay: no new connection comes then, for which one
 // would have to give way.
-void Clients::look_round() {
-  const std::size_t kept = placement_.sockets / 6;
+void ClientConnections::look_round() {
+  const std::size_t kept = config_.sockets / 6;
   std::vector<Connected> idle;
   std::vector<Connected> gone;
-  const Millis long_ago = clock_.now() - (staying() > placement_.sockets / 4 ? kKeptWhenCrowded : kKept);
+  const Millis long_ago = clock_.now() - (staying() > config_.sockets / 4 ? kKeptWhenCrowded : kKept);
   for (const Connected& connection : connections_) {
     const bool rested = connection->commanded && connection->since < long_ago;
     if (staying() > kept && rested && gives_way(*connection)) idle.push_back(connection);
@@ -103,12 +104,12 @@
 }
 
 // Commands are taken from it.
-bool Clients::listens(const Connection& connection) {
+bool ClientConnections::listens(const Connection& connection) {
   return connection.state == Connection::State::starting || connection.state == Connection::State::open;
 }
 
 // Nothing is owed on it by either side, and nothing is on its way into the front already.
-bool Clients::gives_way(Connection& connection) {
+bool ClientConnections::gives_way(Connection& connection) {
   asio::error_code fault;
   return listens(connection) && !connection.writing && connection.owed.empty() &&
          connection.socket.available(fault) == 0;
@@ -116,20 +117,20 @@
 
 // Whether the client has closed a connection that is not read now. Guards against sending on what a client
 // left behind that sent more than is read ahead: the end of its connection lies behind all of that.
-bool Clients::hung_up(Connection& connection) {
+bool ClientConnections::hung_up(Connection& connection) {
   pollfd look{connection.socket.native_handle(), POLLRDHUP, 0};
   return ::poll(&look, 1, 0) == 1 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Clients::be_ready() {
+void ClientConnections::be_ready() {
   if (std::exchange(ready_, true)) return;
   for (const Connected& connection : std::list(connections_)) {
-    connection->owed.complete_readiness(pgwire::empty_answer());
+    connection->owed.complete_readiness(postgres::empty_answer());
     flush(*connection);
   }
 }
 
-void Clients::accept() {
+void ClientConnections::accept() {
   acceptor_.async_accept([this](const asio::error_code& fault, Tcp::socket socket) {
     if (!fault) accepted(std::move(socket));  // also one that came just before a drain stopped listening
     if (!acceptor_.is_open()) return;
@@ -142,13 +143,13 @@
   });
 }
 
-void Clients::accepted(Tcp::socket socket) {
+void ClientConnections::accepted(Tcp::socket socket) {
   asio::error_code ignored;
   socket.set_option(Tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
   const auto connection = std::make_shared<Connection>(std::move(socket), allowance_, reply_allowance_);
   connection->since = clock_.now();
-  const bool room = staying() < placement_.client_connections() || make_room();
+  const bool room = staying() < config_.client_connections() || make_room();
   connection->place = connections_.insert(connections_.end(), connection);
   if (!room) {
     log_.warn("clients", "connection turned away", {{"why", "the clients' share of descriptors"}});
@@ -162,16 +163,16 @@
 
 // Those that are being ended have a share of their own; the first of them has had the most time to read.
 // Once the front takes no more connections, nobody needs their descriptors.
-void Clients::end_leaving() {
+void ClientConnections::end_leaving() {
   if (drained_) return;
-  while (leaving_ > placement_.leaving_connections())
+  while (leaving_ > config_.leaving_connections())
     give_back(**std::ranges::find(connections_, Connection::State::leaving, &Connection::state_of));
 }
 
 // Near the limit the connections go first that no usual client misses: one that has never sent anything, one
 // that has been idle or in mid-message longest. Guards usual clients against those that connect and keep
 // silent.
-bool Clients::make_room() {
+bool ClientConnections::make_room() {
   Connection* silent = nullptr;
   Connection* idle = nullptr;
   for (const Connected& connection : connections_) {
@@ -195,7 +196,7 @@
 // Waits until there is something to read, and reads it in the moment in which it is taken. Guards against
 // bytes that have left the kernel while their connection is being ended: the client could not know that its
 // request was not read.
-void Clients::read(const Connected& connection) {
+void ClientConnections::read(const Connected& connection) {
   using State = Connection::State;
   if (connection->reading || connection->state == State::given_back) return;
   const bool reads_out = !listens(*connection);
@@ -209,7 +210,7 @@
   });
 }
 
-void Clients::read_now(const Connected& connection) {
+void ClientConnections::read_now(const Connected& connection) {
   const auto room = connection->buffer.room(2048);
   if (room.empty()) {
     log_.warn("clients", "connection ended", {{"why", "clients make the front hold too much"}});
@@ -231,7 +232,7 @@
 
 // What the client owes, with its limit: guards against those that say nothing, stop in mid-message, send
 // without an end or do not read.
-void Clients::judge(Connection& connection) {
+void ClientConnections::judge(Connection& connection) {
   using State = Connection::State;
   if (connection.state == State::leaving || connection.state == State::given_back) return;
   const bool mid_message = !connection.buffer.held().empty() && connection.owed.size() < kPipelined;
@@ -245,7 +246,7 @@
       });
 }
 
-void Clients::limit_passed(Connection& connection) {
+void ClientConnections::limit_passed(Connection& connection) {
   if (connection.writing) return cut_off(connection);
   log_.warn("clients", "connection ended", {{"why", "no whole command in time"}});
   end_with(connection, "57P05", "no whole command in time");
@@ -254,20 +255,20 @@
 // Takes the commands that are held, one after the other, up to as many as are handled side by side. One that
 // is answered on the spot ends the turn, which the end of its writing goes on with: a client that sends many
 // such commands at once waits behind the others after each.
-void Clients::take_commands(Connection& connection) {
+void ClientConnections::take_commands(Connection& connection) {
   using State = Connection::State;
   while (listens(connection) && connection.owed.size() < kPipelined) {
     if (!connection.reading && connection.buffer.held().size() >= kAhead && hung_up(connection))
       return left(connection);
     const std::string_view held = connection.buffer.held();
     const bool starting = connection.state == State::starting;
-    const pgwire::Read next = starting ? pgwire::read_startup(held) : pgwire::read_from_client(held);
-    if (std::holds_alternative<pgwire::Partial>(next)) break;
-    if (const auto* fault = std::get_if<pgwire::Fault>(&next)) {
+    const postgres::Read next = starting ? postgres::read_startup(held) : postgres::read_from_client(held);
+    if (std::holds_alternative<postgres::Partial>(next)) break;
+    if (const auto* fault = std::get_if<postgres::Fault>(&next)) {
       log_.warn("clients", "connection ended", {{"why", fault->text}});
       return end_with(connection, fault->code, fault->text);
     }
-    const pgwire::Message message = std::get<pgwire::Message>(next);
+    const postgres::Message message = std::get<postgres::Message>(next);
     const std::size_t size = message.bytes.size();
     connection.commanded = connection.commanded || !starting;
     const Taken taken = take(connection, message);
@@ -282,7 +283,7 @@
   judge(connection);
 }
 
-Clients::Taken Clients::take(Connection& connection, const pgwire::Message& message) {
+ClientConnections::Taken ClientConnections::take(Connection& connection, const postgres::Message& message) {
   if (connection.state == Connection::State::starting) return take_startup(connection, message);
   if (message.type == 'X') {
     close_after_replies(connection);
@@ -290,7 +291,7 @@
   }
   if (message.type == 'S') {
     connection.skipping = false;
-    return reply(connection, pgwire::ready());
+    return reply(connection, postgres::ready());
   }
   if (connection.skipping) return Taken::pending;
   if (message.type == 'Q') {
@@ -301,51 +302,52 @@
   }
   // The extended protocol: passed over up to its Sync, as the protocol has it after an error.
   connection.skipping = message.type != 'F';
-  return reply(connection, pgwire::error(pgwire::Severity::error, "0A000", "simple queries only") +
-                               (connection.skipping ? "" : pgwire::ready()));
+  return reply(connection, postgres::error(postgres::Severity::error, "0A000", "simple queries only") +
+                               (connection.skipping ? "" : postgres::ready()));
 }
 
-Clients::Taken Clients::take_startup(Connection& connection, const pgwire::Message& message) {
-  switch (pgwire::startup_kind(message)) {
-    case pgwire::Startup::encryption:
+ClientConnections::Taken ClientConnections::take_startup(Connection& connection,
+                                                         const postgres::Message& message) {
+  switch (postgres::startup_kind(message)) {
+    case postgres::Startup::encryption:
       return reply(connection, "N");
-    case pgwire::Startup::session:
+    case postgres::Startup::session:
       connection.state = Connection::State::open;
-      connection.key = pgwire::CancelKey{++last_connection_, std::random_device()()};
+      connection.key = postgres::CancelKey{++last_connection_, std::random_device()()};
       keys_[*connection.key] = &connection;
-      return reply(connection, pgwire::welcome(*connection.key));
-    case pgwire::Startup::cancel:
-      if (const auto key = pgwire::cancel_key(message)) cancel(*key);
+      return reply(connection, postgres::welcome(*connection.key));
+    case postgres::Startup::cancel:
+      if (const auto key = postgres::cancel_key(message)) cancel(*key);
       close_after_replies(connection);
       break;
-    case pgwire::Startup::unknown:
+    case postgres::Startup::unknown:
       end_with(connection, "0A000", "version 3 of the protocol is spoken");
       break;
   }
   return Taken::answered;
 }
 
-Clients::Taken Clients::take_query(Connection& connection, std::string_view text) {
-  const std::string word = pgwire::first_word(text);
+ClientConnections::Taken ClientConnections::take_query(Connection& connection, std::string_view text) {
+  const std::string word = postgres::first_word(text);
   if (word.empty()) {
-    if (ready_) return reply(connection, pgwire::empty_answer());
+    if (ready_) return reply(connection, postgres::empty_answer());
     connection.owed.add_readiness();
     return Taken::answered;
   }
   for (const char* harmless : {"SET", "RESET", "DISCARD"})
-    if (word == harmless) return reply(connection, pgwire::completed(harmless) + pgwire::ready());
+    if (word == harmless) return reply(connection, postgres::completed(harmless) + postgres::ready());
   return take_statement(connection, text);
 }
 
-Clients::Taken Clients::take_statement(Connection& connection, std::string_view text) {
-  const auto read = pgwire::read_statement(text);
-  std::optional<pgwire::Fault> fault;
-  const OpId request{++last_request_};
-  if (const auto* statement = std::get_if<pgwire::Statement>(&read))
-    fault = refusing_ ? pgwire::Fault{"57P03", "the front is stopping"}
+ClientConnections::Taken ClientConnections::take_statement(Connection& connection, std::string_view text) {
+  const auto read = postgres::read_statement(text);
+  std::optional<postgres::Fault> fault;
+  const RequestId request{++last_request_};
+  if (const auto* statement = std::get_if<postgres::Statement>(&read))
+    fault = refusing_ ? postgres::Fault{"57P03", "the front is stopping"}
                       : owner_.request_arrived(request, text, *statement);
   else
-    fault = std::get<pgwire::Fault>(read);
+    fault = std::get<postgres::Fault>(read);
   if (!fault) {
     connection.faults = 0;
     connection.owed.add_request(request);
@@ -358,41 +360,41 @@
     return Taken::answered;
   }
   return reply(connection,
-               pgwire::error(pgwire::Severity::error, fault->code, fault->text) + pgwire::ready());
+               postgres::error(postgres::Severity::error, fault->code, fault->text) + postgres::ready());
 }
 
-void Clients::answer(OpId request, std::string bytes) {
+void ClientConnections::answer(RequestId request, std::string bytes) {
   const auto found = asking_.find(request);
   if (found == asking_.end()) return;
   Connection& connection = *found->second;
   asking_.erase(found);
   connection.since = clock_.now();
   static const std::string kNotHeld =
-      pgwire::error(pgwire::Severity::error, "53200", "answers that wait behind others take too much") +
-      pgwire::ready();
-  connection.owed.complete(request, std::move(bytes) + pgwire::ready(), kNotHeld);
+      postgres::error(postgres::Severity::error, "53200", "answers that wait behind others take too much") +
+      postgres::ready();
+  connection.owed.complete(request, std::move(bytes) + postgres::ready(), kNotHeld);
   flush(connection);
 }
 
 // The oldest request of that connection, whose client has given up on it: nothing more is sent of it.
 // Answered at once, as the protocol has it; a key that is nobody's does nothing.
-void Clients::cancel(const pgwire::CancelKey& key) {
+void ClientConnections::cancel(const postgres::CancelKey& key) {
   const auto found = keys_.find(key);
   if (found == keys_.end()) return;
-  const std::vector<OpId> open = found->second->owed.open_requests();
+  const std::vector<RequestId> open = found->second->owed.open_requests();
   if (open.empty()) return;
   owner_.request_abandoned(open.front());
-  answer(open.front(), pgwire::error(pgwire::Severity::error, "57014", "canceled on user request"));
+  answer(open.front(), postgres::error(postgres::Severity::error, "57014", "canceled on user request"));
 }
 
-Clients::Taken Clients::reply(Connection& connection, std::string bytes) {
+ClientConnections::Taken ClientConnections::reply(Connection& connection, std::string bytes) {
   connection.owed.add_complete(std::move(bytes));
   flush(connection);
   return Taken::answered;
 }
 
 // Writes the replies that are next, unless some are being written.
-void Clients::flush(Connection& connection) {
+void ClientConnections::flush(Connection& connection) {
   if (connection.writing || connection.state == Connection::State::given_back) return;
   connection.out = connection.owed.take_complete();
   if (connection.out.empty()) return;
@@ -408,7 +410,7 @@
   judge(connection);
 }
 
-void Clients::written(Connection& connection) {
+void ClientConnections::written(Connection& connection) {
   const Connected held = *connection.place;
   if (connection.state == Connection::State::leaving) return leave(connection);
   timers_.drop(connection.limit);
@@ -421,13 +423,13 @@
   read(held);
 }
 
-void Clients::end_with(Connection& connection, std::string_view code, std::string_view text) {
-  connection.owed.add_complete(pgwire::error(pgwire::Severity::fatal, code, text));
+void ClientConnections::end_with(Connection& connection, std::string_view code, std::string_view text) {
+  connection.owed.add_complete(postgres::error(postgres::Severity::fatal, code, text));
   close_after_replies(connection);
 }
 
 // Takes no more commands; the connection is ended once all that is owed on it is written.
-void Clients::close_after_replies(Connection& connection) {
+void ClientConnections::close_after_replies(Connection& connection) {
   const Connected held = *connection.place;
   connection.state = Connection::State::closing;
   connection.buffer.consume(connection.buffer.held().size());
@@ -441,7 +443,7 @@
 // Ends a connection in good order: what is written goes out, then the sending side is ended, and what the
 // client still sends is read out, for a connection closed before that would take the last answer with it. One
 // message's worth of it: who sends on at full speed is left unread until the time is over.
-void Clients::leave(Connection& connection) {
+void ClientConnections::leave(Connection& connection) {
   const Connected held = *connection.place;
   if (connection.state != Connection::State::leaving) {
     connection.state = Connection::State::leaving;
@@ -462,14 +464,14 @@
 }
 
 // The client does not take what is written to it, or makes the front hold too much.
-void Clients::cut_off(Connection& connection) {
+void ClientConnections::cut_off(Connection& connection) {
   if (connection.owed.open_requests().empty()) return give_back(connection);
   judge(connection);  // its requests are answered first
 }
 
 // The client has ended the connection.
-void Clients::left(Connection& connection) {
-  for (const OpId request : connection.owed.open_requests()) {
+void ClientConnections::left(Connection& connection) {
+  for (const RequestId request : connection.owed.open_requests()) {
     asking_.erase(request);
     owner_.request_abandoned(request);
   }
@@ -477,7 +479,7 @@
 }
 
 // Connections are given back here and nowhere else.
-void Clients::give_back(Connection& connection) {
+void ClientConnections::give_back(Connection& connection) {
   if (connection.state == Connection::State::given_back) return;
   if (connection.state == Connection::State::leaving) --leaving_;
   connection.state = Connection::State::given_back;
@@ -489,13 +491,13 @@
   connections_.erase(connection.place);
 }
 
-void Clients::drain() {
+void ClientConnections::drain() {
   if (std::exchange(draining_, true)) return;
   // Between the two figures, so that what comes last is both taken and spared.
   drain_ = timers_.set(clock_.now() + (kStillComing + kSpared) / 2, [this] { stop_listening(); });
 }
 
-void Clients::stop_listening() {
+void ClientConnections::stop_listening() {
   drained_ = true;
   asio::error_code fault;
   while (acceptor_.is_open() && !fault) {
@@ -510,7 +512,7 @@
 
 // What has just come up may have had a question on its way; what says nothing by now has none. Guards against
 // clients that send one command behind the other: their connections would never be at rest.
-void Clients::refuse_requests() {
+void ClientConnections::refuse_requests() {
   drain_.reset();
   refusing_ = true;
   for (const Connected& connection : std::list(connections_)) {
@@ -521,7 +523,7 @@
   }
 }
 
-void Clients::stop() {
+void ClientConnections::stop() {
   timers_.drop(pause_);
   timers_.drop(look_);
   timers_.drop(drain_);
@@ -530,4 +532,4 @@
   while (!connections_.empty()) left(*connections_.front());
 }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/clients.hpp
+++ b/src/proxy/client_connections.hpp
@@ -8,37 +8,35 @@
 #include <optional>
 #include <string>
 
-#include "front/pending_replies.hpp"
-#include "links/buffer.hpp"
-#include "links/clock.hpp"
-#include "links/log.hpp"
-#include "links/pgwire.hpp"
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
+#include "logging/log.hpp"
+#include "net/buffer.hpp"
+#include "net/clock.hpp"
+#include "postgres/codec.hpp"
+#include "proxy/pending_replies.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
-using namespace links;
-
-class Clients {
+class ClientConnections {
  public:
   // Who owns the requests. One that can't be taken is answered at once, which a fault says.
   struct RequestOwner {
     virtual ~RequestOwner() = default;
-    virtual std::optional<pgwire::Fault> request_arrived(OpId request, std::string_view text,
-                                                         const pgwire::Statement& statement) = 0;
+    virtual std::optional<postgres::Fault> request_arrived(RequestId request, std::string_view text,
+                                                           const postgres::Statement& statement) = 0;
     // Its client has gone: nobody waits for the answer.
-    virtual void request_abandoned(OpId request) = 0;
+    virtual void request_abandoned(RequestId request) = 0;
   };
 
-  Clients(asio::io_context& io, Timers& timers, const Clock& clock, Log& log, const Placement& placement,
-          RequestOwner& owner);
+  ClientConnections(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
+                    const config::InstanceConfig& config, RequestOwner& owner);
 
   // From now on connections are taken.
   void listen();
   // From now on empty queries are answered, by which clients are sent here.
   void be_ready();
   // The final answer of a request, without ReadyForQuery.
-  void answer(OpId request, std::string bytes);
+  void answer(RequestId request, std::string bytes);
   // The front is to stop: connections go on being taken for as long as they still come, then each is ended
   // between requests.
   void drain();
@@ -68,14 +66,14 @@
   void read(const Connected& connection);
   void read_now(const Connected& connection);
   void take_commands(Connection& connection);
-  Taken take(Connection& connection, const pgwire::Message& message);
-  Taken take_startup(Connection& connection, const pgwire::Message& message);
+  Taken take(Connection& connection, const postgres::Message& message);
+  Taken take_startup(Connection& connection, const postgres::Message& message);
   Taken take_query(Connection& connection, std::string_view text);
   Taken take_statement(Connection& connection, std::string_view text);
   Taken reply(Connection& connection, std::string bytes);
   void flush(Connection& connection);
   void written(Connection& connection);
-  void cancel(const pgwire::CancelKey& key);
+  void cancel(const postgres::CancelKey& key);
   void end_with(Connection& connection, std::string_view code, std::string_view text);
   void close_after_replies(Connection& connection);
   void leave(Connection& connection);
@@ -83,25 +81,25 @@
   void give_back(Connection& connection);
 
   asio::io_context& io_;
-  Timers& timers_;
-  const Clock& clock_;
-  Log& log_;
-  const Placement& placement_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
+  logging::Log& log_;
+  const config::InstanceConfig& config_;
   RequestOwner& owner_;
   asio::ip::tcp::acceptor acceptor_;
-  Allowance allowance_;               // what is held of what clients send
-  Allowance reply_allowance_;         // of replies that wait behind others
+  net::Allowance allowance_;          // what is held of what clients send
+  net::Allowance reply_allowance_;    // of replies that wait behind others
   std::list<Connected> connections_;  // the one owner of each
-  std::map<OpId, Connection*> asking_;
+  std::map<RequestId, Connection*> asking_;
   std::size_t leaving_ = 0;  // of these, how many are being ended
-  std::map<pgwire::CancelKey, Connection*> keys_;
+  std::map<postgres::CancelKey, Connection*> keys_;
   std::uint64_t last_request_ = 0;
   std::uint32_t last_connection_ = 0;
   bool ready_ = false;
   bool draining_ = false;  // told to stop
   bool drained_ = false;   // no connection is taken any more
   bool refusing_ = false;  // nor a request
-  std::optional<Timers::Handle> pause_, drain_, look_;
+  std::optional<net::Timers::Handle> pause_, drain_, look_;
 };
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/tier.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "front/tier.hpp"
+#include "proxy/fleet_coordinator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 namespace {
 
 // The status file is written at most so often, and at least so often, by which readers see that it is alive.
@@ -15,43 +15,45 @@
 
 }  // namespace
 
-Tier::Tier(Timers& timers, const Clock& clock, Log& log, const Placement& placement, const Fleet& fleet,
-           Peers& peers, Members& members, Among among, Listed listed, Steered steered)
+FleetCoordinator::FleetCoordinator(net::Timers& timers, const net::Clock& clock, logging::Log& log,
+                                   const config::InstanceConfig& config, const FleetOptions& fleet,
+                                   PeerSocket& peers, upstream::ConnectionPool& members, Among among,
+                                   Listed listed, Steered steered)
     : timers_(timers),
       clock_(clock),
       log_(log),
       peers_(peers),
       members_(members),
       path_(fleet.status),
-      charge_(charge_of(fleet, placement)),
-      membership_{membership::make_membership(charge_, placement.seed), {}},
-      sharing_(fleet.shares),
+      charge_(membership_options(fleet, config)),
+      membership_{membership::make_membership(charge_, config.seed), {}},
+      sharing_(fleet.quota),
       connections_(fleet.connections),
-      acts_pace_(fleet.accord ? fleet.accord->pace : 0),
+      acts_pace_(fleet.consistency ? fleet.consistency->pace : 0),
       among_(std::move(among)),
       listed_(std::move(listed)),
       steered_(std::move(steered)),
       places_(charge_.places) {
-  peers_.hand_over(membership::is_for_membership, [this](int peer, std::string bytes) {
-    settle(membership::Heard{{peer}, std::move(bytes)});
+  peers_.hand_over(membership::is_membership_message, [this](int peer, std::string bytes) {
+    settle(DatagramReceived{{peer}, std::move(bytes)});
   });
-  if (fleet.accord) {
-    accord::Charge charge = *fleet.accord;
+  if (fleet.consistency) {
+    consistency::Options charge = *fleet.consistency;
     charge.place = charge_.place;
-    accord_.core = accord::make_accord(charge, placement.seed);
-    peers_.hand_over(accord::is_for_accord, [this](int peer, std::string bytes) {
-      compare(accord::Heard{{peer}, std::move(bytes)});
+    consistency_.core = consistency::make_consistency_monitor(charge, config.seed);
+    peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
+      compare(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
   if (sharing_) {
     sharing_->place = charge_.place;
-    shares_.core = shares::make_shares(*sharing_, placement.seed);
+    quota_.core = quota::make_quota_manager(*sharing_, config.seed);
     use_.emplace(*sharing_, connections_);
-    peers_.hand_over(shares::is_for_shares, [this](int peer, std::string bytes) {
-      share(shares::Heard{{peer}, std::move(bytes)});
+    peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
+      share(DatagramReceived{{peer}, std::move(bytes)});
     });
     peers_.on_refusals([this](int peer, std::string bytes) {
-      share(shares::Refused{{peer}, std::move(bytes)});
+      share(quota::Refused{{peer}, std::move(bytes)});
     });
     share(std::nullopt);
     tell_need();
@@ -62,27 +64,27 @@
   write_status();
 }
 
-void Tier::listed(int places) {
+void FleetCoordinator::listed(int places) {
   places_ = places;
   settle(membership::Listed{places});
   tell_fellows();
 }
 
 // A list that comes in parts is compared once the last of them is there.
-void Tier::list_read(const ServerList& list) {
-  if (!accord_.core || list.kind == ListKind::failed) return;
-  for (const ListedServer& server : list.servers) parts_.push_back(server.entry);
+void FleetCoordinator::list_read(const net::EndpointList& list) {
+  if (!consistency_.core || list.kind == EndpointListKind::failed) return;
+  for (const net::ListedEndpoint& server : list.servers) parts_.push_back(server.entry);
   if (!list.last) return;
   list_.learn(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
-  if (list.kind != ListKind::saved) compare(accord::Confirmed{});
+  if (list.kind != EndpointListKind::saved) compare(consistency::Confirmed{});
 }
 
-void Tier::leave() { settle(membership::Leaving{}); }
+void FleetCoordinator::leave() { settle(membership::Leaving{}); }
 
-void Tier::stop() {
+void FleetCoordinator::stop() {
   // Its connections to stores are closed by now.
-  if (shares_.core) share(shares::Leaving{});
-  for (auto* timer : {&shares_.wake, &need_, &membership_.wake, &accord_.wake, &acts_, &write_})
+  if (quota_.core) share(quota::Leaving{});
+  for (auto* timer : {&quota_.wake, &need_, &membership_.wake, &consistency_.wake, &acts_, &write_})
     timers_.drop(*timer);
   write_status();
   timers_.drop(write_);
@@ -90,8 +92,8 @@
 
 // What one has decided: datagrams and its next turn are alike for all of them.
 template <typename Core>
-void Tier::turn(Driven<Core>& driven) {
-  for (const auto& decision : driven.core->settle(clock_.now()))
+void FleetCoordinator::turn(Driven<Core>& driven) {
+  for (const auto& decision : driven.core->process(clock_.now()))
     std::visit(
         [&](const auto& taken) {
           if constexpr (requires { taken.to, taken.bytes; }) {
@@ -109,77 +111,77 @@
   tell_fellows();
 }
 
-void Tier::settle(std::optional<membership::Event> event) {
-  if (event) membership_.core->note(std::move(*event));
+void FleetCoordinator::settle(std::optional<membership::Event> event) {
+  if (event) membership_.core->enqueue(std::move(*event));
   turn(membership_);
 }
 
-void Tier::share(std::optional<shares::Event> event) {
-  if (event) shares_.core->note(std::move(*event));
-  turn(shares_);
+void FleetCoordinator::share(std::optional<quota::Event> event) {
+  if (event) quota_.core->enqueue(std::move(*event));
+  turn(quota_);
 }
 
-void Tier::compare(accord::Event event) {
-  accord_.core->note(std::move(event));
-  turn(accord_);
+void FleetCoordinator::compare(consistency::Event event) {
+  consistency_.core->enqueue(std::move(event));
+  turn(consistency_);
 }
 
-std::set<membership::Place> Tier::there() const { return membership::there_in(membership_.core->view()); }
+std::set<SlotId> FleetCoordinator::there() const { return membership::there_in(membership_.core->view()); }
 
 // The membership's view has changed.
-void Tier::tell_fellows() {
-  if (shares_.core) share(shares::Fellows{there()});
+void FleetCoordinator::tell_fellows() {
+  if (quota_.core) share(quota::PeersChanged{there()});
   tell_who_counts();
 }
 
 // That, or how many count.
-void Tier::tell_who_counts() {
-  if (!accord_.core) return;
-  compare(accord::Fellows{there(), shares_.core ? part_.among : places_});
+void FleetCoordinator::tell_who_counts() {
+  if (!consistency_.core) return;
+  compare(consistency::PeersChanged{there(), quota_.core ? part_.among : places_});
   tell_module();
 }
 
 // What this front acts on, looked at once a pace.
-void Tier::tell_acts() {
-  if (!accord_.core) return;
-  accord::Account account;
+void FleetCoordinator::tell_acts() {
+  if (!consistency_.core) return;
+  consistency::Account account;
   account.revision = list_.revision();
-  account.sums = {list_.sum(), accord::sum_of_primaries(steered_()),
-                  accord::sum_of_view(there(), charge_.place)};
+  account.sums = {list_.sum(), consistency::sum_of_primaries(steered_()),
+                  consistency::sum_of_view(there(), charge_.place)};
   std::set<std::uint32_t> ready;
   for (const auto& [mark, entry] : list_.ready()) ready.insert(mark);
-  compare(accord::Acts{account, std::move(ready)});
+  compare(consistency::Acts{account, std::move(ready)});
   write_later();
   acts_ = timers_.set(clock_.now() + acts_pace_, [this] { acts_.reset(), tell_acts(); });
 }
 
 // Without an accord the module goes by what it hears, as ever.
-void Tier::tell_module() {
-  if (!accord_.core) return;
-  AmongPeers among;
-  for (const membership::Place place : there()) among.there.insert(place.number);
-  if (shares_.core) among.of_all = static_cast<double>(part_.among) / sharing_->fleet;
-  const accord::Allowed allowed = accord_.core->view().allowed;
-  among.writes = allowed.writes, among.reads = allowed.reads;
+void FleetCoordinator::tell_module() {
+  if (!consistency_.core) return;
+  FleetViewChanged among;
+  for (const SlotId place : there()) among.alive_peers.insert(place.number);
+  if (quota_.core) among.fleet_share = static_cast<double>(part_.among) / sharing_->fleet;
+  const consistency::Allowed allowed = consistency_.core->view().allowed;
+  among.primary_only_allowed = allowed.writes, among.reads_allowed = allowed.reads;
   if (among == told_) return;
   told_ = among;
   among_(std::move(among));
 }
 
-void Tier::write_later() {
+void FleetCoordinator::write_later() {
   if (path_.empty()) return;
   timers_.drop(write_);
   write_ =
       timers_.set(std::max(clock_.now(), written_ + kWriteAfter), [this] { write_.reset(), write_status(); });
 }
 
-void Tier::look() {
-  if (shares_.core &&
-      shares::connections_of(shares_.core->part(clock_.now()), *sharing_, connections_) != limit_)
+void FleetCoordinator::look() {
+  if (quota_.core &&
+      quota::connections_of(quota_.core->part(clock_.now()), *sharing_, connections_) != limit_)
     share(std::nullopt);
 }
 
-void Tier::tell_need() {
+void FleetCoordinator::tell_need() {
   need_ = timers_.set(clock_.now() + sharing_->lease / 6, [this] {
     need_.reset();
     share(use_->demand(members_.take_need()));
@@ -187,24 +189,24 @@
   });
 }
 
-void Tier::carry_out(const shares::Found& decision) {
-  const bool warns = decision.finding == shares::Finding::other_terms;
+void FleetCoordinator::carry_out(const quota::Found& decision) {
+  const bool warns = decision.finding == quota::Finding::other_terms;
   (warns ? log_.warn("shares", word_of(decision.finding), {{"place", decision.place.number}})
          : log_.info("shares", word_of(decision.finding), {{"place", decision.place.number}}));
 }
 
-void Tier::carry_out(const shares::Changed& decision) {
+void FleetCoordinator::carry_out(const quota::Changed& decision) {
   const bool counts = part_.among != decision.part.among;
   part_ = decision.part;
-  limit_ = shares::connections_of(decision.part, *sharing_, connections_);
+  limit_ = quota::connections_of(decision.part, *sharing_, connections_);
   members_.limit(limit_.open, limit_.hold);
   log_.debug("shares", "part", {{"open", decision.part.open}, {"hold", decision.part.hold}});
   if (counts) tell_who_counts();
   write_later();
 }
 
-void Tier::carry_out(const accord::Found& decision) {
-  using accord::Finding;
+void FleetCoordinator::carry_out(const consistency::Found& decision) {
+  using consistency::Finding;
   write_later();
   const long long ms = std::llround(decision.span);
   const char* event = word_of(decision.finding);
@@ -227,24 +229,24 @@
   }
 }
 
-void Tier::carry_out(const accord::Allowed&) { tell_module(); }
+void FleetCoordinator::carry_out(const consistency::Allowed&) { tell_module(); }
 
 // To the module it is as if the list said that these drain, and that the others do as it says itself.
-void Tier::carry_out(const accord::Doubted& decision) {
-  ListRead read{ListKind::changes, {}};
+void FleetCoordinator::carry_out(const consistency::Doubted& decision) {
+  EndpointListReceived read{EndpointListKind::changes, {}};
   for (auto& [mark, entry] : list_.ready()) {
     const bool doubted = decision.marks.contains(mark);
     if (doubted == doubted_.contains(mark)) continue;
-    read.members.push_back(entry);
-    if (doubted) read.members.back().state = MemberState::draining;
+    read.servers.push_back(entry);
+    if (doubted) read.servers.back().state = ServerState::draining;
     log_.warn("accord", doubted ? "a later list has it no more" : "its own list counts again",
-              {{"member", entry.member.address}});
+              {{"member", entry.id.address}});
   }
   doubted_ = decision.marks;
-  if (!read.members.empty()) listed_(std::move(read));
+  if (!read.servers.empty()) listed_(std::move(read));
 }
 
-void Tier::carry_out(const membership::Change& decision) {
+void FleetCoordinator::carry_out(const membership::Change& decision) {
   changed_ = true;
   log_.info("fleet", word_of(decision.happening),
             {{"front", decision.name},
@@ -252,10 +254,10 @@
              {"incarnation", decision.incarnation.number}});
 }
 
-void Tier::carry_out(const membership::Found& decision) {
+void FleetCoordinator::carry_out(const membership::Found& decision) {
   using membership::Finding;
   changed_ = true;
-  const Field place{"place", decision.place.number};
+  const logging::Field place{"place", decision.place.number};
   switch (decision.finding) {
     case Finding::stopped:
       return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.span)}});
@@ -270,39 +272,40 @@
   }
 }
 
-std::string Tier::status() const {
+std::string FleetCoordinator::status() const {
   const membership::View view = membership_.core->view();
   nlohmann::json fellows = nlohmann::json::array();
-  for (const membership::FellowView& fellow : view.fellows)
+  for (const membership::PeerView& fellow : view.fellows)
     fellows.push_back({{"name", fellow.name},
                        {"place", fellow.place.number},
                        {"standing", word_of(fellow.standing)},
                        {"incarnation", fellow.incarnation.number},
                        {"since", std::llround(fellow.since)}});
-  nlohmann::json shares;
-  if (shares_.core) {
-    const shares::View shared = shares_.core->view();
-    shares = {{"open", shared.part.open},   {"hold", shared.part.hold}, {"connections", limit_.hold},
-              {"among", shared.part.among}, {"office", shared.office},  {"holder", shared.holder.number},
-              {"pool", shared.pool},        {"given", shared.given},    {"dropped", shared.dropped}};
+  nlohmann::json quota;
+  if (quota_.core) {
+    const quota::View shared = quota_.core->view();
+    quota = {{"open", shared.part.open},   {"hold", shared.part.hold}, {"connections", limit_.hold},
+             {"among", shared.part.among}, {"office", shared.office},  {"holder", shared.holder.number},
+             {"pool", shared.pool},        {"given", shared.given},    {"dropped", shared.dropped}};
   }
-  nlohmann::json accord;
-  if (accord_.core) {
-    const accord::View compared = accord_.core->view();
-    accord = {{"contact", std::llround(compared.contact)},
-              {"cut_off", compared.cut_off},
-              {"writes", compared.allowed.writes},
-              {"reads", compared.allowed.reads},
-              {"doubted", compared.doubted.size()},
-              {"dropped", compared.dropped},
-              {"revision", list_.revision()}};
-    for (int matter = 0; matter < accord::kMatters; ++matter) {
-      const accord::Difference& difference = compared.differences[static_cast<std::size_t>(matter)];
-      accord[word_of(static_cast<accord::Matter>(matter))] = {{"differ", difference.differ},
-                                                              {"compared", difference.compared},
-                                                              {"since", std::llround(difference.since)},
-                                                              {"first", difference.first.number},
-                                                              {"behind", difference.behind}};
+  nlohmann::json consistency;
+  if (consistency_.core) {
+    const consistency::View compared = consistency_.core->view();
+    consistency = {{"contact", std::llround(compared.contact)},
+                   {"cut_off", compared.cut_off},
+                   {"writes", compared.allowed.writes},
+                   {"reads", compared.allowed.reads},
+                   {"doubted", compared.doubted.size()},
+                   {"dropped", compared.dropped},
+                   {"revision", list_.revision()}};
+    for (int matter = 0; matter < consistency::kMatters; ++matter) {
+      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(matter)];
+      consistency[word_of(static_cast<consistency::Matter>(matter))] = {
+          {"differ", difference.differ},
+          {"compared", difference.compared},
+          {"since", std::llround(difference.since)},
+          {"first", difference.first.number},
+          {"behind", difference.behind}};
     }
   }
   return nlohmann::json{{"name", charge_.name},
@@ -313,8 +316,8 @@
                         {"health", view.health},
                         {"yielded", view.yielded},
                         {"fellows", std::move(fellows)},
-                        {"shares", std::move(shares)},
-                        {"accord", std::move(accord)},
+                        {"shares", std::move(quota)},
+                        {"accord", std::move(consistency)},
                         {"dropped",
                          {{"unread", view.dropped.unread},
                           {"strange", view.dropped.strange},
@@ -324,7 +327,7 @@
 }
 
 // Whoever reads it finds a whole one: it is written beside and then takes the old one's name.
-void Tier::write_status() {
+void FleetCoordinator::write_status() {
   if (path_.empty()) return;
   written_ = clock_.now();
   const std::string beside = path_ + ".new";
@@ -336,4 +339,4 @@
   write_ = timers_.set(written_ + kWriteAtLeast, [this] { write_.reset(), write_status(); });
 }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/main.cpp
+++ b/src/proxy/main.cpp
@@ -5,17 +5,17 @@
 #include <exception>
 #include <iostream>
 
-#include "front/front.hpp"
-#include "front/held_signals.hpp"
 #include "operators/command.hpp"
-#include "values.hpp"
+#include "proxy/proxy_server.hpp"
+#include "proxy/signal_mask.hpp"
+#include "settings/settings.hpp"
 
 int main(int count, char** words) {
   using namespace reedspindle;
   std::signal(SIGPIPE, SIG_IGN);
-  front::hold_signals();
-  const auto run = [](const front::Orders& orders) {
-    front::Front([](const char* name) { return std::getenv(name); }, orders).run();
+  proxy::hold_signals();
+  const auto run = [](const proxy::ProxyOptions& orders) {
+    proxy::ProxyServer([](const char* name) { return std::getenv(name); }, orders).run();
   };
   try {
     if (count == 1) {
@@ -25,16 +25,16 @@
     return operators::command_line(
         {"reedspindle", "Steers the ops of a replicated store; where its placement is, ROUTER_CONFIG says",
          REEDSPINDLE_VERSION,
-         [](const operators::File& file, const std::string& path) { front::orders_in(file, path); },
+         [](const operators::File& file, const std::string& path) { proxy::proxy_options_in(file, path); },
          [&run](const operators::File& file, const std::string& path) {
            try {
-             run(front::orders_in(file, path));
-           } catch (const Malformed& fault) {
-             throw operators::Faulty({fmt::format("reedspindle: {}", fault.what())});
+             run(proxy::proxy_options_in(file, path));
+           } catch (const InvalidInput& fault) {
+             throw operators::InvalidFile({fmt::format("reedspindle: {}", fault.what())});
            }
          }},
         count, words);
-  } catch (const Malformed& fault) {
+  } catch (const InvalidInput& fault) {
     std::cerr << "reedspindle: " << fault.what() << '\n';
     return 2;
   } catch (const std::exception& fault) {
--- a/src/front/peers.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -1,4 +1,4 @@
-#include "front/peers.hpp"
+#include "proxy/peer_socket.hpp"
 
 #include <linux/errqueue.h>
 #include <netinet/in.h>
@@ -8,36 +8,37 @@
 #include <cerrno>
 #include <utility>
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 constexpr std::size_t kLongest = 256;  // the protocol's limit on a datagram
 constexpr int kTakenAtOnce = 32;
 
-Peers::Peers(asio::io_context& io, Log& log, const Placement& placement, Heard heard)
-    : log_(log), placement_(placement), heard_(std::move(heard)), socket_(io) {
-  learn(placement.peers);
-  if (!placement_.hears_peers) return;
-  socket_.open(placement_.peer_listen.protocol());
-  socket_.bind(placement_.peer_listen);
+PeerSocket::PeerSocket(asio::io_context& io, logging::Log& log, const config::InstanceConfig& config,
+                       DatagramHandler heard)
+    : log_(log), config_(config), heard_(std::move(heard)), socket_(io) {
+  learn(config.peers);
+  if (!config_.hears_peers) return;
+  socket_.open(config_.peer_listen.protocol());
+  socket_.bind(config_.peer_listen);
   socket_.non_blocking(true);
   listen();
 }
 
-void Peers::learn(std::vector<asio::ip::udp::endpoint> peers) {
+void PeerSocket::learn(std::vector<asio::ip::udp::endpoint> peers) {
   peers_ = std::move(peers);
   numbers_.clear();
   for (std::size_t number = 0; number < peers_.size(); ++number)
     numbers_.emplace(peers_[number], static_cast<int>(number));
 }
 
-void Peers::tell(const std::string& text) {
+void PeerSocket::tell(const std::string& text) {
   if (!socket_.is_open()) return;
   if (text.size() > kLongest) return log_.warn("peers", "text too long", {{"bytes", text.size()}});
   asio::error_code lost;  // datagrams may be lost anyway
-  socket_.send_to(asio::buffer(text), placement_.peers_all, 0, lost);
+  socket_.send_to(asio::buffer(text), config_.peers_all, 0, lost);
 }
 
-void Peers::tell(int peer, const std::string& bytes) {
+void PeerSocket::tell(int peer, const std::string& bytes) {
   if (!socket_.is_open() || static_cast<std::size_t>(peer) >= peers_.size()) return;
   asio::error_code lost;
   socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, lost);
@@ -48,7 +49,7 @@
   }
 }
 
-void Peers::on_refusals(Heard refused) {
+void PeerSocket::on_refusals(DatagramHandler refused) {
   refused_ = std::move(refused);
   if (!socket_.is_open()) return;
   const int on = 1;
@@ -58,7 +59,7 @@
 // The machine at the other end says that nobody has that port (ICMP, RFC 1122 4.1.3.1); Linux keeps the
 // datagram and where it went in the socket's queue of errors (ip(7), IP_RECVERR). Other errors say nothing of
 // who is there.
-void Peers::hear_refusals() {
+void PeerSocket::hear_refusals() {
   for (int taken = 0; taken < 64 && socket_.is_open(); ++taken) {
     std::array<char, 512> bytes;
     alignas(cmsghdr) std::array<char, 512> more;
@@ -86,13 +87,13 @@
   }
 }
 
-void Peers::stop() {
+void PeerSocket::stop() {
   asio::error_code ignored;
   socket_.close(ignored);
 }
 
 // Takes what is there, up to so many datagrams in one callback: many fronts speak in one moment.
-void Peers::listen() {
+void PeerSocket::listen() {
   socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const asio::error_code& fault) {
     if (fault == asio::error::operation_aborted || !socket_.is_open()) return;
     if (refused_) hear_refusals();
@@ -107,7 +108,7 @@
   });
 }
 
-void Peers::heard(std::string_view bytes, const asio::ip::udp::endpoint& sender) {
+void PeerSocket::heard(std::string_view bytes, const asio::ip::udp::endpoint& sender) {
   const auto peer = numbers_.find(sender);
   if (peer == numbers_.end()) return;
   std::string text(bytes);
@@ -116,4 +117,4 @@
   (taker == handed_over_.end() ? heard_ : taker->second)(peer->second, std::move(text));
 }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/peers.hpp
+++ b/src/proxy/peer_socket.hpp
@@ -10,26 +10,25 @@
 #include <utility>
 #include <vector>
 
-#include "links/log.hpp"
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
+#include "logging/log.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
-using namespace links;
-
-class Peers {
+class PeerSocket {
  public:
-  using Heard = std::function<void(int peer, std::string text)>;
+  using DatagramHandler = std::function<void(int peer, std::string text)>;
 
-  Peers(asio::io_context& io, Log& log, const Placement& placement, Heard heard);
+  PeerSocket(asio::io_context& io, logging::Log& log, const config::InstanceConfig& config,
+             DatagramHandler heard);
   void tell(const std::string& text);
   // To one front, by its place in the list.
   void tell(int peer, const std::string& bytes);
   // From now on datagrams of that kind go there instead.
   using Kind = bool (*)(std::string_view bytes);
-  void hand_over(Kind kind, Heard heard) { handed_over_.emplace_back(kind, std::move(heard)); }
+  void hand_over(Kind kind, DatagramHandler heard) { handed_over_.emplace_back(kind, std::move(heard)); }
   // From now on as much as comes back of a datagram where nobody listens goes there.
-  void on_refusals(Heard refused);
+  void on_refusals(DatagramHandler refused);
   // The list has changed: who stands where, and who is believed.
   void learn(std::vector<asio::ip::udp::endpoint> peers);
   void stop();
@@ -39,15 +38,15 @@
   void heard(std::string_view bytes, const asio::ip::udp::endpoint& sender);
   void hear_refusals();
 
-  Log& log_;
-  const Placement& placement_;
-  const Heard heard_;
-  std::vector<std::pair<Kind, Heard>> handed_over_;
-  Heard refused_;  // none: nobody asks
+  logging::Log& log_;
+  const config::InstanceConfig& config_;
+  const DatagramHandler heard_;
+  std::vector<std::pair<Kind, DatagramHandler>> handed_over_;
+  DatagramHandler refused_;  // none: nobody asks
   std::vector<asio::ip::udp::endpoint> peers_;
   std::map<asio::ip::udp::endpoint, int> numbers_;  // by which they are known
   asio::ip::udp::socket socket_;
   std::array<char, 512> bytes_;
 };
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/pending_replies.cpp
+++ b/src/proxy/pending_replies.cpp
@@ -1,10 +1,10 @@
-#include "front/pending_replies.hpp"
+#include "proxy/pending_replies.hpp"
 
 #include <utility>
 
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 PendingReplies::~PendingReplies() {
   for (const Reply& reply : replies_) allowance_.give(reply.charged);
@@ -14,11 +14,11 @@
   replies_.push_back({.complete = true, .bytes = std::move(bytes)});
 }
 
-void PendingReplies::add_request(OpId request) { replies_.push_back({.request = request}); }
+void PendingReplies::add_request(RequestId request) { replies_.push_back({.request = request}); }
 
 void PendingReplies::add_readiness() { replies_.push_back({}); }
 
-void PendingReplies::complete(OpId request, std::string bytes, const std::string& substitute) {
+void PendingReplies::complete(RequestId request, std::string bytes, const std::string& substitute) {
   for (Reply& reply : replies_) {
     if (reply.request != request) continue;
     reply.request.reset();
@@ -47,7 +47,7 @@
 std::string PendingReplies::take_complete() {
   std::string bytes;
   // What is taken is charged no more. Guards against holding many replies for a client that does not read.
-  while (!replies_.empty() && replies_.front().complete && bytes.size() < links::pgwire::kLongestValue) {
+  while (!replies_.empty() && replies_.front().complete && bytes.size() < postgres::kLongestValue) {
     bytes += replies_.front().bytes;
     allowance_.give(replies_.front().charged);
     replies_.pop_front();
@@ -55,11 +55,11 @@
   return bytes;
 }
 
-std::vector<OpId> PendingReplies::open_requests() const {
-  std::vector<OpId> open;
+std::vector<RequestId> PendingReplies::open_requests() const {
+  std::vector<RequestId> open;
   for (const Reply& reply : replies_)
     if (reply.request) open.push_back(*reply.request);
   return open;
 }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/pending_replies.hpp
+++ b/src/proxy/pending_replies.hpp
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "links/buffer.hpp"
-#include "logic.hpp"
+#include "net/buffer.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 // Commands are handled side by side; their replies leave in order. Bytes of replies that wait behind others
 // are charged to an allowance shared by all connections, so that clients can't make the front hold too much.
 class PendingReplies {
  public:
-  explicit PendingReplies(links::Allowance& allowance) : allowance_(allowance) {}
+  explicit PendingReplies(net::Allowance& allowance) : allowance_(allowance) {}
   ~PendingReplies();
   PendingReplies(const PendingReplies&) = delete;
   PendingReplies& operator=(const PendingReplies&) = delete;
@@ -24,25 +24,25 @@
   // A command that was answered on the spot.
   void add_complete(std::string bytes);
   // A command whose reply comes later: that of a request, or that the front is ready.
-  void add_request(OpId request);
+  void add_request(RequestId request);
   void add_readiness();
 
   // The reply of a command that was added before. If it has to wait behind others and the allowance is used
   // up, the substitute is kept in its place.
-  void complete(OpId request, std::string bytes, const std::string& substitute);
+  void complete(RequestId request, std::string bytes, const std::string& substitute);
   void complete_readiness(const std::string& bytes);
 
   // Removes replies from the front of the queue for as long as they are complete and make up less than one of
   // the longest; empty: the next one is not complete.
   std::string take_complete();
 
-  std::vector<OpId> open_requests() const;
+  std::vector<RequestId> open_requests() const;
   std::size_t size() const { return replies_.size(); }
   bool empty() const { return replies_.empty(); }
 
  private:
   struct Reply {
-    std::optional<OpId> request = std::nullopt;  // none: of readiness, or answered on the spot
+    std::optional<RequestId> request = std::nullopt;  // none: of readiness, or answered on the spot
     bool complete = false;
     std::string bytes = {};
     std::size_t charged = 0;  // bytes taken from the allowance
@@ -50,8 +50,8 @@
 
   void charge(Reply& reply, const std::string& substitute);
 
-  links::Allowance& allowance_;
+  net::Allowance& allowance_;
   std::deque<Reply> replies_;
 };
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/front.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -1,12 +1,12 @@
-#include "front/front.hpp"
+#include "proxy/proxy_server.hpp"
 
 #include <csignal>
 #include <ctime>
 #include <utility>
 
-#include "front/held_signals.hpp"
+#include "proxy/signal_mask.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 namespace {
 // Callbacks that one turn of the loop takes at most before the module is asked: what comes at full speed may
 // not keep the other connections' ops, the timers or the answers waiting.
@@ -19,30 +19,30 @@
 constexpr Millis kAtOnce = 0.001;  // an age that is one, and rounds to none
 }  // namespace
 
-Front::Front(Environment environment, const Orders& orders)
+ProxyServer::ProxyServer(config::Environment environment, const ProxyOptions& orders)
     : environment_(std::move(environment)),
-      placement_([&] {
-        Placement placement = read_placement(environment_);
-        placement.values.insert(orders.values.begin(), orders.values.end());
-        saved_list_ = std::exchange(placement.known, {});
-        return placement;
+      config_([&] {
+        config::InstanceConfig config = config::read_instance_config(environment_);
+        config.values.insert(orders.values.begin(), orders.values.end());
+        saved_list_ = std::exchange(config.known, {});
+        return config;
       }()),
       clock_(orders.clock_offset),
       log_(clock_),
       io_(1),
       timers_(io_, clock_),
       signals_(io_, SIGTERM, SIGINT, SIGHUP),
-      router_(make_router(placement_.values, placement_.seed)),
-      texts_(placement_.memory / 8),
+      router_(make_router(config_.values, config_.seed)),
+      texts_(config_.memory / 8),
       members_(
-          io_, timers_, clock_, log_, placement_,
-          [this](SendEnded ended, std::string row) { send_ended(std::move(ended), std::move(row)); },
-          [this](ProbeEnded ended) { note(std::move(ended)); }),
-      clients_(io_, timers_, clock_, log_, placement_, *this),
-      list_(io_, timers_, clock_, log_, placement_, discovery::Client::Delivery::changes,
-            [this](ServerList list) { list_read(std::move(list)); }),
-      peers_(io_, log_, placement_, [this](int peer, std::string text) {
-        noted_.push_back({PeerSpoke{peer, std::move(text)}});
+          io_, timers_, clock_, log_, config_,
+          [this](AttemptCompleted ended, std::string row) { send_ended(std::move(ended), std::move(row)); },
+          [this](ProbeCompleted ended) { note(std::move(ended)); }),
+      clients_(io_, timers_, clock_, log_, config_, *this),
+      list_(io_, timers_, clock_, log_, config_, discovery::Client::Delivery::changes,
+            [this](net::EndpointList list) { list_read(std::move(list)); }),
+      peers_(io_, log_, config_, [this](int peer, std::string text) {
+        noted_.push_back({PeerMessageReceived{peer, std::move(text)}});
         if (!gathered_)
           gathered_ = timers_.set(clock_.now() + kGatherWords, [this] {
             gathered_.reset();
@@ -52,24 +52,24 @@
   log_.be(orders.log);
   if (orders.fleet)
     tier_.emplace(
-        timers_, clock_, log_, placement_, *orders.fleet, peers_, members_,
-        [this](AmongPeers among) { note(std::move(among)); },
-        [this](ListRead read) { note(std::move(read)); }, [this] { return router_->view(); });
+        timers_, clock_, log_, config_, *orders.fleet, peers_, members_,
+        [this](FleetViewChanged among) { note(std::move(among)); },
+        [this](EndpointListReceived read) { note(std::move(read)); }, [this] { return router_->view(); });
 }
 
-void Front::run() {
+void ProxyServer::run() {
   clients_.listen();
   hear_signals();
   release_signals();
   if (!saved_list_.empty()) {
     try {
-      list_.start_with(discovery::read_list(std::exchange(saved_list_, {}), placement_.catalogue));
+      list_.start_with(discovery::read_list(std::exchange(saved_list_, {}), config_.names));
     } catch (const std::exception& fault) {
       log_.warn("list", "saved list does not count", {{"why", fault.what()}});
     }
   }
-  if (!placement_.list_is_asked) list_.watch();
-  log_.info("front", "listens", {{"name", placement_.name}, {"at", text_of(placement_.listen)}});
+  if (!config_.polls_endpoints) list_.watch();
+  log_.info("front", "listens", {{"name", config_.name}, {"at", config::text_of(config_.listen)}});
   while (!clients_.finished()) {
     turns_.begin(clock_.now());
     if (!settle_wanted_) sleep();
@@ -78,7 +78,7 @@
     log_.flush();
     tell_turn();
   }
-  log_.info("front", "stops, all it took is answered", {{"name", placement_.name}});
+  log_.info("front", "stops, all it took is answered", {{"name", config_.name}});
   clients_.stop();
   members_.stop();
   if (tier_) tier_->stop();
@@ -88,7 +88,7 @@
 
 // Until something comes, which is handled. The turn begins as the loop wakes, of which nothing tells but the
 // processor time that the first callback takes.
-void Front::sleep() {
+void ProxyServer::sleep() {
   const Millis before = clock_.now();
   arrivals_.sleeps(before, timers_.next_due().value_or(before));
   const std::clock_t used = std::clock();
@@ -100,7 +100,7 @@
   turns_.callback_ended(now);
 }
 
-void Front::run_callbacks() {
+void ProxyServer::run_callbacks() {
   if (turn_is_full_) return;
   Millis now = clock_.now();
   const Millis until = now + kTurnTime;
@@ -117,12 +117,12 @@
 }
 
 // What is noted goes to the module at the end of the turn.
-void Front::note(Event event) {
+void ProxyServer::note(Event event) {
   noted_.push_back({std::move(event)});
   settle_wanted_ = true;
 }
 
-void Front::tell_turn() {
+void ProxyServer::tell_turn() {
   const bool longest = turns_.end(clock_.now());
   const TurnGauge::Turn& turn = turns_.turn();
   if (turn.took >= TurnGauge::kHeldUp)
@@ -133,23 +133,23 @@
               {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
 }
 
-void Front::settle() {
+void ProxyServer::settle() {
   settle_wanted_ = turn_is_full_ = false;
   timers_.drop(gathered_);
   turns_.doing("tier");
   if (tier_) tier_->look();
   const Millis now = settled_ = clock_.now();
   for (Noted& noted : std::exchange(noted_, {})) {
-    if (auto* arrived = std::get_if<OpArrived>(&noted.event)) {
-      arrived->patience -= now - noted.arrived;
+    if (auto* arrived = std::get_if<RequestReceived>(&noted.event)) {
+      arrived->remaining -= now - noted.arrived;
       // Guards against a clock that is behind the store's: a commit beyond it, or at it, is a token all the
       // same.
       if (noted.position > 0) arrived->token_age = now == noted.position ? kAtOnce : now - noted.position;
     }
-    router_->note(noted.event);
+    router_->enqueue(noted.event);
   }
   turns_.doing("decisions");
-  const std::vector<Decision> decisions = router_->settle(now);
+  const std::vector<Decision> decisions = router_->process(now);
   turns_.callback_ended(clock_.now());
   turns_.doing("carrying out");
   for (const Decision& decision : decisions)
@@ -157,27 +157,27 @@
   turns_.callback_ended(clock_.now());
 }
 
-std::optional<pgwire::Fault> Front::request_arrived(OpId id, std::string_view text,
-                                                    const pgwire::Statement& statement) {
-  const auto type = placement_.catalogue.op_types.find(statement.op_type);
-  if (type == placement_.catalogue.op_types.end())
-    return pgwire::Fault{"22023", "c names no op type: " + std::string(statement.op_type)};
+std::optional<postgres::Fault> ProxyServer::request_arrived(RequestId id, std::string_view text,
+                                                            const postgres::Statement& statement) {
+  const auto type = config_.names.request_classes.find(statement.request_class);
+  if (type == config_.names.request_classes.end())
+    return postgres::Fault{"22023", "c names no op type: " + std::string(statement.request_class)};
   if (type->second.writes != statement.writes)
-    return pgwire::Fault{"22023", "c does not go with that kind of statement"};
+    return postgres::Fault{"22023", "c does not go with that kind of statement"};
   if (type->second.tokened == statement.token.empty())
-    return pgwire::Fault{"22023", type->second.tokened ? "k is missing" : "k does not go with c"};
-  if (groups_.empty()) return pgwire::Fault{"57P03", "no store is known yet"};
-  if (!groups_.contains(GroupId{statement.group})) return pgwire::Fault{"22023", "cluster names no group"};
-  if (ids_.contains(statement.id)) return pgwire::Fault{"22023", "id is that of an open op"};
-  if (ops_.size() >= placement_.open_ops || !texts_.take(text.size()))
-    return pgwire::Fault{"53300", "too many ops are open"};
-  OpArrived arrived;
-  arrived.op = id;
-  arrived.type = type->second.id;
+    return postgres::Fault{"22023", type->second.tokened ? "k is missing" : "k does not go with c"};
+  if (groups_.empty()) return postgres::Fault{"57P03", "no store is known yet"};
+  if (!groups_.contains(GroupId{statement.group})) return postgres::Fault{"22023", "cluster names no group"};
+  if (ids_.contains(statement.id)) return postgres::Fault{"22023", "id is that of an open op"};
+  if (ops_.size() >= config_.open_requests || !texts_.take(text.size()))
+    return postgres::Fault{"53300", "too many ops are open"};
+  RequestReceived arrived;
+  arrived.request = id;
+  arrived.request_class = type->second.id;
   arrived.group = {statement.group};
   arrived.session = statement.key;
-  arrived.patience = statement.patience;
-  arrived.repeat = statement.repeat;
+  arrived.remaining = statement.remaining;
+  arrived.is_retry = statement.repeat;
   // A request that waited in the kernel while the front was busy or held up has that much less time left.
   const Millis came = arrivals_.earliest(clock_.now());
   noted_.push_back({std::move(arrived), came, statement.position});
@@ -188,16 +188,16 @@
   return std::nullopt;
 }
 
-void Front::request_abandoned(OpId id) {
-  note(OpGone{id});
+void ProxyServer::request_abandoned(RequestId id) {
+  note(RequestAbandoned{id});
   end_op(id, "", "its client left");
 }
 
 // Ops are given back here and nowhere else. What is not written of one yet never will be.
-void Front::end_op(OpId id, std::string answer, std::string_view why) {
+void ProxyServer::end_op(RequestId id, std::string answer, std::string_view why) {
   const auto found = ops_.find(id);
   if (found == ops_.end()) return;
-  if (log_.writes(LogLevel::debug))
+  if (log_.writes(logging::LogLevel::debug))
     log_.debug("request", "ended",
                {{"id", found->second.id},
                 {"why", why},
@@ -210,29 +210,30 @@
   members_.forget(id);
 }
 
-void Front::list_read(ServerList list) {
+void ProxyServer::list_read(net::EndpointList list) {
   turns_.doing("list");
   turn_is_full_ = !list.servers.empty();
   members_.learn(list);
   if (tier_) tier_->list_read(list);
   // What was saved is handed on in parts, like any other list: to the module they are changes.
-  ListRead read{list.kind == ListKind::failed ? ListKind::failed : ListKind::changes, {}};
-  for (ListedServer& server : list.servers) {
+  EndpointListReceived read{
+      list.kind == EndpointListKind::failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
+  for (net::ListedEndpoint& server : list.servers) {
     groups_.insert(server.entry.group);
-    read.members.push_back(std::move(server.entry));
+    read.servers.push_back(std::move(server.entry));
   }
-  const bool in_hand = list.kind != ListKind::failed && list.last && !groups_.empty();
+  const bool in_hand = list.kind != EndpointListKind::failed && list.last && !groups_.empty();
   note(std::move(read));
   if (in_hand) clients_.be_ready();
 }
 
-void Front::send_ended(SendEnded ended, std::string row) {
-  if (ended.ending == Ending::acked) end_op(ended.op, std::move(row), "served");
-  ended.op_ended = !ops_.contains(ended.op);
+void ProxyServer::send_ended(AttemptCompleted ended, std::string row) {
+  if (ended.outcome == AttemptOutcome::acknowledged) end_op(ended.request, std::move(row), "served");
+  ended.request_completed = !ops_.contains(ended.request);
   note(std::move(ended));
 }
 
-void Front::hear_signals() {
+void ProxyServer::hear_signals() {
   signals_.async_wait([this](const asio::error_code& fault, int signal) {
     if (fault) return;
     if (signal == SIGHUP) {
@@ -247,16 +248,16 @@
 }
 
 // SIGHUP: the placement may have changed. A faulty one changes nothing; of a sound one, discovery's address.
-void Front::read_again() {
+void ProxyServer::read_again() {
   try {
-    Placement read = read_placement(environment_, Reading::again);
-    log_.info("front", "placement read again", {{"discovery", text_of(read.discovery)}});
+    config::InstanceConfig read = config::read_instance_config(environment_, config::Reading::again);
+    log_.info("front", "placement read again", {{"discovery", config::text_of(read.discovery)}});
     if (tier_) {
       peers_.learn(read.peers);
       tier_->listed(static_cast<int>(read.peers.size()));
-      read.peers = placement_.peers;
+      read.peers = config_.peers;
     }
-    for (const std::string& key : kept_until_restart(placement_, read))
+    for (const std::string& key : config::keys_that_need_restart(config_, read))
       log_.warn("placement", "change waits for the next start", {{"key", key}});
     list_.move(read.discovery);
   } catch (const std::exception& fault) {
@@ -264,35 +265,38 @@
   }
 }
 
-void Front::carry_out(const Send& decision) {
-  const auto found = ops_.find(decision.op);
+void ProxyServer::carry_out(const StartAttempt& decision) {
+  const auto found = ops_.find(decision.request);
   if (found == ops_.end()) return;  // noted as gone
   Op& op = found->second;
-  if (log_.writes(LogLevel::debug))
+  if (log_.writes(logging::LogLevel::debug))
     log_.debug("request", "attempt",
                {{"id", op.id},
                 {"attempt", op.sends},
-                {"member", decision.member.address},
+                {"member", decision.server.address},
                 {"ms", clock_.now() - op.arrived}});
-  members_.send(decision.op, decision, settled_, {op.sends++}, op.text, op.patience);
+  members_.send(decision.request, decision, settled_, {op.sends++}, op.text, op.remaining);
 }
-void Front::carry_out(const CallOff& decision) { members_.call_off(decision.op, decision.send); }
-void Front::carry_out(const BusyReply& decision) {
-  const std::string come_back = decision.come_back > 0 ? fmt::format("{:.0f}", decision.come_back) : "";
-  end_op(decision.op, pgwire::error(pgwire::Severity::error, "53300", "busy, try again", come_back),
+void ProxyServer::carry_out(const CancelAttempt& decision) {
+  members_.call_off(decision.request, decision.attempt);
+}
+void ProxyServer::carry_out(const RejectRequest& decision) {
+  const std::string come_back = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
+  end_op(decision.request, postgres::error(postgres::Severity::error, "53300", "busy, try again", come_back),
          "refused");
 }
-void Front::carry_out(const ErrorReply& decision) {
-  end_op(decision.op, pgwire::error(pgwire::Severity::error, "58000", "no store has answered in time"),
+void ProxyServer::carry_out(const FailRequest& decision) {
+  end_op(decision.request,
+         postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
          "no answer in time");
 }
-void Front::carry_out(const Wake& decision) {
-  timers_.set(decision.at, [this, timer = decision.timer] { note(TimerDue{timer}); });
+void ProxyServer::carry_out(const SetTimer& decision) {
+  timers_.set(decision.at, [this, timer = decision.timer] { note(TimerExpired{timer}); });
 }
-void Front::carry_out(const Probe& decision) { members_.probe(decision.member, decision.time_out); }
-void Front::carry_out(const WatchList&) { list_.watch(); }
-void Front::carry_out(const Forget& decision) { members_.forget(decision.member); }
-void Front::carry_out(const TellPeers& decision) { peers_.tell(decision.text); }
-void Front::carry_out(const LogLine& decision) { log_.info("decisions", decision.text); }
+void ProxyServer::carry_out(const StartProbe& decision) { members_.probe(decision.server, decision.timeout); }
+void ProxyServer::carry_out(const WatchEndpoints&) { list_.watch(); }
+void ProxyServer::carry_out(const ForgetServer& decision) { members_.forget(decision.server); }
+void ProxyServer::carry_out(const BroadcastToPeers& decision) { peers_.tell(decision.text); }
+void ProxyServer::carry_out(const LogMessage& decision) { log_.info("decisions", decision.text); }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/held_signals.hpp
+++ b/src/proxy/signal_mask.hpp
@@ -3,7 +3,7 @@
 
 #include <csignal>
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 inline sigset_t heard_signals() {
   sigset_t signals;
@@ -24,4 +24,4 @@
   pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/front/turn_gauge.hpp
+++ b/src/proxy/turn_gauge.hpp
@@ -4,9 +4,9 @@
 
 #include <string_view>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
-namespace reedspindle::front {
+namespace reedspindle::proxy {
 
 class TurnGauge {
  public:
@@ -55,4 +55,4 @@
   std::string_view part_ = kOther;
 };
 
-}  // namespace reedspindle::front
+}  // namespace reedspindle::proxy
--- a/src/shares/message.cpp
+++ b/src/quota/message.cpp
@@ -1,10 +1,10 @@
-#include "shares/message.hpp"
+#include "quota/message.hpp"
 
 #include <cmath>
 #include <limits>
 #include <nlohmann/json.hpp>
 
-namespace reedspindle::shares {
+namespace reedspindle::quota {
 namespace {
 
 using Json = nlohmann::json;
@@ -31,7 +31,7 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) {
-  if (!is_for_shares(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
+  if (!is_quota_message(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
   const Json json = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
   if (!json.is_array() || json.size() != 12 || json[1] != kForm) return std::nullopt;
   constexpr auto k32 = std::numeric_limits<std::uint32_t>::max();
@@ -59,7 +59,7 @@
 
 std::optional<std::uint32_t> question_in(std::string_view bytes) {
   // An array of twelve, then its number, as CBOR writes them.
-  if (!is_for_shares(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c)
+  if (!is_quota_message(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c)
     return std::nullopt;
   bytes.remove_prefix(2);
   if (bytes.empty()) return std::nullopt;
@@ -72,6 +72,6 @@
   return question ? std::optional(number) : std::nullopt;
 }
 
-bool is_for_shares(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
+bool is_quota_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
 
-}  // namespace reedspindle::shares
+}  // namespace reedspindle::quota
--- a/src/shares/message.hpp
+++ b/src/quota/message.hpp
@@ -7,12 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 #include "membership/message.hpp"
 
-namespace reedspindle::shares {
-
-using membership::Place;
+namespace reedspindle::quota {
 
 // One life of a process at a place.
 struct Life {
@@ -27,8 +25,8 @@
   Kind kind = Kind::bid;
   std::uint32_t number = 0;
   std::uint32_t of =
-      0;        // vote, answer, here: the number of what it answers; ask, gone: of the last answer had
-  Place place;  // of the sender
+      0;         // vote, answer, here: the number of what it answers; ask, gone: of the last answer had
+  SlotId place;  // of the sender
   Life life;
   std::uint32_t terms = 0;  // a sum over what all fronts have to be told alike
   bool held = false;        // bid: it has the office already
@@ -47,6 +45,6 @@
 std::optional<Message> message_in(std::string_view bytes);
 // The number of a question that came back, of which its end may be missing.
 std::optional<std::uint32_t> question_in(std::string_view bytes);
-bool is_for_shares(std::string_view bytes);
+bool is_quota_message(std::string_view bytes);
 
-}  // namespace reedspindle::shares
+}  // namespace reedspindle::quota
