--- a/src/shares/shares.cpp
+++ b/src/quota/quota_manager.cpp
@@ -1,4 +1,4 @@
-#include "shares/shares.hpp"
+#include "quota/quota_manager.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,7 +10,7 @@
 #include <random>
 #include <utility>
 
-namespace reedspindle::shares {
+namespace reedspindle::quota {
 namespace {
 
 constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
@@ -26,31 +26,31 @@
 // When something was sent, by its number, the last few.
 class Sent {
  public:
-  void put(std::uint32_t number, Place to, Millis at) {
+  void put(std::uint32_t number, SlotId to, Millis at) {
     by_number_[number] = {to, at};
     order_.push_back(number);
     if (order_.size() <= kNumbers) return;
     by_number_.erase(order_.front());
     order_.pop_front();
   }
-  Millis at(std::uint32_t number, Place to) const {
+  Millis at(std::uint32_t number, SlotId to) const {
     const auto found = by_number_.find(number);
     return found == by_number_.end() || found->second.first != to ? kNever : found->second.second;
   }
 
  private:
-  std::map<std::uint32_t, std::pair<Place, Millis>> by_number_;
+  std::map<std::uint32_t, std::pair<SlotId, Millis>> by_number_;
   std::deque<std::uint32_t> order_;
 };
 
-class Sharing final : public Shares {
+class Sharing final : public QuotaManager {
  public:
-  Sharing(const Charge& charge, std::uint64_t seed)
+  Sharing(const Options& charge, std::uint64_t seed)
       : charge_(charge), random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
-  void note(Event event) override { events_.push_back(std::move(event)); }
+  void enqueue(Event event) override { events_.push_back(std::move(event)); }
 
-  std::vector<Decision> settle(Millis now) override {
+  std::vector<Decision> process(Millis now) override {
     decisions_.clear();
     if (life_.number == 0) begin(now);
     now_ = std::max(now_, now);
@@ -129,7 +129,7 @@
   Millis slow(Millis span) const { return span * (1 + 3 * charge_.drift); }
   Millis fast(Millis span) const { return span / (1 + 3 * charge_.drift); }
 
-  bool believed(const Message& message, Place from) {
+  bool believed(const Message& message, SlotId from) {
     if (message.place != from || from == charge_.place || from.number >= kMostPlaces) return false;
     if (++heard_of_[from] > kOfPlace) return false;
     if (message.terms == terms_) return true;
@@ -137,7 +137,7 @@
     return false;
   }
 
-  void take(const Heard& heard) {
+  void take(const DatagramReceived& heard) {
     const auto message = message_in(heard.bytes);
     if (!message || !believed(*message, heard.from)) return void(++dropped_);
     other_terms_.erase(heard.from);
@@ -182,7 +182,7 @@
     known->second = std::max(known->second, at);
   }
 
-  void take(const Fellows& fellows) { there_ = fellows.there; }
+  void take(const PeersChanged& fellows) { there_ = fellows.there; }
   void take(const Demand& demand) {
     const bool more = demand.wants > demand_.wants;
     demand_ = demand;
@@ -197,7 +197,7 @@
   // The office: who holds it has, for a lease, the vote of a majority of the fleet, each of whom votes for
   // one at a time. So there is one at most.
 
-  bool votes_for(Place candidate, Life life) {
+  bool votes_for(SlotId candidate, Life life) {
     if (now_ < votes_from_) return false;
     // Two who stand at once would bind each other's voters for a lease: the one further back gives up, for
     // what it has asked for so far, and is free.
@@ -212,7 +212,7 @@
     return true;
   }
 
-  void count(std::uint32_t bid, Place voter) {
+  void count(std::uint32_t bid, SlotId voter) {
     const auto found = bids_.find(bid);
     if (found == bids_.end() || voter.number >= charge_.fleet) return;
     found->second.second.insert(voter);
@@ -281,7 +281,7 @@
     }
   }
 
-  bool is_free(Place place) const {
+  bool is_free(SlotId place) const {
     const auto empty = empty_at_.find(place);
     if (empty == empty_at_.end() || now_ >= empty->second + charge_.evidence) return false;
     // Guards against something between that sends questions back: who is heard since is there.
@@ -296,7 +296,7 @@
   }
 
   // What is known not to be used by whom it belongs to.
-  int pool(Place before = {kMostPlaces}) const {
+  int pool(SlotId before = {kMostPlaces}) const {
     int pool = 0;
     for (const auto& [place, at] : empty_at_)
       if (place.number < charge_.fleet && is_free(place)) pool += kSlot - charge_.kept;
@@ -307,7 +307,7 @@
 
   // What may be in use of what was handed out, but by one: of several grants the largest, for the last may
   // have been lost.
-  int given(Place without) const {
+  int given(SlotId without) const {
     int given = 0;
     for (const auto& [place, asker] : askers_)
       if (place != without) given += largest(asker);
@@ -322,8 +322,8 @@
 
   // An equal part of the pool for each who wants one, none more than it wants; what some leave the others
   // get.
-  int target(Place of) const {
-    std::vector<std::pair<int, Place>> wants;
+  int target(SlotId of) const {
+    std::vector<std::pair<int, SlotId>> wants;
     for (const auto& [place, asker] : askers_)
       if (asker.wants > 0 && now_ - asker.asked < charge_.lease) wants.emplace_back(asker.wants, place);
     std::ranges::sort(wants);
@@ -409,7 +409,7 @@
       lent_.emplace_back(now_ + 2 * slow(charge_.lease), lends);
     }
     asks_.put(message.number, holder_, now_);
-    decisions_.push_back(Tell{holder_, bytes_of(message)});
+    decisions_.push_back(SendDatagram{holder_, bytes_of(message)});
   }
 
   Message blank(Kind kind) const {
@@ -418,10 +418,10 @@
     return message;
   }
   template <typename Fill>
-  void tell(Place to, Kind kind, Fill fill) {
+  void tell(SlotId to, Kind kind, Fill fill) {
     Message message = blank(kind);
     fill(message);
-    decisions_.push_back(Tell{to, bytes_of(message)});
+    decisions_.push_back(SendDatagram{to, bytes_of(message)});
   }
 
   void emit() {
@@ -438,21 +438,21 @@
       at(bid_at_), at(next_ask_);
       if (holds()) at(next_question_), at(office_until_);
     }
-    decisions_.push_back(WakeAt{next});
+    decisions_.push_back(RequestWakeup{next});
   }
 
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
   static constexpr int kMostPlaces = 1 << 16;
-  const Charge charge_;
+  const Options charge_;
   std::minstd_rand random_;
   std::vector<Event> events_;
   std::vector<Decision> decisions_;
   Life life_;
   std::uint32_t terms_ = 0, number_ = 0;
   Millis now_ = 0, started_ = 0;
-  std::set<Place> there_, other_terms_;
-  std::map<Place, int> heard_of_;
+  std::set<SlotId> there_, other_terms_;
+  std::map<SlotId, int> heard_of_;
   Millis next_count_ = 0;
   std::uint64_t dropped_ = 0;
   bool gone_ = false;
@@ -467,21 +467,21 @@
   Millis next_ask_ = 0, answered_ = kNever;
   std::uint32_t last_answer_ = 0;  // of the office's, its number
   bool need_ = false;
-  Place holder_;
+  SlotId holder_;
   Millis heard_office_ = 0;
   int ended_ = 0;  // fronts, by the office's word
   Millis ended_until_ = kNever;
   // As one who votes.
   Millis votes_from_ = 0, bound_until_ = kNever;
-  Place bound_to_;
+  SlotId bound_to_;
   Life bound_life_;
   // As one who stands for the office, or holds it.
-  std::map<std::uint32_t, std::pair<Millis, std::set<Place>>> bids_;
+  std::map<std::uint32_t, std::pair<Millis, std::set<SlotId>>> bids_;
   Millis next_bid_ = 0, bid_at_ = 0, next_question_ = 0, office_until_ = kNever;
   bool was_holder_ = false, first_ = true;
   Sent answers_, questions_;
-  std::map<Place, Millis> empty_at_, heard_at_;
-  std::map<Place, Asker> askers_;
+  std::map<SlotId, Millis> empty_at_, heard_at_;
+  std::map<SlotId, Asker> askers_;
 };
 
 }  // namespace
@@ -492,8 +492,8 @@
   return words[static_cast<int>(finding)];
 }
 
-std::unique_ptr<Shares> make_shares(const Charge& charge, std::uint64_t seed) {
+std::unique_ptr<QuotaManager> make_quota_manager(const Options& charge, std::uint64_t seed) {
   return std::make_unique<Sharing>(charge, seed);
 }
 
-}  // namespace reedspindle::shares
+}  // namespace reedspindle::quota
--- a/src/shares/shares.hpp
+++ b/src/quota/quota_manager.hpp
@@ -11,14 +11,15 @@
 #include <variant>
 #include <vector>
 
-#include "logic.hpp"
-#include "shares/message.hpp"
+#include "core/datagram.hpp"
+#include "core/event_core.hpp"
+#include "quota/message.hpp"
 
-namespace reedspindle::shares {
+namespace reedspindle::quota {
 
 // What a front is told; all but its place has to be the same everywhere.
-struct Charge {
-  Place place;
+struct Options {
+  SlotId place;
   int fleet = 1;           // places that count, as the operators have agreed; each has one slot
   Millis lease = 2000;     // of the office, and the most of what it hands out
   Millis evidence = 1000;  // for how long "nobody listens there" may be gone by
@@ -28,19 +29,15 @@
 };
 
 // Events.
-struct Heard {
-  Place from;
-  std::string bytes;
-};
 // A datagram came back: nobody listens there. As much of it as came back.
 struct Refused {
-  Place at;
+  SlotId at;
   std::string bytes;
 };
 // Who is there in the membership's eyes, without this front. A hint on whom to ask; nothing is held safe by
 // it.
-struct Fellows {
-  std::set<Place> there;
+struct PeersChanged {
+  std::set<SlotId> there;
 };
 // What this front could use beyond its plain part, or does not use of it.
 struct Demand {
@@ -48,7 +45,7 @@
 };
 // It uses nothing any more and will not again.
 struct Leaving {};
-using Event = std::variant<Heard, Refused, Fellows, Demand, Leaving>;
+using Event = std::variant<DatagramReceived, Refused, PeersChanged, Demand, Leaving>;
 
 // Thousandths of a slot.
 struct Part {
@@ -59,42 +56,32 @@
 };
 
 // Decisions.
-struct Tell {
-  Place to;
-  std::string bytes;
-};
-struct WakeAt {
-  Millis at = 0;
-};
 enum class Finding { holds_office, lost_office, whole, other_terms };
 const char* word_of(Finding finding);
 struct Found {
   Finding finding = Finding::holds_office;
-  Place place;  // other_terms: whose
+  SlotId place;  // other_terms: whose
 };
 struct Changed {
   Part part;
 };
-using Decision = std::variant<Tell, WakeAt, Found, Changed>;
+using Decision = std::variant<SendDatagram, RequestWakeup, Found, Changed>;
 
 struct View {
   Part part;
   bool office = false;        // this front holds it
-  Place holder;               // who holds it as far as is heard; below 0: nobody
+  SlotId holder;              // who holds it as far as is heard; below 0: nobody
   int pool = 0, given = 0;    // where it holds the office: there is to hand out, and is handed out
   std::uint64_t dropped = 0;  // datagrams that did not read or are not believed
 };
 
-class Shares {
+class QuotaManager : public EventCore<Event, Decision> {
  public:
-  virtual ~Shares() = default;
-  virtual void note(Event event) = 0;
-  virtual std::vector<Decision> settle(Millis now) = 0;
   // By the clock at that moment: what was handed out may have ended since the last settle.
   virtual Part part(Millis now) const = 0;
   virtual View view() const = 0;
 };
 
-std::unique_ptr<Shares> make_shares(const Charge& charge, std::uint64_t seed);
+std::unique_ptr<QuotaManager> make_quota_manager(const Options& charge, std::uint64_t seed);
 
-}  // namespace reedspindle::shares
+}  // namespace reedspindle::quota
--- a/src/shares/use.cpp
+++ b/src/quota/usage.cpp
@@ -1,9 +1,9 @@
-#include "shares/use.hpp"
+#include "quota/usage.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace reedspindle::shares {
+namespace reedspindle::quota {
 
 namespace {
 // Looks at the need: what is lent comes back two leases later, so nothing is lent that was needed in the last
@@ -13,7 +13,7 @@
 constexpr std::size_t kSpare = 1;
 }  // namespace
 
-Connections connections_of(const Part& part, const Charge& charge, int all) {
+Connections connections_of(const Part& part, const Options& charge, int all) {
   const auto of = [&](int thousandths) {
     return static_cast<std::size_t>(static_cast<long long>(thousandths) * all /
                                     (static_cast<long long>(kSlot) * charge.fleet));
@@ -33,4 +33,4 @@
   return demand;
 }
 
-}  // namespace reedspindle::shares
+}  // namespace reedspindle::quota
--- a/src/routing/due_times.hpp
+++ b/src/routing/due_times.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
 namespace reedspindle::routing {
 
--- a/src/accord/keepers.cpp
+++ b/src/routing/probe_leader.cpp
@@ -1,8 +1,8 @@
-#include "accord/keepers.hpp"
+#include "routing/probe_leader.hpp"
 
 #include <utility>
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 namespace {
 
 // The finalizer of MurmurHash3 (Appleby, in the public domain): each bit told of changes half of all bits, so
@@ -32,4 +32,4 @@
   return turn;
 }
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/accord/keepers.hpp
+++ b/src/routing/probe_leader.hpp
@@ -7,13 +7,13 @@
 #include <cstdint>
 #include <set>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
-namespace reedspindle::accord {
+namespace reedspindle::consistency {
 
 // Whether of two fronts the one comes before the other for a group; the same wherever it is asked.
 bool precedes(GroupId group, int front, int other);
 // How many of the others come before a front, up to so many: 0 keeps the group, 1 is ready to.
 int turn_of(GroupId group, int front, const std::set<int>& others, int most);
 
-}  // namespace reedspindle::accord
+}  // namespace reedspindle::consistency
--- a/src/samples.cpp
+++ b/src/routing/replica_samples.cpp
@@ -1,4 +1,4 @@
-#include "samples.hpp"
+#include "routing/replica_samples.hpp"
 
 #include <algorithm>
 #include <array>
@@ -43,13 +43,13 @@
 
 }  // namespace
 
-long mark_of(const MemberId& member) {  // FNV-1a
+long mark_of(const ServerId& member) {  // FNV-1a
   std::uint32_t hash = 2166136261u;
   for (const char letter : member.address) hash = (hash ^ static_cast<unsigned char>(letter)) * 16777619u;
   return static_cast<long>((hash ^ hash >> 24) & 0xffffff);
 }
 
-std::string text_of(Millis now, const std::vector<ToldSample>& samples) {
+std::string text_of(Millis now, const std::vector<GossipedSample>& samples) {
   const double clock = std::floor(now);
   std::string text = std::string(kForm) + digits(static_cast<long>(clock) % kClock, 5);
   for (std::size_t at = 0; at < std::min(samples.size(), kMostSamples); ++at) {
@@ -57,14 +57,14 @@
     const double lag = seen.position < 0
                            ? kLags - 1
                            : std::clamp(std::ceil((clock - seen.position) / kLagUnit), 0.0, kLags - 1.0);
-    const long busy = seen.busy >= 0 ? 1 + std::lround(14 * std::min(1.0, seen.busy)) : 0;
+    const long busy = seen.utilization >= 0 ? 1 + std::lround(14 * std::min(1.0, seen.utilization)) : 0;
     text += digits(mark, 4) + digits(static_cast<long>(lag), 2);
     text += digits(static_cast<long>(seen.role) + 4 * busy, 1);
   }
   return text;
 }
 
-std::optional<ToldSamples> samples_in(std::string_view text, Millis now) {
+std::optional<SampleGossip> decode_samples(std::string_view text, Millis now) {
   if (text.size() > kLongest || text.size() <= kHeader || (text.size() - kHeader) % kEntry != 0) return {};
   const long clock = number_in(text.substr(kForm.size(), 5));
   if (!text.starts_with(kForm) || clock < 0) return {};
@@ -73,7 +73,7 @@
   if (age > wrap / 2) age -= wrap;
   if (age < -kAhead) return {};
   const Millis sent = now - age - 1;  // by the sender's clock
-  ToldSamples told{std::min(sent, now), {}};
+  SampleGossip told{std::min(sent, now), {}};
   for (std::size_t at = kHeader; at < text.size(); at += kEntry) {
     const long mark = number_in(text.substr(at, 4)), lag = number_in(text.substr(at + 4, 2)),
                last = number_in(text.substr(at + 6, 1));
--- a/src/samples.hpp
+++ b/src/routing/replica_samples.hpp
@@ -7,29 +7,29 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
 namespace reedspindle {
 
 // A number for a member, the same at every instance: 24 bits of a hash of its address.
-long mark_of(const MemberId& member);
+long mark_of(const ServerId& member);
 
-struct ToldSample {
+struct GossipedSample {
   long mark = 0;
-  Sighting seen;  // with no role: it did not answer
+  ReplicaSample sample;  // with no role: it did not answer
 };
-struct ToldSamples {
+struct SampleGossip {
   Millis then = 0;  // the sender's clock, to the cautious side, and not beyond ours
-  std::vector<ToldSample> samples;
+  std::vector<GossipedSample> samples;
 };
 
 constexpr std::size_t kMostSamples = 35;  // of one message, the protocol's limit being 256 bytes
 
 // As many of the samples, first ones first, as one message holds.
-std::string text_of(Millis now, const std::vector<ToldSample>& samples);
+std::string text_of(Millis now, const std::vector<GossipedSample>& samples);
 // Guards against peers of another version, or wrong: nothing where it does not read as a whole, or is further
 // from the future than clocks are apart; what is said of a single member in a way that does not read is left
 // out.
-std::optional<ToldSamples> samples_in(std::string_view text, Millis now);
+std::optional<SampleGossip> decode_samples(std::string_view text, Millis now);
 
 }  // namespace reedspindle
--- a/src/routing/warm_capacity.hpp
+++ b/src/routing/warm_capacity.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <map>
 
-#include "logic.hpp"
+#include "core/types.hpp"
 
 namespace reedspindle::routing {
 
--- a/src/values.cpp
+++ b/src/settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 #include <map>
 #include <vector>
@@ -19,7 +19,7 @@
   return found == words.end() ? wire : found->second;
 }
 
-void put(Values& values, const std::string& name, const Json& value, double per_unit) {
+void put(Settings& values, const std::string& name, const Json& value, double per_unit) {
   if (value.is_string())
     values[name] = word_for(value.get<std::string>());
   else if (value.is_number() || value.is_boolean())
@@ -42,17 +42,17 @@
 double number_or(const Json& value, double other) {
   if (value.is_null()) return other;
   if (value.is_boolean()) return value.get<bool>() ? 1 : 0;
-  if (!value.is_number()) throw Malformed("a number was expected, not " + value.dump());
+  if (!value.is_number()) throw InvalidInput("a number was expected, not " + value.dump());
   return value.get<double>();
 }
 
 std::string word_or(const Json& value, const std::string& other) {
   if (value.is_null()) return other;
-  if (!value.is_string()) throw Malformed("a text was expected, not " + value.dump());
+  if (!value.is_string()) throw InvalidInput("a text was expected, not " + value.dump());
   return value.get<std::string>();
 }
 
-Values values_of(const Json& settings) {
+Settings router_settings_in(const Json& settings) {
   static const std::vector<Setting> general = {
       {"az", "zone", 1},
       {"nInstances", "instances", 1},
@@ -100,8 +100,8 @@
                                                   {"dedupWindow", "token_memory", kNsPerMs},
                                                   {"importance", "value", 1}};
 
-  Values values;
-  if (!settings.is_object()) throw Malformed("the settings are no object");
+  Settings values;
+  if (!settings.is_object()) throw InvalidInput("the settings are no object");
   for (const Setting& setting : general) {
     const Json* at = &settings;
     std::string path = setting.wire;
--- a/src/values.hpp
+++ b/src/settings/settings.hpp
@@ -6,12 +6,12 @@
 #include <stdexcept>
 #include <string>
 
-#include "logic.hpp"
+#include "routing/router.hpp"
 
 namespace reedspindle {
 
 // What was handed over does not read as it should; the message says where.
-struct Malformed : std::runtime_error {
+struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -24,6 +24,6 @@
 std::string word_or(const nlohmann::json& value, const std::string& other);
 
 // The settings under the module's names (times in ms).
-Values values_of(const nlohmann::json& settings);
+Settings router_settings_in(const nlohmann::json& settings);
 
 }  // namespace reedspindle
--- a/src/simhost/main.cpp
+++ b/src/simulator/main.cpp
@@ -2,18 +2,18 @@
 #include <iostream>
 #include <string>
 
-#include "simhost/wire.hpp"
+#include "simulator/wire.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  reedspindle::simhost::Host host;
+  reedspindle::simulator::Host host;
   std::string line;
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
       const std::string reply = host.take(line);
       if (!reply.empty()) std::cout << reply << std::flush;
-    } catch (const reedspindle::Malformed& fault) {
+    } catch (const reedspindle::InvalidInput& fault) {
       std::cerr << "line " << number << ": " << fault.what() << '\n';
       return 2;
     }
--- a/src/simhost/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,73 +1,74 @@
-#include "simhost/wire.hpp"
+#include "simulator/wire.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <utility>
 
-namespace reedspindle::simhost {
+namespace reedspindle::simulator {
 namespace {
 
 using Json = nlohmann::json;
 
 double needed(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) throw Malformed("value " + std::to_string(at) + " is missing");
+  if (field(line, at).is_null()) throw InvalidInput("value " + std::to_string(at) + " is missing");
   return number_or(field(line, at), 0);
 }
 
 double ms(const Json& line, std::size_t at) { return number_or(field(line, at), 0) / kNsPerMs; }
 
 std::string needed_word(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) throw Malformed("value " + std::to_string(at) + " is missing");
+  if (field(line, at).is_null()) throw InvalidInput("value " + std::to_string(at) + " is missing");
   return word_or(line[at], "");
 }
 
 std::uint64_t needed_id(const Json& line, std::size_t at) {
   const Json& value = field(line, at);
-  if (!value.is_number_integer() || value < 0) throw Malformed("value " + std::to_string(at) + " is no id");
+  if (!value.is_number_integer() || value < 0)
+    throw InvalidInput("value " + std::to_string(at) + " is no id");
   return value.get<std::uint64_t>();
 }
 
-ListedMember listed(const Json& row) {
-  if (!row.is_array()) throw Malformed("a list entry is no array");
-  ListedMember member;
-  member.member = {needed_word(row, 0)};
+ServerEntry listed(const Json& row) {
+  if (!row.is_array()) throw InvalidInput("a list entry is no array");
+  ServerEntry member;
+  member.id = {needed_word(row, 0)};
   member.zone = {static_cast<int>(number_or(field(row, 1), 0))};
   member.kind = static_cast<int>(number_or(field(row, 2), 0));
   member.group = {static_cast<int>(needed(row, 3))};
   const std::string state = needed_word(row, 4);
   if (state == "ready")
-    member.state = MemberState::ready;
+    member.state = ServerState::ready;
   else if (state == "draining")
-    member.state = MemberState::draining;
+    member.state = ServerState::draining;
   else if (state == "gone")
-    member.state = MemberState::gone;
+    member.state = ServerState::gone;
   else
-    throw Malformed("unknown state " + state);
+    throw InvalidInput("unknown state " + state);
   member.size = number_or(field(row, 5), 1);
-  member.up_since = ms(row, 6);
+  member.started_at = ms(row, 6);
   member.primary = number_or(field(row, 7), 0) > 0;
   return member;
 }
 
-Ending ending_of(const Json& line, std::size_t at) {
-  constexpr std::array<Ending, 9> endings = {
-      Ending::errored,    Ending::acked,          Ending::turned_away_full,
-      Ending::timed_out,  Ending::connect_failed, Ending::reset,
-      Ending::called_off, Ending::never_sent,     Ending::turned_away_untouched};
+AttemptOutcome ending_of(const Json& line, std::size_t at) {
+  constexpr std::array<AttemptOutcome, 9> endings = {
+      AttemptOutcome::failed,    AttemptOutcome::acknowledged,   AttemptOutcome::rejected_overloaded,
+      AttemptOutcome::timed_out, AttemptOutcome::connect_failed, AttemptOutcome::reset,
+      AttemptOutcome::cancelled, AttemptOutcome::not_sent,       AttemptOutcome::rejected_not_executed};
   const double code = needed(line, at);
   if (code < 0 || code >= static_cast<double>(endings.size()))
-    throw Malformed("unknown outcome " + line[at].dump());
+    throw InvalidInput("unknown outcome " + line[at].dump());
   return endings[static_cast<std::size_t>(code)];
 }
 
-Sighting from_report(const Json& load, double zero_ms) {
-  Sighting seen;
+ReplicaSample from_report(const Json& load, double zero_ms) {
+  ReplicaSample seen;
   if (!load.is_object()) return seen;
   if (load.contains("x0") && load["x0"].is_number())
     seen.position = zero_ms + load["x0"].get<double>() * 1000;
   if (load.contains("x1")) seen.role = number_or(load["x1"], 0) > 0 ? Role::primary : Role::replica;
-  if (load.contains("cpu")) seen.busy = number_or(load["cpu"], -1);
+  if (load.contains("cpu")) seen.utilization = number_or(load["cpu"], -1);
   return seen;
 }
 
@@ -86,18 +87,22 @@
     for (const std::string& value : values) out.append(1, ',').append(value);
     out.append("]\n");
   }
-  static std::string id(OpId op) { return std::to_string(op.number); }
+  static std::string id(RequestId op) { return std::to_string(op.number); }
 
-  void operator()(const Send& d) { line("CallOut", {id(d.op), ns(d.time_out), quoted(d.member.address)}); }
-  void operator()(const CallOff& d) { line("Retract", {id(d.op), std::to_string(d.send.number)}); }
-  void operator()(const BusyReply& d) { line("NotNow", {id(d.op), ns(d.come_back)}); }
-  void operator()(const ErrorReply& d) { line("FinishError", {id(d.op)}); }
-  void operator()(const Wake& d) { line("Defer", {std::to_string(d.timer.number), ns(d.at)}); }
-  void operator()(const Probe& d) { line("AskLoad", {quoted(d.member.address)}); }
-  void operator()(const Forget&) {}  // the simulator forgets by itself
-  void operator()(const WatchList&) { line("KeepInformed", {"true"}); }
-  void operator()(const TellPeers& d) { line("Share", {"null", quoted(d.text)}); }
-  void operator()(const LogLine& d) { line("WriteLog", {quoted(d.text)}); }
+  void operator()(const StartAttempt& d) {
+    line("CallOut", {id(d.request), ns(d.timeout), quoted(d.server.address)});
+  }
+  void operator()(const CancelAttempt& d) {
+    line("Retract", {id(d.request), std::to_string(d.attempt.number)});
+  }
+  void operator()(const RejectRequest& d) { line("NotNow", {id(d.request), ns(d.retry_after)}); }
+  void operator()(const FailRequest& d) { line("FinishError", {id(d.request)}); }
+  void operator()(const SetTimer& d) { line("Defer", {std::to_string(d.timer.number), ns(d.at)}); }
+  void operator()(const StartProbe& d) { line("AskLoad", {quoted(d.server.address)}); }
+  void operator()(const ForgetServer&) {}  // the simulator forgets by itself
+  void operator()(const WatchEndpoints&) { line("KeepInformed", {"true"}); }
+  void operator()(const BroadcastToPeers& d) { line("Share", {"null", quoted(d.text)}); }
+  void operator()(const LogMessage& d) { line("WriteLog", {quoted(d.text)}); }
 };
 
 }  // namespace
@@ -105,17 +110,17 @@
 std::string Host::take(const std::string& line) {
   if (line.find_first_not_of(" \t\r") == std::string::npos) return "";
   Json parsed = Json::parse(line, nullptr, false);
-  if (parsed.is_discarded()) throw Malformed("bad JSON");
-  if (!parsed.is_array() || parsed.empty() || !parsed[0].is_string()) throw Malformed("no message name");
+  if (parsed.is_discarded()) throw InvalidInput("bad JSON");
+  if (!parsed.is_array() || parsed.empty() || !parsed[0].is_string()) throw InvalidInput("no message name");
   const std::string name = parsed[0].get<std::string>();
   try {
     if (name == "Frame") {
-      if (in_batch_) throw Malformed("Frame inside a batch");
+      if (in_batch_) throw InvalidInput("Frame inside a batch");
       now_ms_ = needed(parsed, 1) / kNsPerMs;
       in_batch_ = true;
       return "";
     }
-    if (!in_batch_) throw Malformed(name + " outside a batch");
+    if (!in_batch_) throw InvalidInput(name + " outside a batch");
     if (name == "Flush") return reply();
     if (name == "Born")
       born(parsed);
@@ -124,7 +129,7 @@
     else
       event(name, parsed);
   } catch (const Json::exception& fault) {
-    throw Malformed(name + ": " + fault.what());
+    throw InvalidInput(name + ": " + fault.what());
   }
   return "";
 }
@@ -137,7 +142,8 @@
 Host::Instance& Host::instance(const Json& line) {
   const std::string name = needed_word(line, 1);
   const auto found = instances_.find(name);
-  if (found == instances_.end()) throw Malformed(line[0].get<std::string>() + " for unborn instance " + name);
+  if (found == instances_.end())
+    throw InvalidInput(line[0].get<std::string>() + " for unborn instance " + name);
   touch(name, found->second);
   return found->second;
 }
@@ -148,7 +154,7 @@
   const Json& conf = field(line, 3);
   std::erase(order_, name);
   Instance& fresh = instances_[name] = Instance{};
-  const Values values = values_of(conf);
+  const Settings values = router_settings_in(conf);
   if (conf.contains("familyInfo") && conf["familyInfo"].is_object()) {
     fresh.zero_ms = number_or(conf["familyInfo"].value("positionZero", Json(0)), 0) / kNsPerMs;
   }
@@ -162,42 +168,42 @@
 
 void Host::manifest(const Json& line) {
   const double number = needed(line, 1);
-  if (number < 0 || number > 15) throw Malformed("list number out of range");
-  if (!field(line, 2).is_array()) throw Malformed("a list without entries");
-  std::vector<ListedMember> members;
+  if (number < 0 || number > 15) throw InvalidInput("list number out of range");
+  if (!field(line, 2).is_array()) throw InvalidInput("a list without entries");
+  std::vector<ServerEntry> members;
   for (const Json& row : line[2]) members.push_back(listed(row));
   lists_[static_cast<int>(number)] = std::move(members);
 }
 
 Event Host::membership(const Json& line) const {
-  static const std::map<std::string, ListKind> kinds = {{"INCREMENTAL", ListKind::changes},
-                                                        {"FULL", ListKind::complete},
-                                                        {"SAVED", ListKind::saved},
-                                                        {"FAILED", ListKind::failed}};
+  static const std::map<std::string, EndpointListKind> kinds = {{"INCREMENTAL", EndpointListKind::changes},
+                                                                {"FULL", EndpointListKind::complete},
+                                                                {"SAVED", EndpointListKind::saved},
+                                                                {"FAILED", EndpointListKind::failed}};
   const auto kind = kinds.find(needed_word(line, 2));
-  if (kind == kinds.end()) throw Malformed("unknown list kind " + line[2].dump());
-  ListRead read{kind->second, {}};
-  if (read.kind != ListKind::failed) {
+  if (kind == kinds.end()) throw InvalidInput("unknown list kind " + line[2].dump());
+  EndpointListReceived read{kind->second, {}};
+  if (read.kind != EndpointListKind::failed) {
     const auto list = lists_.find(static_cast<int>(needed(line, 4)));
-    if (list == lists_.end()) throw Malformed("unknown list number " + line[4].dump());
-    read.members = list->second;
+    if (list == lists_.end()) throw InvalidInput("unknown list number " + line[4].dump());
+    read.servers = list->second;
   }
   return read;
 }
 
 Event Host::result(const Instance& at, const Json& line) const {
-  SendEnded ended;
-  ended.op = {needed_id(line, 2)};
-  ended.send = {static_cast<int>(needed(line, 3))};
-  ended.member = {needed_word(line, 4)};
-  ended.ending = ending_of(line, 5);
-  ended.took = ms(line, 6);
-  ended.op_ended = number_or(field(line, 7), 0) > 0;
-  ended.seen = from_report(field(line, 9), at.zero_ms);
+  AttemptCompleted ended;
+  ended.request = {needed_id(line, 2)};
+  ended.attempt = {static_cast<int>(needed(line, 3))};
+  ended.server = {needed_word(line, 4)};
+  ended.outcome = ending_of(line, 5);
+  ended.latency = ms(line, 6);
+  ended.request_completed = number_or(field(line, 7), 0) > 0;
+  ended.sample = from_report(field(line, 9), at.zero_ms);
   const auto note = static_cast<long long>(number_or(field(line, 8), 0));
   if (note > 0) {
-    ended.seen.role = note % 4 == 1 ? Role::primary : note % 4 == 2 ? Role::replica : Role::unknown;
-    if (note / 4 > 0) ended.seen.position = at.zero_ms + static_cast<double>(note / 4);
+    ended.sample.role = note % 4 == 1 ? Role::primary : note % 4 == 2 ? Role::replica : Role::unknown;
+    if (note / 4 > 0) ended.sample.position = at.zero_ms + static_cast<double>(note / 4);
   }
   return ended;
 }
@@ -205,43 +211,43 @@
 void Host::event(const std::string& name, const Json& line) {
   if (name == "Detach") {
     const std::string gone = needed_word(line, 1);
-    if (instances_.erase(gone) == 0) throw Malformed("Detach for unborn instance " + gone);
+    if (instances_.erase(gone) == 0) throw InvalidInput("Detach for unborn instance " + gone);
     std::erase(order_, gone);
     return;
   }
   static const std::vector<std::string> known = {"Membership", "Submit", "Accepted", "Result",
                                                  "Expired",    "Due",    "Checked",  "PeerData"};
-  if (std::find(known.begin(), known.end(), name) == known.end()) throw Malformed("unknown event " + name);
+  if (std::find(known.begin(), known.end(), name) == known.end()) throw InvalidInput("unknown event " + name);
   Instance& at = instance(line);
   if (name == "Accepted" || !at.router) return;  // streams are not used by this kind of service
   Event noted;
   if (name == "Membership") {
     noted = membership(line);
   } else if (name == "Submit") {
-    OpArrived op;
-    op.op = {needed_id(line, 2)};
+    RequestReceived op;
+    op.request = {needed_id(line, 2)};
     op.token_age = number_or(field(line, 3), 0);
     op.session = word_or(field(line, 5), "");
     op.group = {static_cast<int>(needed(line, 6))};
-    op.patience = needed(line, 7) / kNsPerMs;
-    op.type = {static_cast<int>(needed(line, 9))};
-    op.repeat = (static_cast<long long>(number_or(field(line, 10), 0)) & 2) != 0;
+    op.remaining = needed(line, 7) / kNsPerMs;
+    op.request_class = {static_cast<int>(needed(line, 9))};
+    op.is_retry = (static_cast<long long>(number_or(field(line, 10), 0)) & 2) != 0;
     noted = op;
   } else if (name == "Result") {
     noted = result(at, line);
   } else if (name == "Expired") {
-    noted = OpGone{{needed_id(line, 2)}};
+    noted = RequestAbandoned{{needed_id(line, 2)}};
   } else if (name == "Due") {
-    noted = TimerDue{{static_cast<std::int64_t>(needed(line, 2))}};
+    noted = TimerExpired{{static_cast<std::int64_t>(needed(line, 2))}};
   } else if (name == "Checked") {
     const bool answered = needed(line, 3) == 1;
-    const Sighting seen = answered ? from_report(field(line, 5), at.zero_ms) : Sighting{};
-    noted = ProbeEnded{{needed_word(line, 2)}, answered, ms(line, 4), seen};
+    const ReplicaSample seen = answered ? from_report(field(line, 5), at.zero_ms) : ReplicaSample{};
+    noted = ProbeCompleted{{needed_word(line, 2)}, answered, ms(line, 4), seen};
   } else {
-    noted = PeerSpoke{static_cast<int>(needed(line, 2)), word_or(field(line, 3), "")};
+    noted = PeerMessageReceived{static_cast<int>(needed(line, 2)), word_or(field(line, 3), "")};
   }
   try {
-    at.router->note(noted);
+    at.router->enqueue(noted);
   } catch (const std::exception& fault) {
     if (at.fault.empty()) at.fault = fault.what();
   }
@@ -255,7 +261,7 @@
     Writer writer{out, quoted(name)};
     try {
       if (!at.fault.empty()) throw std::runtime_error(at.fault);
-      for (const Decision& decision : at.router->settle(now_ms_)) std::visit(writer, decision);
+      for (const Decision& decision : at.router->process(now_ms_)) std::visit(writer, decision);
     } catch (const std::exception& fault) {
       writer.line("Die", {quoted(fault.what())});
     }
@@ -265,4 +271,4 @@
   return out + "[\"Finished\"]\n";
 }
 
-}  // namespace reedspindle::simhost
+}  // namespace reedspindle::simulator
--- a/src/simhost/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "logic.hpp"
-#include "values.hpp"
+#include "routing/router.hpp"
+#include "settings/settings.hpp"
 
-namespace reedspindle::simhost {
+namespace reedspindle::simulator {
 
 class Host {
  public:
-  // Takes one line; at the end of a batch it returns the whole reply, else nothing. Throws Malformed.
+  // Takes one line; at the end of a batch it returns the whole reply, else nothing. Throws InvalidInput.
   std::string take(const std::string& line);
 
  private:
@@ -41,7 +41,7 @@
   double now_ms_ = 0;
   std::map<std::string, Instance> instances_;
   std::vector<std::string> order_;  // instances with an event in this batch, by first event
-  std::map<int, std::vector<ListedMember>> lists_;
+  std::map<int, std::vector<ServerEntry>> lists_;
 };
 
-}  // namespace reedspindle::simhost
+}  // namespace reedspindle::simulator
--- a/src/keep/folder.cpp
+++ b/src/snapshot/directory_disk.cpp
@@ -9,9 +9,9 @@
 #include <filesystem>
 #include <utility>
 
-#include "keep/store.hpp"
+#include "snapshot/snapshot_store.hpp"
 
-namespace reedspindle::keep {
+namespace reedspindle::snapshot {
 namespace {
 
 [[noreturn]] void fault(const std::string& what, const std::string& path) {
@@ -87,4 +87,4 @@
   if (unlink(path(name).c_str()) != 0) fault("remove", path(name));
 }
 
-}  // namespace reedspindle::keep
+}  // namespace reedspindle::snapshot
--- a/src/keep/store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -1,4 +1,4 @@
-#include "keep/store.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -13,7 +13,7 @@
 //   length of the state (8), the state, XXH3 of all before it (8). Numbers are little-endian.
 // It is written under another name, synced, renamed, and the folder synced: a crash leaves either no new name
 // or a whole file under it. Disks that lie about this are met by the sum and by the generations before.
-namespace reedspindle::keep {
+namespace reedspindle::snapshot {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "numbers are written as they stand in memory");
@@ -114,4 +114,4 @@
   return generation;
 }
 
-}  // namespace reedspindle::keep
+}  // namespace reedspindle::snapshot
--- a/src/keep/store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace reedspindle::keep {
+namespace reedspindle::snapshot {
 
 // The disk did not do what it was asked; the message says what, with the system's reason.
 struct DiskFault : std::runtime_error {
@@ -79,4 +79,4 @@
   std::uint64_t last_ = 0;
 };
 
-}  // namespace reedspindle::keep
+}  // namespace reedspindle::snapshot
--- a/src/keep/keeper.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -9,18 +9,19 @@
 #include <string>
 #include <thread>
 
-#include "keep/store.hpp"
+#include "snapshot/snapshot_store.hpp"
 
-namespace reedspindle::keep {
+namespace reedspindle::snapshot {
 
-class Keeper {
+class SnapshotWriter {
  public:
   // Called on the keeper's thread after each state: an empty text, or what the disk reported.
   using Done = std::function<void(std::string fault)>;
 
-  Keeper(Store& store, Done done) : store_(store), done_(std::move(done)), thread_([this] { run(); }) {}
+  SnapshotWriter(Store& store, Done done)
+      : store_(store), done_(std::move(done)), thread_([this] { run(); }) {}
   // What waits is still kept.
-  ~Keeper() {
+  ~SnapshotWriter() {
     {
       const std::lock_guard lock(mutex_);
       stopping_ = true;
@@ -28,7 +29,7 @@
     wake_.notify_one();
     thread_.join();
   }
-  Keeper(const Keeper&) = delete;
+  SnapshotWriter(const SnapshotWriter&) = delete;
 
   void keep(std::string state) {
     {
@@ -66,4 +67,4 @@
   std::thread thread_;  // last: it uses all of the above
 };
 
-}  // namespace reedspindle::keep
+}  // namespace reedspindle::snapshot
--- a/src/links/members.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,9 +1,9 @@
-#include "links/members.hpp"
+#include "upstream/connection_pool.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace reedspindle::links {
+namespace reedspindle::upstream {
 
 using Tcp = asio::ip::tcp;
 
@@ -15,137 +15,138 @@
 // "x0=1767225600.123,x1=1,cpu=0.61": the position in seconds, 1 from a primary, share of processors in use,
 // which the settings name cpu and the protocol's example util. What does not read as a whole, or says what
 // can't be, is no report.
-void read_report(std::string_view text, Millis now, Sighting& seen) {
-  Sighting read = seen;
+void read_report(std::string_view text, Millis now, ReplicaSample& sample) {
+  ReplicaSample read = sample;
   while (!text.empty()) {
     const std::string_view item = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), item.size() + 1));
-    const auto [name, value] = pgwire::name_and_value(item);
-    const auto number = pgwire::number(value);
+    const auto [name, value] = postgres::name_and_value(item);
+    const auto number = postgres::number(value);
     if (!number) return;
     if (name == "x0") read.position = *number * 1000;
     if (name == "x1") read.role = *number > 0 ? Role::primary : Role::replica;
     if (name == "x0" && !can_be(read.position, now)) return;
     if (name == "x1" && *number != 0 && *number != 1) return;
-    if (name == "cpu" || name == "util") read.busy = *number;
+    if (name == "cpu" || name == "util") read.utilization = *number;
   }
-  seen = read;
+  sample = read;
 }
 
-Ending ending_of_code(const std::string& code) {
-  if (code == "25006" || code == "72000") return Ending::turned_away_untouched;
-  return code == "53300" ? Ending::turned_away_full : Ending::errored;
+AttemptOutcome ending_of_code(const std::string& code) {
+  if (code == "25006" || code == "72000") return AttemptOutcome::rejected_not_executed;
+  return code == "53300" ? AttemptOutcome::rejected_overloaded : AttemptOutcome::failed;
 }
 
 }  // namespace
 
 // One send or one probe.
-struct Members::Work {
-  std::optional<std::pair<OpId, SendNumber>> send;  // none: a probe
+struct ConnectionPool::Work {
+  std::optional<std::pair<RequestId, AttemptNumber>> attempt;  // none: a probe
   Store* store = nullptr;
   std::shared_ptr<const std::string> text;  // of the statement, none for a probe
-  pgwire::Place patience;
+  postgres::TextSpan remaining;
   Millis from = 0, until = 0;
-  Millis start_by = 0;       // it is not begun later
-  Timers::Handle limit;      // start_by while it waits, then until
-  Connection* on = nullptr;  // none: it waits for a connection
+  Millis start_by = 0;        // it is not begun later
+  net::Timers::Handle limit;  // start_by while it waits, then until
+  Connection* on = nullptr;   // none: it waits for a connection
   // What has come of the answer.
-  Sighting seen;
+  ReplicaSample sample;
   std::string row;
   std::optional<std::string> code;  // of an error
   bool described = false, has_row = false, complete = false, spoilt = false;
 };
 
-struct Members::Store {
-  MemberId id;
+struct ConnectionPool::Store {
+  ServerId id;
   Tcp::endpoint endpoint;
-  MemberState state = MemberState::ready;
-  Millis up_since = 0;
+  ServerState state = ServerState::ready;
+  Millis started_at = 0;
   std::deque<std::unique_ptr<Work>> waiting;
   std::vector<Connection*> idle;  // the one used last at the end
   std::size_t coming = 0;         // connections that open or settle
   std::size_t connections = 0;    // all of them
 };
 
-struct Members::Connection {
-  Connection(asio::io_context& io, Store& of, Allowance& allowance)
+struct ConnectionPool::Connection {
+  Connection(asio::io_context& io, Store& of, net::Allowance& allowance)
       : socket(io), store(of), buffer(allowance) {}
   Tcp::socket socket;
   Store& store;
-  Buffer buffer;
+  net::Buffer buffer;
   std::string out;
   enum class State { opening, idle, busy, settling, given_back } state = State::opening;
   Millis opened = 0, idle_since = 0;
   std::list<Connection*>::iterator idle_place;  // while it is idle
   bool written = false;                         // the query's last byte
   std::unique_ptr<Work> work;
-  std::optional<Timers::Handle> limit;  // while it opens or settles
-  std::optional<std::string> code;      // of an error while it opens
+  std::optional<net::Timers::Handle> limit;  // while it opens or settles
+  std::optional<std::string> code;           // of an error while it opens
   std::list<Connected>::iterator place;
 };
 
-Members::Members(asio::io_context& io, Timers& timers, const Clock& clock, Log& log,
-                 const Placement& placement, SendDone send_done, ProbeDone probe_done)
+ConnectionPool::ConnectionPool(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                               logging::Log& log, const config::InstanceConfig& config, AttemptDone send_done,
+                               ProbeDone probe_done)
     : io_(io),
       timers_(timers),
       clock_(clock),
       log_(log),
-      placement_(placement),
+      config_(config),
       send_done_(std::move(send_done)),
       probe_done_(std::move(probe_done)),
-      allowance_(placement.memory / 8) {
+      allowance_(config.memory / 8) {
   sweep();
 }
 
-Members::~Members() = default;
+ConnectionPool::~ConnectionPool() = default;
 
-void Members::learn(const ServerList& list) {
-  if (list.kind == ListKind::failed) return;
+void ConnectionPool::learn(const net::EndpointList& list) {
+  if (list.kind == EndpointListKind::failed) return;
   std::vector<Store*> changed;
-  if (list.kind == ListKind::complete)
+  if (list.kind == EndpointListKind::complete)
     for (auto& [id, store] : stores_) {
-      store->state = MemberState::gone;
+      store->state = ServerState::gone;
       changed.push_back(store.get());
     }
-  for (const ListedServer& listed : list.servers) {
-    auto& store = stores_[listed.entry.member];
+  for (const net::ListedEndpoint& listed : list.servers) {
+    auto& store = stores_[listed.entry.id];
     if (!store) store = std::make_unique<Store>();
-    store->id = listed.entry.member;
-    if (std::exchange(store->endpoint, listed.endpoint) != listed.endpoint) store->up_since = clock_.now();
+    store->id = listed.entry.id;
+    if (std::exchange(store->endpoint, listed.endpoint) != listed.endpoint) store->started_at = clock_.now();
     store->state = listed.entry.state;
-    store->up_since = std::max(store->up_since, listed.entry.up_since);
+    store->started_at = std::max(store->started_at, listed.entry.started_at);
     changed.push_back(store.get());
   }
   for (Store* store : changed) {
     for (Connection* connection : std::vector(store->idle))
       if (outlived(*connection)) give_back(*connection);
     // The rule counts a send from its first byte, which these have not written.
-    if (store->state != MemberState::ready)
-      while (!store->waiting.empty()) end(take_first(*store), Ending::never_sent);
+    if (store->state != ServerState::ready)
+      while (!store->waiting.empty()) end(take_first(*store), AttemptOutcome::not_sent);
   }
 }
 
 // A connection from before the store's last start, or to where it was before, can only end as a reset.
-bool Members::outlived(const Connection& connection) {
-  return connection.store.state != MemberState::ready || connection.opened < connection.store.up_since;
+bool ConnectionPool::outlived(const Connection& connection) {
+  return connection.store.state != ServerState::ready || connection.opened < connection.store.started_at;
 }
 
-void Members::send(OpId op, const Send& decision, Millis decided, SendNumber number,
-                   std::shared_ptr<const std::string> text, pgwire::Place patience) {
+void ConnectionPool::send(RequestId op, const StartAttempt& decision, Millis decided, AttemptNumber number,
+                          std::shared_ptr<const std::string> text, postgres::TextSpan patience) {
   auto work = std::make_unique<Work>();
-  work->send = {op, number};
+  work->attempt = {op, number};
   work->text = std::move(text);
-  work->patience = patience;
+  work->remaining = patience;
   sends_[{op, number}] = work.get();
-  add(*stores_.at(decision.member), std::move(work), decided, decision.time_out, decision.start_within);
+  add(*stores_.at(decision.server), std::move(work), decided, decision.timeout, decision.start_within);
 }
 
-void Members::probe(const MemberId& member, Millis time_out) {
+void ConnectionPool::probe(const ServerId& member, Millis time_out) {
   add(*stores_.at(member), std::make_unique<Work>(), clock_.now(), time_out);
 }
 
-// Stores are given back here and nowhere else.
-void Members::forget(const MemberId& member) {
+// TestStores are given back here and nowhere else.
+void ConnectionPool::forget(const ServerId& member) {
   const auto found = stores_.find(member);
   if (found == stores_.end()) return;
   if (found->second->connections > 0)
@@ -154,8 +155,8 @@
   stores_.erase(found);
 }
 
-void Members::add(Store& store, std::unique_ptr<Work> work, Millis from, Millis time_out,
-                  std::optional<Millis> start_within) {
+void ConnectionPool::add(Store& store, std::unique_ptr<Work> work, Millis from, Millis time_out,
+                         std::optional<Millis> start_within) {
   work->store = &store;
   work->from = from;
   work->until = work->from + time_out;
@@ -165,19 +166,19 @@
   dispatch(store);
 }
 
-void Members::dispatch(Store& store) {
+void ConnectionPool::dispatch(Store& store) {
   while (store.coming < store.waiting.size() && !store.idle.empty()) settle(*store.idle.back());
   while (store.coming < store.waiting.size() && store.connections < open_) open(store);
   count(store);
 }
 
 // What stands idle is not needed; what waits and has no connection coming is.
-void Members::count(const Store& store) {
+void ConnectionPool::count(const Store& store) {
   const std::size_t without = store.waiting.size() > store.coming ? store.waiting.size() - store.coming : 0;
   need_ = std::max(need_, store.connections - store.idle.size() + without);
 }
 
-void Members::limit(std::size_t open, std::size_t hold) {
+void ConnectionPool::limit(std::size_t open, std::size_t hold) {
   open_ = open, hold_ = hold;
   for (auto& [id, store] : stores_) {
     shrink(*store);
@@ -186,35 +187,35 @@
 }
 
 // Idle connections go first, up to the first figure; beyond the second all others too, whatever is on them.
-void Members::shrink(Store& store) {
+void ConnectionPool::shrink(Store& store) {
   while (store.connections > open_ && !store.idle.empty()) give_back(*store.idle.front());
   while (store.connections > hold_) {
     const auto last = std::ranges::find_if(connections_.rbegin(), connections_.rend(),
                                            [&](const Connected& one) { return &one->store == &store; });
     Connection& connection = **last;
-    const Ending ending = connection.written ? Ending::reset : Ending::connect_failed;
+    const AttemptOutcome ending = connection.written ? AttemptOutcome::reset : AttemptOutcome::connect_failed;
     if (std::unique_ptr<Work> work = give_back(connection)) end(std::move(work), ending);
   }
 }
 
-void Members::open(Store& store) {
-  if (connections_.size() >= placement_.store_connections() && !close_an_idle_one())
-    return end(take_first(store), Ending::connect_failed);
+void ConnectionPool::open(Store& store) {
+  if (connections_.size() >= config_.store_connections() && !close_an_idle_one())
+    return end(take_first(store), AttemptOutcome::connect_failed);
   const auto connection = std::make_shared<Connection>(io_, store, allowance_);
   connection->place = connections_.insert(connections_.end(), connection);
   connection->opened = clock_.now();
   ++store.coming, ++store.connections;
-  connection->limit = timers_.set(clock_.now() + placement_.connect_time_out, [this, connection] {
+  connection->limit = timers_.set(clock_.now() + config_.connect_timeout, [this, connection] {
     connection->limit.reset();
-    opened_not(*connection, Ending::connect_failed);
+    opened_not(*connection, AttemptOutcome::connect_failed);
   });
   connection->socket.async_connect(store.endpoint, [this, connection](const asio::error_code& fault) {
     if (connection->state == Connection::State::given_back) return;
-    if (fault) return opened_not(*connection, Ending::connect_failed);
+    if (fault) return opened_not(*connection, AttemptOutcome::connect_failed);
     asio::error_code ignored;  // a store that is gone again is seen by the read
     connection->socket.set_option(Tcp::no_delay(true), ignored);
     connection->socket.non_blocking(true, ignored);
-    connection->out = pgwire::startup("svc", "main");
+    connection->out = postgres::startup("svc", "main");
     asio::async_write(connection->socket, asio::buffer(connection->out),
                       [](const asio::error_code&, std::size_t) {});  // the read sees what breaks
     read(connection);
@@ -222,7 +223,7 @@
 }
 
 // A connection that never came up takes the send with it that has waited longest, if that has no other.
-void Members::opened_not(Connection& connection, Ending ending) {
+void ConnectionPool::opened_not(Connection& connection, AttemptOutcome ending) {
   Store& store = connection.store;
   give_back(connection);
   if (store.waiting.size() > store.coming) end(take_first(store), ending);
@@ -231,14 +232,15 @@
 // Written at once as far as the system takes it, so that at every later moment it is known whether the
 // query's last byte is out. Guards against taking a query for one that never ran because what broke its
 // connection was read before the end of the writing was told: a second attempt would have its effect twice.
-void Members::begin(Connection& connection, std::unique_ptr<Work> work) {
+void ConnectionPool::begin(Connection& connection, std::unique_ptr<Work> work) {
   const Millis now = clock_.now();
   connection.state = Connection::State::busy;
   work->on = &connection;
   timers_.drop(work->limit);
   work->limit = timers_.set(work->until, [this, late = work.get()] { out_of_time(*late); });
-  connection.out = pgwire::query(
-      work->send ? pgwire::with_patience(*work->text, work->patience, work->until - now) : "SHOW vitals");
+  connection.out =
+      postgres::query(work->attempt ? postgres::with_patience(*work->text, work->remaining, work->until - now)
+                                    : "SHOW vitals");
   connection.work = std::move(work);
   asio::error_code fault;
   const std::size_t count = connection.socket.write_some(asio::buffer(connection.out), fault);
@@ -247,7 +249,7 @@
   if (!connection.written) write_rest(connection, count);
 }
 
-void Members::write_rest(Connection& connection, std::size_t written) {
+void ConnectionPool::write_rest(Connection& connection, std::size_t written) {
   const Work* of = connection.work.get();
   asio::async_write(connection.socket, asio::buffer(connection.out) + written,
                     [this, of, held = *connection.place](const asio::error_code& fault, std::size_t) {
@@ -257,7 +259,7 @@
                     });
 }
 
-void Members::read(const Connected& connection) {
+void ConnectionPool::read(const Connected& connection) {
   const auto room = connection->buffer.room(4096);
   if (room.empty()) {
     log_.warn("stores", "connection ended",
@@ -269,10 +271,10 @@
                                        if (connection->state == Connection::State::given_back) return;
                                        connection->buffer.filled(count);
                                        for (;;) {
-                                         const pgwire::Read next =
-                                             pgwire::read_from_store(connection->buffer.held());
-                                         if (std::holds_alternative<pgwire::Partial>(next)) break;
-                                         const auto* message = std::get_if<pgwire::Message>(&next);
+                                         const postgres::Read next =
+                                             postgres::read_from_store(connection->buffer.held());
+                                         if (std::holds_alternative<postgres::Partial>(next)) break;
+                                         const auto* message = std::get_if<postgres::Message>(&next);
                                          // Its bytes stay where they are until there is room for more.
                                          if (message) connection->buffer.consume(message->bytes.size());
                                          const bool fits = message && take(*connection, *message);
@@ -285,7 +287,7 @@
 }
 
 // One message of a store. False: it does not belong there.
-bool Members::take(Connection& connection, const pgwire::Message& message) {
+bool ConnectionPool::take(Connection& connection, const postgres::Message& message) {
   using State = Connection::State;
   Work* work = connection.work.get();
   switch (message.type) {
@@ -295,39 +297,42 @@
     case 'N':
       return true;
     case 'S': {  // beside the answer: one that does not read takes nothing from it
-      const auto parameter = pgwire::read_parameter(message.body);
+      const auto parameter = postgres::read_parameter(message.body);
       if (!work || !parameter) return true;
       const auto [name, value] = *parameter;
       if (name == "rank")
-        work->seen.role = value == "source" ? Role::primary : value == "copy" ? Role::replica : Role::unknown;
-      if (const auto position = pgwire::number(value);
+        work->sample.role = value == "source" ? Role::primary
+                            : value == "copy" ? Role::replica
+                                              : Role::unknown;
+      if (const auto position = postgres::number(value);
           name == "as_of" && position && can_be(*position, clock_.now()))
-        work->seen.position = *position;
-      if (name == "vitals") read_report(value, clock_.now(), work->seen);
+        work->sample.position = *position;
+      if (name == "vitals") read_report(value, clock_.now(), work->sample);
       return true;
     }
     case 'E': {
-      const auto fields = pgwire::read_error(message.body);
+      const auto fields = postgres::read_error(message.body);
       if (!fields || connection.state == State::settling || (work && (work->complete || work->code)))
         return false;
       (work ? work->code : connection.code) = fields->code;
       return true;  // an idle store says why it ends the connection, which comes next
     }
     case 'T':
-      if (!work || work->code || work->described || !pgwire::describes_one_column(message.body)) return false;
+      if (!work || work->code || work->described || !postgres::describes_one_column(message.body))
+        return false;
       work->described = true;
       work->row += message.bytes;
       return true;
     case 'D': {
-      const auto value = pgwire::read_row(message.body);
+      const auto value = postgres::read_row(message.body);
       if (!work || work->code || !work->described || work->has_row || !value) return false;
       work->has_row = true;
-      if (!work->send) read_report(*value, clock_.now(), work->seen);
+      if (!work->attempt) read_report(*value, clock_.now(), work->sample);
       work->row += message.bytes;
       return true;
     }
     case 'C':
-      if (!work || work->code || !work->has_row || work->complete || !pgwire::read_tag(message.body))
+      if (!work || work->code || !work->has_row || work->complete || !postgres::read_tag(message.body))
         return false;
       work->complete = true;
       work->row += message.bytes;
@@ -356,20 +361,20 @@
 // shows that the connection still stands and that nothing comes any more that belongs to the answer before.
 // Guards against a second copy being taken for the next op's answer, and ops against connections that have
 // been ended without a word.
-void Members::settle(Connection& connection) {
+void ConnectionPool::settle(Connection& connection) {
   // Half a line that was left there: it would swallow the answer.
   if (!connection.buffer.held().empty()) return void(give_back(connection));
   stop_idling(connection);
   connection.state = Connection::State::settling;
   ++connection.store.coming;
   connection.written = false;  // until the answer to the empty query begins
-  connection.out = pgwire::query("");
+  connection.out = postgres::query("");
   const Connected held = *connection.place;
-  connection.limit = timers_.set(clock_.now() + placement_.connect_time_out, [this, held] {
+  connection.limit = timers_.set(clock_.now() + config_.connect_timeout, [this, held] {
     held->limit.reset();
     // The store says nothing: its other connections would not, either.
     for (Connection* idle : std::vector(held->store.idle)) give_back(*idle);
-    opened_not(*held, Ending::connect_failed);
+    opened_not(*held, AttemptOutcome::connect_failed);
   });
   asio::async_write(connection.socket, asio::buffer(connection.out),
                     [held](const asio::error_code&, std::size_t) {});  // the read sees what breaks
@@ -377,13 +382,13 @@
 
 // Guards against beginning what is late by now: a connection that took long to come up, or a process that was
 // put aside, where connections speak before timers are looked at.
-void Members::end_overdue(Store& store) {
+void ConnectionPool::end_overdue(Store& store) {
   while (!store.waiting.empty() && store.waiting.front()->start_by < clock_.now())
-    end(take_first(store), Ending::never_sent);
+    end(take_first(store), AttemptOutcome::not_sent);
 }
 
 // The connection may take a send or a probe now.
-void Members::ready(Connection& connection) {
+void ConnectionPool::ready(Connection& connection) {
   --connection.store.coming;
   timers_.drop(connection.limit);
   Store& store = connection.store;
@@ -392,7 +397,7 @@
   begin(connection, take_first(store));
 }
 
-void Members::rest(Connection& connection) {
+void ConnectionPool::rest(Connection& connection) {
   connection.state = Connection::State::idle;
   connection.idle_since = clock_.now();
   connection.store.idle.push_back(&connection);
@@ -403,57 +408,59 @@
 }
 
 // The store has ended the connection, or nothing more can be understood on it.
-void Members::broken(Connection& connection) {
+void ConnectionPool::broken(Connection& connection) {
   if (connection.state == Connection::State::opening) {
-    const bool full = connection.code && ending_of_code(*connection.code) == Ending::turned_away_full;
-    return opened_not(connection, full ? Ending::turned_away_full : Ending::connect_failed);
+    const bool full =
+        connection.code && ending_of_code(*connection.code) == AttemptOutcome::rejected_overloaded;
+    return opened_not(connection,
+                      full ? AttemptOutcome::rejected_overloaded : AttemptOutcome::connect_failed);
   }
   const bool written = connection.written;
   Store& store = connection.store;
   std::unique_ptr<Work> work = give_back(connection);
   if (!work) return dispatch(store);
   if (work->complete || work->code) return end(std::move(work));
-  end(std::move(work), written ? Ending::reset : Ending::connect_failed);
+  end(std::move(work), written ? AttemptOutcome::reset : AttemptOutcome::connect_failed);
 }
 
 // What came can't be read, or does not belong there. An answer that is spoilt may have run, and the store is
 // there: it counts as an error, of which nothing else is believed. The connection is of no further use.
-void Members::spoilt(Connection& connection) {
+void ConnectionPool::spoilt(Connection& connection) {
   log_.warn("stores", "answer unreadable", {{"member", connection.store.id.address}});
   if (!connection.work || !connection.written) return broken(connection);
   std::unique_ptr<Work> work = give_back(connection);
-  work->seen = {};
+  work->sample = {};
   work->spoilt = true;
-  end(std::move(work), Ending::errored);
+  end(std::move(work), AttemptOutcome::failed);
 }
 
-void Members::out_of_time(Work& late) {
-  if (late.on) return end(give_back(*late.on), Ending::timed_out);
-  end(take_waiting(late), Ending::never_sent);
+void ConnectionPool::out_of_time(Work& late) {
+  if (late.on) return end(give_back(*late.on), AttemptOutcome::timed_out);
+  end(take_waiting(late), AttemptOutcome::not_sent);
 }
 
-void Members::call_off(OpId op, SendNumber number) {
+void ConnectionPool::call_off(RequestId op, AttemptNumber number) {
   const auto found = sends_.find({op, number});
   if (found == sends_.end()) return;
   Work& work = *found->second;
-  if (work.on) return end(give_back(*work.on), Ending::called_off);
-  end(take_waiting(work), Ending::never_sent);
+  if (work.on) return end(give_back(*work.on), AttemptOutcome::cancelled);
+  end(take_waiting(work), AttemptOutcome::not_sent);
 }
 
-void Members::forget(OpId op) {
+void ConnectionPool::forget(RequestId op) {
   std::vector<Work*> unwritten;
   for (auto at = sends_.lower_bound({op, {}}); at != sends_.end() && at->first.first == op; ++at)
     if (!at->second->on) unwritten.push_back(at->second);
-  for (Work* work : unwritten) end(take_waiting(*work), Ending::never_sent);
+  for (Work* work : unwritten) end(take_waiting(*work), AttemptOutcome::not_sent);
 }
 
-std::unique_ptr<Members::Work> Members::take_first(Store& store) {
+std::unique_ptr<ConnectionPool::Work> ConnectionPool::take_first(Store& store) {
   std::unique_ptr<Work> first = std::move(store.waiting.front());
   store.waiting.pop_front();
   return first;
 }
 
-std::unique_ptr<Members::Work> Members::take_waiting(Work& work) {
+std::unique_ptr<ConnectionPool::Work> ConnectionPool::take_waiting(Work& work) {
   auto& waiting = work.store->waiting;
   const auto at = std::ranges::find(waiting, &work, [](const auto& owned) { return owned.get(); });
   std::unique_ptr<Work> taken = std::move(*at);
@@ -462,25 +469,29 @@
 }
 
 // What came whole is an answer, whatever became of the connection after it.
-void Members::end(std::unique_ptr<Work> work) {
+void ConnectionPool::end(std::unique_ptr<Work> work) {
   const bool acked = !work->code && work->complete;
-  const Ending ending = acked ? Ending::acked : work->code ? ending_of_code(*work->code) : Ending::errored;
+  const AttemptOutcome ending = acked        ? AttemptOutcome::acknowledged
+                                : work->code ? ending_of_code(*work->code)
+                                             : AttemptOutcome::failed;
   end(std::move(work), ending);
 }
 
 // Sends, probes and their timers are given back here and nowhere else.
-void Members::end(std::unique_ptr<Work> work, Ending ending) {
+void ConnectionPool::end(std::unique_ptr<Work> work, AttemptOutcome ending) {
   timers_.drop(work->limit);
   const Millis took = clock_.now() - work->from;
-  if (!work->send)
-    return probe_done_({work->store->id, ending == Ending::acked || work->spoilt, took, work->seen});
-  sends_.erase(*work->send);
-  SendEnded ended{work->send->first, work->send->second, work->store->id, ending, took, false, work->seen};
+  if (!work->attempt)
+    return probe_done_(
+        {work->store->id, ending == AttemptOutcome::acknowledged || work->spoilt, took, work->sample});
+  sends_.erase(*work->attempt);
+  AttemptCompleted ended{work->attempt->first, work->attempt->second, work->store->id, ending, took, false,
+                         work->sample};
   send_done_(std::move(ended), std::move(work->row));
 }
 
 // Connections are given back here and nowhere else; what one had in hand is returned.
-std::unique_ptr<Members::Work> Members::give_back(Connection& connection) {
+std::unique_ptr<ConnectionPool::Work> ConnectionPool::give_back(Connection& connection) {
   if (connection.state == Connection::State::opening || connection.state == Connection::State::settling)
     --connection.store.coming;
   if (connection.state == Connection::State::idle) stop_idling(connection);
@@ -500,29 +511,29 @@
   return work;
 }
 
-void Members::stop_idling(Connection& connection) {
+void ConnectionPool::stop_idling(Connection& connection) {
   std::erase(connection.store.idle, &connection);
   idle_.erase(connection.idle_place);
 }
 
-bool Members::close_an_idle_one() {
+bool ConnectionPool::close_an_idle_one() {
   if (idle_.empty()) return false;
   give_back(*idle_.front());
   return true;
 }
 
-// Stores close what stands idle for the stated time; a tenth of it before, the connection is closed here, so
-// that no send crosses that. Twice as often as that tenth, so that none is missed.
-void Members::sweep() {
-  const Millis tenth = placement_.connection_idle / 10;
-  const Millis long_ago = clock_.now() - placement_.connection_idle + 1.5 * tenth;
+// TestStores close what stands idle for the stated time; a tenth of it before, the connection is closed here,
+// so that no send crosses that. Twice as often as that tenth, so that none is missed.
+void ConnectionPool::sweep() {
+  const Millis tenth = config_.connection_idle / 10;
+  const Millis long_ago = clock_.now() - config_.connection_idle + 1.5 * tenth;
   while (!idle_.empty() && idle_.front()->idle_since < long_ago) give_back(*idle_.front());
   sweep_ = timers_.set(clock_.now() + tenth / 2, [this] { sweep(); });
 }
 
-void Members::stop() {
+void ConnectionPool::stop() {
   timers_.drop(sweep_);
   while (!connections_.empty()) give_back(*connections_.front());
 }
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::upstream
--- a/src/links/members.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -12,36 +12,36 @@
 #include <utility>
 #include <vector>
 
-#include "links/buffer.hpp"
-#include "links/clock.hpp"
-#include "links/log.hpp"
-#include "links/pgwire.hpp"
-#include "links/placement.hpp"
-#include "links/server_list.hpp"
+#include "config/instance_config.hpp"
+#include "logging/log.hpp"
+#include "net/buffer.hpp"
+#include "net/clock.hpp"
+#include "net/endpoint_list.hpp"
+#include "postgres/codec.hpp"
 
-namespace reedspindle::links {
+namespace reedspindle::upstream {
 
-class Members {
+class ConnectionPool {
  public:
   // How a send ended; with acked, the row as the store's messages gave it.
-  using SendDone = std::function<void(SendEnded, std::string row)>;
-  using ProbeDone = std::function<void(ProbeEnded)>;
+  using AttemptDone = std::function<void(AttemptCompleted, std::string row)>;
+  using ProbeDone = std::function<void(ProbeCompleted)>;
 
-  Members(asio::io_context& io, Timers& timers, const Clock& clock, Log& log, const Placement& placement,
-          SendDone send_done, ProbeDone probe_done);
+  ConnectionPool(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
+                 const config::InstanceConfig& config, AttemptDone send_done, ProbeDone probe_done);
 
-  ~Members();
+  ~ConnectionPool();
 
-  void learn(const ServerList& list);
+  void learn(const net::EndpointList& list);
   // The times of the decision run from when it was taken.
-  void send(OpId op, const Send& decision, Millis decided, SendNumber number,
-            std::shared_ptr<const std::string> text, pgwire::Place patience);
-  void call_off(OpId op, SendNumber number);
+  void send(RequestId op, const StartAttempt& decision, Millis decided, AttemptNumber number,
+            std::shared_ptr<const std::string> text, postgres::TextSpan patience);
+  void call_off(RequestId op, AttemptNumber number);
   // The op has ended: what is not written of it yet never will be.
-  void forget(OpId op);
+  void forget(RequestId op);
   // Nothing is out at the store, and nothing more will be.
-  void forget(const MemberId& member);
-  void probe(const MemberId& member, Millis time_out);
+  void forget(const ServerId& member);
+  void probe(const ServerId& member, Millis time_out);
 
   // How many connections to one store there may be: new ones up to the first figure, none beyond the second.
   void limit(std::size_t open, std::size_t hold);
@@ -60,11 +60,11 @@
            std::optional<Millis> start_within = {});
   void dispatch(Store& store);
   void open(Store& store);
-  void opened_not(Connection& connection, Ending ending);
+  void opened_not(Connection& connection, AttemptOutcome ending);
   void begin(Connection& connection, std::unique_ptr<Work> work);
   void write_rest(Connection& connection, std::size_t written);
   void read(const Connected& connection);
-  bool take(Connection& connection, const pgwire::Message& message);
+  bool take(Connection& connection, const postgres::Message& message);
   static bool outlived(const Connection& connection);
 
   void settle(Connection& connection);
@@ -74,7 +74,7 @@
   std::unique_ptr<Work> take_first(Store& store);
   std::unique_ptr<Work> take_waiting(Work& work);
   void end(std::unique_ptr<Work> work);
-  void end(std::unique_ptr<Work> work, Ending ending);
+  void end(std::unique_ptr<Work> work, AttemptOutcome ending);
   void end_overdue(Store& store);
   void ready(Connection& connection);
   void rest(Connection& connection);
@@ -87,20 +87,20 @@
   bool close_an_idle_one();
 
   asio::io_context& io_;
-  Timers& timers_;
-  const Clock& clock_;
-  Log& log_;
-  const Placement& placement_;
-  const SendDone send_done_;
+  net::Timers& timers_;
+  const net::Clock& clock_;
+  logging::Log& log_;
+  const config::InstanceConfig& config_;
+  const AttemptDone send_done_;
   const ProbeDone probe_done_;
-  Allowance allowance_;  // what is held of what stores send
-  std::map<MemberId, std::unique_ptr<Store>> stores_;
+  net::Allowance allowance_;  // what is held of what stores send
+  std::map<ServerId, std::unique_ptr<Store>> stores_;
   std::list<Connected> connections_;  // the one owner of each
   std::list<Connection*> idle_;       // of all stores, the one that has been idle longest first
-  std::map<std::pair<OpId, SendNumber>, Work*> sends_;
-  std::optional<Timers::Handle> sweep_;
+  std::map<std::pair<RequestId, AttemptNumber>, Work*> sends_;
+  std::optional<net::Timers::Handle> sweep_;
   std::size_t open_ = kAny, hold_ = kAny, need_ = 0;
   static constexpr std::size_t kAny = static_cast<std::size_t>(-1);
 };
 
-}  // namespace reedspindle::links
+}  // namespace reedspindle::upstream
--- a/tests/arrivals.cpp
+++ b/tests/arrivals.cpp
@@ -2,11 +2,11 @@
 // not hold.
 #include <iostream>
 
-#include "front/arrival_bound.hpp"
+#include "proxy/arrival_bound.hpp"
 
 namespace {
 using reedspindle::Millis;
-using reedspindle::front::ArrivalBound;
+using reedspindle::proxy::ArrivalBound;
 
 int failed = 0;
 void expect(const char* what, Millis got, Millis wanted) {
--- a/tests/forms.cpp
+++ b/tests/codecs.cpp
@@ -5,35 +5,35 @@
 #include <string>
 
 #include "discovery/client.hpp"
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
 namespace {
-namespace pgwire = reedspindle::links::pgwire;
+namespace postgres = reedspindle::postgres;
 
-void print(const pgwire::Fault& fault) { std::cout << "  " << fault.code << ' ' << fault.text << '\n'; }
+void print(const postgres::Fault& fault) { std::cout << "  " << fault.code << ' ' << fault.text << '\n'; }
 
 void statement(const std::string& text) {
-  const auto read = pgwire::read_statement(text);
-  if (const auto* fault = std::get_if<pgwire::Fault>(&read)) return print(*fault);
-  const auto& at = std::get<pgwire::Statement>(read);
-  std::cout << "  id " << at.id << ", type " << at.op_type << ", key " << at.key << ", patience "
-            << at.patience << ", group " << at.group << ", position " << std::to_string(at.position)
+  const auto read = postgres::read_statement(text);
+  if (const auto* fault = std::get_if<postgres::Fault>(&read)) return print(*fault);
+  const auto& at = std::get<postgres::Statement>(read);
+  std::cout << "  id " << at.id << ", type " << at.request_class << ", key " << at.key << ", patience "
+            << at.remaining << ", group " << at.group << ", position " << std::to_string(at.position)
             << (at.repeat ? ", a repeat" : "") << '\n';
-  std::cout << "  " << pgwire::with_patience(text, at.patience_place, 7.2) << '\n';
+  std::cout << "  " << postgres::with_patience(text, at.patience_place, 7.2) << '\n';
 }
 
 void list(const std::string& text) {
-  const reedspindle::links::Catalogue catalogue{{}, {{"a", {0}}, {"b", {1}}}, {{"m2", 1}}};
+  const reedspindle::config::NameTable names{{}, {{"a", {0}}, {"b", {1}}}, {{"m2", 1}}};
   try {
-    const auto list = reedspindle::discovery::read_list(text, catalogue);
-    std::cout << "  " << (list.kind == reedspindle::ListKind::complete ? "complete " : "changes ")
+    const auto list = reedspindle::discovery::read_list(text, names);
+    std::cout << "  " << (list.kind == reedspindle::EndpointListKind::complete ? "complete " : "changes ")
               << list.revision << '\n';
     const char* states[] = {"ready", "draining", "gone"};
     for (const auto& [entry, zone, endpoint] : list.servers)
-      std::cout << "  " << entry.member.address << " at " << endpoint.address().to_string() << ':'
+      std::cout << "  " << entry.id.address << " at " << endpoint.address().to_string() << ':'
                 << endpoint.port() << ", zone " << zone << ' ' << entry.zone.number << ", kind " << entry.kind
                 << ", group " << entry.group.number << ", " << states[static_cast<int>(entry.state)]
-                << ", size " << entry.size << ", up since " << entry.up_since
+                << ", size " << entry.size << ", up since " << entry.started_at
                 << (entry.primary ? ", primary" : "") << '\n';
   } catch (const std::exception& fault) {
     std::cout << "  " << fault.what() << '\n';
@@ -42,25 +42,26 @@
 
 // Every cut of a message's bytes is partial, the whole is the message, and what follows stays.
 void cut(const std::string& name) {
-  const std::string bytes = name == "query"   ? pgwire::query("SELECT 1")
-                            : name == "error" ? pgwire::error(pgwire::Severity::error, "53300", "busy", "40")
-                                              : pgwire::startup("svc", "main");
+  const std::string bytes = name == "query" ? postgres::query("SELECT 1")
+                            : name == "error"
+                                ? postgres::error(postgres::Severity::error, "53300", "busy", "40")
+                                : postgres::startup("svc", "main");
   const auto read = [&](std::string_view held) {
-    return name == "startup" ? pgwire::read_startup(held)
-           : name == "query" ? pgwire::read_from_client(held)
-                             : pgwire::read_from_store(held);
+    return name == "startup" ? postgres::read_startup(held)
+           : name == "query" ? postgres::read_from_client(held)
+                             : postgres::read_from_store(held);
   };
   std::size_t partial = 0;
-  while (partial < bytes.size() && std::holds_alternative<pgwire::Partial>(read(bytes.substr(0, partial))))
+  while (partial < bytes.size() && std::holds_alternative<postgres::Partial>(read(bytes.substr(0, partial))))
     ++partial;
   const std::string more = bytes + "more";
   const auto whole = read(more);
-  const auto* message = std::get_if<pgwire::Message>(&whole);
+  const auto* message = std::get_if<postgres::Message>(&whole);
   std::cout << "  partial for " << partial << " of " << bytes.size() << " bytes, then "
             << (message && message->bytes == bytes ? "whole" : "not it") << '\n';
   if (name != "error" || !message) return;
   for (std::size_t size = 0; size <= message->body.size(); ++size)
-    if (const auto fields = pgwire::read_error(message->body.substr(0, size));
+    if (const auto fields = postgres::read_error(message->body.substr(0, size));
         fields && fields->code != "53300")
       std::cout << "  cut after " << size << ": code " << fields->code << '\n';
 }
@@ -72,8 +73,8 @@
     body.replace(at, 4, 1, static_cast<char>(std::stoi(body.substr(at + 2, 2), nullptr, 16)));
   std::size_t read = 0;
   for (std::size_t size = 0; size < body.size(); ++size)
-    read += pgwire::read_row(body.substr(0, size)).has_value();
-  const auto value = pgwire::read_row(body);
+    read += postgres::read_row(body.substr(0, size)).has_value();
+  const auto value = postgres::read_row(body);
   std::cout << "  " << (value ? "value " + std::string(*value) : "none") << ", of its cuts " << read << '\n';
 }
 }  // namespace
--- a/tests/accord.cpp
+++ b/tests/consistency.cpp
@@ -1,8 +1,6 @@
 // Plays a case file to one front's accord and prints what it decides. "ask 3 list 7" is fellow 3's question,
 // its list's sum and revision being 7; "answer 3 list 7 word 2000" answers the last question to it. Lines
 // starting with two blanks hold what is expected and are skipped on reading.
-#include "accord/accord.hpp"
-
 #include <fmt/format.h>
 
 #include <fstream>
@@ -10,14 +8,17 @@
 #include <map>
 #include <sstream>
 
+#include "consistency/consistency_monitor.hpp"
+
 namespace {
-using namespace reedspindle::accord;
+using namespace reedspindle;
+using namespace reedspindle::consistency;
 using reedspindle::Millis;
 
-std::map<Place, std::uint32_t> asked;  // the last question to each
-std::map<Place, Account> said;         // by each, last
+std::map<SlotId, std::uint32_t> asked;  // the last question to each
+std::map<SlotId, Account> said;         // by each, last
 
-void print(const Tell& tell) {
+void print(const SendDatagram& tell) {
   const auto message = message_in(tell.bytes);
   if (message->kind == Kind::asks || message->kind == Kind::checks) asked[tell.to] = message->number;
   if (message->kind == Kind::checks || message->kind == Kind::leave) {
@@ -31,7 +32,7 @@
                            tell.to.number, message->account.of(Matter::list),
                            message->word_age < 0 ? "" : fmt::format(", word {} ms old", message->word_age));
 }
-void print(const WakeAt&) {}
+void print(const RequestWakeup&) {}
 void print(const Found& found) {
   std::cout << "  " << word_of(found.finding);
   if (found.finding == Finding::differs || found.finding == Finding::agrees)
@@ -66,9 +67,9 @@
 
 int main(int, char** argv) {
   std::ifstream file(argv[1]);
-  Charge charge;
+  Options charge;
   charge.place = {0};
-  std::unique_ptr<Accord> accord;
+  std::unique_ptr<ConsistencyMonitor> consistency;
   std::set<std::uint32_t> ready;
   for (std::string text; std::getline(file, text);) {
     if (text.starts_with("  ")) continue;
@@ -85,21 +86,21 @@
                              : charge.silence) = value;
       continue;
     }
-    if (!accord) accord = make_accord(charge, 7);
+    if (!consistency) consistency = make_consistency_monitor(charge, 7);
     int place = 0;
     if (word == "at") {
       Millis now = 0;
       line >> now;
-      for (const auto& decision : accord->settle(now))
+      for (const auto& decision : consistency->process(now))
         std::visit([](const auto& one) { print(one); }, decision);
     } else if (word == "there") {  // "there 4: 1 2 3", of four that count
-      Fellows fellows;
+      PeersChanged fellows;
       line >> fellows.counted >> word;
       while (line >> place) fellows.there.insert({place});
-      accord->note(std::move(fellows));
+      consistency->enqueue(std::move(fellows));
     } else if (word == "acts") {
       Acts acts{account_in(line), ready};
-      accord->note(std::move(acts));
+      consistency->enqueue(std::move(acts));
     } else if (word == "ready") {  // marks, from the next acts on
       ready.clear();
       for (std::uint32_t mark = 0; line >> mark;) ready.insert(mark);
@@ -110,26 +111,26 @@
       if (word == "leave") message.account = said[message.place];
       if (word == "check") line >> message.account.revision;
       for (std::uint32_t mark = 0; line >> mark;) message.marks.push_back(mark);
-      accord->note(Heard{message.place, bytes_of(message)});
+      consistency->enqueue(DatagramReceived{message.place, bytes_of(message)});
     } else if (word == "confirmed") {
-      accord->note(Confirmed{});
+      consistency->enqueue(Confirmed{});
     } else if (word == "ask" || word == "answer") {
       line >> place;
       Message message{
           word == "ask" ? Kind::asks : Kind::answers, asked[{place}], {place}, account_in(line), -1, {}};
       if (!(line >> message.word_age)) message.word_age = -1;
       said[{place}] = message.account;
-      accord->note(Heard{{place}, bytes_of(message)});
+      consistency->enqueue(DatagramReceived{{place}, bytes_of(message)});
     } else if (word == "as") {  // "as 2 ask 3": in another's name
       int other = 0;
       line >> place >> word >> other;
-      accord->note(Heard{{place}, bytes_of({Kind::asks, 1, {other}, {}, -1, {}})});
+      consistency->enqueue(DatagramReceived{{place}, bytes_of({Kind::asks, 1, {other}, {}, -1, {}})});
     } else if (word == "cut-short") {  // any datagram without its last byte
       line >> place;
       const std::string bytes = bytes_of({Kind::asks, 1, {place}, {}, 5, {}});
-      accord->note(Heard{{place}, bytes.substr(0, bytes.size() - 1)});
+      consistency->enqueue(DatagramReceived{{place}, bytes.substr(0, bytes.size() - 1)});
     } else if (word == "view") {
-      const View view = accord->view();
+      const View view = consistency->view();
       for (int matter = 0; matter < kMatters; ++matter) {
         const Difference& is = view.differences[static_cast<std::size_t>(matter)];
         std::cout << fmt::format("  {}: {} of {} differ{}{}\n", word_of(static_cast<Matter>(matter)),
--- a/tests/accord_properties.cpp
+++ b/tests/consistency_properties.cpp
@@ -5,11 +5,11 @@
 
 #include <set>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 namespace {
 using namespace reedspindle;
-using rig::VirtualFleet;
+using faulttest::VirtualFleet;
 
 struct Fault {
   int kind = 0, front = 0, other = 0, span = 0;
@@ -31,15 +31,15 @@
 struct World {
   World(int fronts, std::uint64_t seed)
       : fleet(fronts, brisk(), seed), held(static_cast<std::size_t>(fronts)) {
-    charge.pace = 200, charge.grace = 600, charge.silence = 1500, charge.writes_for = 2500;
-    fleet.compare(charge);
+    options.pace = 200, options.grace = 600, options.silence = 1500, options.writes_for = 2500;
+    fleet.compare(options);
     fleet.passes = [this](int from, int to) { return !cut.contains({from, to}); };
     for (int front = 0; front < fronts; ++front) start(front);
   }
-  static membership::Charge brisk() {
-    membership::Charge charge;
-    charge.pace = 200, charge.time_out = 80;
-    return charge;
+  static membership::Options brisk() {
+    membership::Options options;
+    options.pace = 200, options.timeout = 80;
+    return options;
   }
   void start(int front) {
     fleet.start(front);
@@ -47,7 +47,7 @@
     tell(front);
   }
   void tell(int front) {
-    accord::Acts acts;
+    consistency::Acts acts;
     acts.account.revision = held[static_cast<std::size_t>(front)] + 1;
     acts.account.sums = {static_cast<std::uint32_t>(acts.account.revision), 1, 1};
     acts.ready = lists[held[static_cast<std::size_t>(front)]];
@@ -73,18 +73,18 @@
   void look() {
     for (int front = 0; front < fleet.size(); ++front) {
       if (!fleet.up(front) || stopped.contains(front)) continue;
-      const accord::View view = fleet.accord(front)->view();
+      const consistency::View view = fleet.consistency(front)->view();
       for (const std::uint32_t mark : view.doubted) {
         bool gone = false;
         for (std::size_t later = held[static_cast<std::size_t>(front)] + 1; later < lists.size(); ++later)
           gone = gone || !lists[later].contains(mark);
         RC_ASSERT(gone);
       }
-      if (!view.allowed.writes) RC_ASSERT(fleet.now() - spoke[front] > charge.writes_for);
+      if (!view.allowed.writes) RC_ASSERT(fleet.now() - spoke[front] > options.writes_for);
     }
   }
 
-  accord::Charge charge;
+  consistency::Options options;
   VirtualFleet fleet;
   std::set<std::pair<int, int>> cut;
   std::vector<std::set<std::uint32_t>> lists{{1, 2, 3, 4, 5, 6, 7, 8}};
@@ -128,9 +128,9 @@
     }
     world.run(20000);
     for (int front = 0; front < fronts; ++front) {
-      const accord::View view = fleet.accord(front)->view();
+      const consistency::View view = fleet.consistency(front)->view();
       RC_ASSERT(view.allowed.writes && !view.cut_off && view.doubted.empty());
-      for (const accord::Difference& difference : view.differences)
+      for (const consistency::Difference& difference : view.differences)
         RC_ASSERT(difference.differ == 0 && difference.compared > 0);
     }
   });
@@ -144,12 +144,12 @@
         const auto mark = static_cast<std::uint32_t>(*rc::gen::inRange(1, 9));
         world.change(false, mark);
         // In a round of questions it has met one who has the later list, and asked what that one has no more.
-        world.run(world.charge.pace * (fronts + 4));
-        RC_ASSERT(world.fleet.accord(deaf)->view().doubted == std::set<std::uint32_t>{mark});
-        RC_ASSERT(world.fleet.accord(deaf)->view().allowed.writes);
+        world.run(world.options.pace * (fronts + 4));
+        RC_ASSERT(world.fleet.consistency(deaf)->view().doubted == std::set<std::uint32_t>{mark});
+        RC_ASSERT(world.fleet.consistency(deaf)->view().allowed.writes);
         world.mute.clear();
         world.run(200);
-        RC_ASSERT(world.fleet.accord(deaf)->view().doubted.empty());
+        RC_ASSERT(world.fleet.consistency(deaf)->view().doubted.empty());
       });
   return !(held && careful);
 }
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -9,10 +9,10 @@
 #include <sstream>
 #include <utility>
 
-#include "control/kept.hpp"
-#include "control/offer.hpp"
-#include "control/roster.hpp"
-#include "control/streams.hpp"
+#include "control/endpoint_registry.hpp"
+#include "control/registry_state.hpp"
+#include "control/resource_snapshot.hpp"
+#include "control/subscriptions.hpp"
 
 namespace {
 using namespace reedspindle;
@@ -25,18 +25,18 @@
   throw std::runtime_error("unknown kind " + word);
 }
 
-Values values() {
-  Values values{{"instances", 1.0},
-                {"tick", 5.0},
-                {"list", "push"},
-                {"allow.probes", 1.0},
-                {"op_types", 3.0},
-                {"rule.warm_within", 10000.0},
-                {"rule.cold_from", 0.2},
-                {"op_type.0.needs", "write"},
-                {"op_type.1.needs", "bounded"},
-                {"op_type.1.bound", 1500.0},
-                {"op_type.2.needs", "any"}};
+Settings values() {
+  Settings values{{"instances", 1.0},
+                  {"tick", 5.0},
+                  {"list", "push"},
+                  {"allow.probes", 1.0},
+                  {"op_types", 3.0},
+                  {"rule.warm_within", 10000.0},
+                  {"rule.cold_from", 0.2},
+                  {"op_type.0.needs", "write"},
+                  {"op_type.1.needs", "bounded"},
+                  {"op_type.1.bound", 1500.0},
+                  {"op_type.2.needs", "any"}};
   return values;
 }
 
@@ -53,16 +53,16 @@
     } else if (word == "list") {
       list(words);
     } else if (word == "probed") {
-      ProbeEnded ended;
+      ProbeCompleted ended;
       std::string role;
-      words >> ended.member.address >> role >> ended.seen.position;
-      ended.answered = true, ended.took = 1;
-      ended.seen.role = role == "primary" ? Role::primary : Role::replica;
-      router_->note(ended);
+      words >> ended.server.address >> role >> ended.sample.position;
+      ended.answered = true, ended.latency = 1;
+      ended.sample.role = role == "primary" ? Role::primary : Role::replica;
+      router_->enqueue(ended);
     } else if (word == "unprobed") {
-      ProbeEnded ended;
-      words >> ended.member.address;
-      router_->note(ended);
+      ProbeCompleted ended;
+      words >> ended.server.address;
+      router_->enqueue(ended);
     } else if (word == "open") {
       open(words);
     } else if (word == "close") {
@@ -83,8 +83,8 @@
       last_.clear();
       start(service);
       if (with == "kept") {
-        roster_->restore(kept_in(text));
-        router_->note(roster_->read());
+        roster_->restore(registry_state_in(text));
+        router_->enqueue(roster_->read());
       }
     } else if (word == "reads-all") {
       for (auto& [id, kinds] : last_) streams_->written(id);
@@ -98,45 +98,45 @@
  private:
   void start(const std::string& service) {
     router_ = make_router(values(), 7);
-    roster_ = std::make_unique<Roster>(Roster::Bounds{2000, 0.5, 30000});
-    offering_ =
-        std::make_unique<Offering>(std::vector<RoutedType>{{"save", RoutedType::Needs::primary, 0},
-                                                           {"browse", RoutedType::Needs::bounded, 1500},
-                                                           {"report", RoutedType::Needs::any, 0}},
-                                   Offering::Leases{100, 10, 250}, 2000);
-    Streams::Bounds bounds;
+    roster_ = std::make_unique<EndpointRegistry>(EndpointRegistry::Bounds{2000, 0.5, 30000});
+    offering_ = std::make_unique<SnapshotBuilder>(
+        std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
+                                        {"browse", RoutedRequestClass::Needs::bounded, 1500},
+                                        {"report", RoutedRequestClass::Needs::any, 0}},
+        SnapshotBuilder::Leases{100, 10, 250}, 2000);
+    Subscriptions::Bounds bounds;
     bounds.streams = 3, bounds.names = 8, bounds.name_length = 32;
-    streams_ = std::make_unique<Streams>(bounds, service, ++epoch_);
+    streams_ = std::make_unique<Subscriptions>(bounds, service, ++epoch_);
   }
 
   // "list 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
   void list(std::istream& words) {
-    RosterList list;
+    RegistryUpdate list;
     std::string text, part;
     words >> list.revision >> text;
-    list.kind = text == "changes" ? ListKind::changes : ListKind::complete;
+    list.kind = text == "changes" ? EndpointListKind::changes : EndpointListKind::complete;
     while (words >> text) {
       std::istringstream parts(text);
-      RosterEntry entry;
-      std::getline(parts, entry.listed.member.address, ':');
+      RegistryEntry entry;
+      std::getline(parts, entry.listed.id.address, ':');
       std::getline(parts, part, ':');
-      entry.listed.state = part == "ready"      ? MemberState::ready
-                           : part == "draining" ? MemberState::draining
-                                                : MemberState::gone;
+      entry.listed.state = part == "ready"      ? ServerState::ready
+                           : part == "draining" ? ServerState::draining
+                                                : ServerState::gone;
       parts >> entry.listed.group.number;
       if (std::string rest; std::getline(parts, rest, ':') && std::getline(parts, rest, ':'))
-        entry.listed.up_since = std::stod(rest);
-      entry.endpoint = entry.listed.member.address + ":1";
+        entry.listed.started_at = std::stod(rest);
+      entry.endpoint = entry.listed.id.address + ":1";
       list.members.push_back(entry);
     }
     const auto out = roster_->take(list, now_);
-    for (const MemberId& id : out) std::cout << "  out: " << id.address << '\n';
+    for (const ServerId& id : out) std::cout << "  out: " << id.address << '\n';
     const char* const doubts[] = {"", "empty", "loss", "older"};
-    if (roster_->doubt() != Doubt::none)
+    if (roster_->doubt() != UpdateDoubt::none)
       std::cout << "  doubted: " << doubts[static_cast<int>(roster_->doubt())] << '\n';
     if (!std::exchange(asked_, roster_->ask_at()) && roster_->ask_at())
       std::cout << "  asks for the whole list at " << *roster_->ask_at() << '\n';
-    router_->note(roster_->read());
+    router_->enqueue(roster_->read());
   }
 
   void open(std::istream& words) {  // "open 1 whole|changes [ttl|stated] [weighs] [tokens]"
@@ -160,7 +160,7 @@
   void hear(const std::string& word, std::istream& words) {
     StreamId id;
     std::string text;
-    Heard heard;
+    SubscriptionRequest heard;
     words >> id.number >> text;
     heard.kind = kind_of(text);
     Last& last = last_[id][heard.kind];
@@ -192,9 +192,9 @@
   }
 
   void settle() {
-    for (const Decision& decision : router_->settle(now_))
-      if (const auto* forget = std::get_if<Forget>(&decision))
-        std::cout << "  forget " << forget->member.address << '\n';
+    for (const Decision& decision : router_->process(now_))
+      if (const auto* forget = std::get_if<ForgetServer>(&decision))
+        std::cout << "  forget " << forget->server.address << '\n';
     for (int turn = 0; turn < 2; ++turn) {  // once more where abilities have changed
       streams_->offer(offering_->make(router_->view(), *roster_, streams_->abilities(), now_));
       for (const Act& act : streams_->settle(now_)) std::visit([this](const auto& a) { print(a); }, act);
@@ -223,7 +223,7 @@
   }
   static void print(const Assignment& assignment) {
     for (const Endpoint& e : assignment.endpoints) {
-      std::cout << fmt::format(" {}{}/{}", e.primary ? "*" : "", e.member.address, e.rank);
+      std::cout << fmt::format(" {}{}/{}", e.primary ? "*" : "", e.server.address, e.rank);
       if (e.weight != 100) std::cout << fmt::format("x{}", e.weight);
       if (e.standing != Standing::healthy)
         std::cout << (e.standing == Standing::draining ? " drains" : " out");
@@ -234,7 +234,7 @@
   static void print(const Listener& listener) { std::cout << " by " << listener.routes; }
   static void print(const Routes& routes) {
     for (const Route& route : routes.routes)
-      std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.op_type, route.cluster);
+      std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.request_class, route.cluster);
   }
   void print(const End& end) { std::cout << fmt::format("  {} ends: {}\n", end.stream.number, end.why); }
   void print(const Notice& notice) {
@@ -249,9 +249,9 @@
   std::uint64_t epoch_ = 0;
   std::optional<Millis> asked_;
   std::unique_ptr<Router> router_;
-  std::unique_ptr<Roster> roster_;
-  std::unique_ptr<Offering> offering_;
-  std::unique_ptr<Streams> streams_;
+  std::unique_ptr<EndpointRegistry> roster_;
+  std::unique_ptr<SnapshotBuilder> offering_;
+  std::unique_ptr<Subscriptions> streams_;
   std::map<StreamId, std::map<Kind, Last>> last_;
   std::map<StreamId, bool> whole_;
 };
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "digests/digest.hpp"
-#include "logic.hpp"
-#include "samples.hpp"
+#include "routing/replica_samples.hpp"
+#include "routing/router.hpp"
 
 namespace {
 using namespace reedspindle;
@@ -22,7 +22,7 @@
 constexpr int kTicks = 3000;  // of one sequence
 constexpr int kGroups = 6, kMembers = 5;
 
-Values settings(unsigned seed) {
+Settings settings(unsigned seed) {
   const bool asked = seed % 3 == 1, cold = seed % 2 == 0, peers = seed % 4 != 3;
   return {{"instances", peers ? 12.0 : 1.0},
           {"rank", 2.0},
@@ -71,25 +71,25 @@
         router_(make_router(settings(seed), seed)),
         digest_(prints) {
     for (int number = 0; number < kGroups * kMembers; ++number) {
-      ListedMember& entry = members_.emplace_back();
-      entry.member = {fmt::format("m{}", number)};
+      ServerEntry& entry = members_.emplace_back();
+      entry.id = {fmt::format("m{}", number)};
       entry.group = {number % kGroups};
       entry.size = 0.5 + 0.5 * (number % 3);
     }
   }
 
   std::string play() {
-    std::vector<ListedMember> first(members_.begin(), members_.end() - kGroups);
-    router_->note(ListRead{ListKind::saved, first});
+    std::vector<ServerEntry> first(members_.begin(), members_.end() - kGroups);
+    router_->enqueue(EndpointListReceived{EndpointListKind::saved, first});
     for (int tick = 0; tick < kTicks; ++tick) {
       now_ += kTick;
       while (!due_.empty() && due_.begin()->first <= now_) {
-        router_->note(due_.begin()->second);
+        router_->enqueue(due_.begin()->second);
         due_.erase(due_.begin());
       }
       digest_.comment(fmt::format("tick {}", tick));
       happen();
-      for (const Decision& decision : router_->settle(now_))
+      for (const Decision& decision : router_->process(now_))
         std::visit([this](const auto& d) { take(d); }, decision);
     }
     return digest_.text();
@@ -100,116 +100,124 @@
     return static_cast<double>(random_()) < share * static_cast<double>(random_.max());
   }
   int draw(int below) { return static_cast<int>(random_() % static_cast<unsigned>(below)); }
-  ListedMember& member() {
+  ServerEntry& member() {
     return members_[static_cast<std::size_t>(draw(static_cast<int>(members_.size())))];
   }
 
   void happen() {
     if (chance(0.4)) {
-      OpArrived op;
-      op.op = {++ops_};
-      op.type = {draw(4)};
+      RequestReceived op;
+      op.request = {++ops_};
+      op.request_class = {draw(4)};
       op.group = {draw(kGroups)};
       op.session = fmt::format("s{}", draw(9));
-      op.patience = std::vector<Millis>{400, 500, 900, 3000}[static_cast<std::size_t>(op.type.number)];
-      if (op.type.number == 3 && chance(0.7)) op.token_age = draw(400);
-      op.repeat = chance(0.1);
-      router_->note(op);
-      if (chance(0.02)) due_.emplace(now_ + draw(200), OpGone{op.op});
+      op.remaining =
+          std::vector<Millis>{400, 500, 900, 3000}[static_cast<std::size_t>(op.request_class.number)];
+      if (op.request_class.number == 3 && chance(0.7)) op.token_age = draw(400);
+      op.is_retry = chance(0.1);
+      router_->enqueue(op);
+      if (chance(0.02)) due_.emplace(now_ + draw(200), RequestAbandoned{op.request});
     }
     if (chance(0.01)) change_list();
     if (chance(0.02)) speak();
     if (chance(0.003)) trouble_ = draw(3), trouble_from_ = draw(static_cast<int>(members_.size()));
     if (chance(0.002))
-      router_->note(AmongPeers{{0, 1, 3, draw(12)}, 0.5 + 0.1 * draw(6), !chance(0.1), true});
+      router_->enqueue(FleetViewChanged{{0, 1, 3, draw(12)}, 0.5 + 0.1 * draw(6), !chance(0.1), true});
   }
   void change_list() {
     const int kind = draw(8);
-    if (kind == 0) return router_->note(ListRead{ListKind::failed, {}});
-    ListedMember& entry = member();
-    const MemberState states[] = {MemberState::ready, MemberState::draining, MemberState::gone,
-                                  MemberState::ready};
+    if (kind == 0) return router_->enqueue(EndpointListReceived{EndpointListKind::failed, {}});
+    ServerEntry& entry = member();
+    const ServerState states[] = {ServerState::ready, ServerState::draining, ServerState::gone,
+                                  ServerState::ready};
     entry.state = states[draw(4)];
-    if (chance(0.4)) entry.up_since = now_ - draw(500);
-    digest_.comment(fmt::format("{} is {} since {}", entry.member.address, static_cast<int>(entry.state),
-                                entry.up_since));
-    if (kind > 1) return router_->note(ListRead{ListKind::changes, {entry}});
-    ListRead read{ListKind::complete, {}};
-    for (const ListedMember& one : members_)
-      if (one.state != MemberState::gone) read.members.push_back(one);
-    router_->note(read);
+    if (chance(0.4)) entry.started_at = now_ - draw(500);
+    digest_.comment(
+        fmt::format("{} is {} since {}", entry.id.address, static_cast<int>(entry.state), entry.started_at));
+    if (kind > 1) return router_->enqueue(EndpointListReceived{EndpointListKind::changes, {entry}});
+    EndpointListReceived read{EndpointListKind::complete, {}};
+    for (const ServerEntry& one : members_)
+      if (one.state != ServerState::gone) read.servers.push_back(one);
+    router_->enqueue(read);
   }
   void speak() {
-    std::vector<ToldSample> samples;
+    std::vector<GossipedSample> samples;
     const int group = draw(kGroups);
-    for (const ListedMember& one : members_)
+    for (const ServerEntry& one : members_)
       if (one.group.number == group)
-        samples.push_back(
-            {mark_of(one.member), {chance(0.1) ? Role::unknown : role(one), now_ - lag(one), 0.4}});
-    router_->note(PeerSpoke{draw(12), text_of(now_ - draw(40), samples)});
+        samples.push_back({mark_of(one.id), {chance(0.1) ? Role::unknown : role(one), now_ - lag(one), 0.4}});
+    router_->enqueue(PeerMessageReceived{draw(12), text_of(now_ - draw(40), samples)});
   }
-  static Role role(const ListedMember& one) {
-    return one.member.address.size() == 2 && one.member.address[1] < '6' ? Role::primary : Role::replica;
+  static Role role(const ServerEntry& one) {
+    return one.id.address.size() == 2 && one.id.address[1] < '6' ? Role::primary : Role::replica;
   }
-  bool troubled(const MemberId& id) const {
-    return members_[static_cast<std::size_t>(trouble_from_)].member == id;
+  bool troubled(const ServerId& id) const {
+    return members_[static_cast<std::size_t>(trouble_from_)].id == id;
   }
-  Millis lag(const ListedMember& one) {
-    return role(one) == Role::primary ? 0 : 5 + draw(troubled(one.member) ? 900 : 60);
+  Millis lag(const ServerEntry& one) {
+    return role(one) == Role::primary ? 0 : 5 + draw(troubled(one.id) ? 900 : 60);
   }
-  const ListedMember& of(const MemberId& id) {
-    for (const ListedMember& one : members_)
-      if (one.member == id) return one;
+  const ServerEntry& of(const ServerId& id) {
+    for (const ServerEntry& one : members_)
+      if (one.id == id) return one;
     return members_.front();
   }
 
-  void take(const Send& send) {
-    digest_.add(fmt::format("send {} {} {:.3f} {:.3f}", send.op.number, send.member.address, send.time_out,
-                            send.start_within.value_or(-1)));
-    const ListedMember& to = of(send.member);
-    SendEnded ended{
-        send.op, {sends_[send.op]++}, send.member, Ending::acked, 0, true, {role(to), now_ - lag(to), 0.5}};
+  void take(const StartAttempt& send) {
+    digest_.add(fmt::format("send {} {} {:.3f} {:.3f}", send.request.number, send.server.address,
+                            send.timeout, send.start_within.value_or(-1)));
+    const ServerEntry& to = of(send.server);
+    AttemptCompleted ended{
+        send.request, {sends_[send.request]++},       send.server, AttemptOutcome::acknowledged, 0,
+        true,         {role(to), now_ - lag(to), 0.5}};
     Millis took = 10 + draw(60);
-    if (troubled(send.member)) {
-      const Ending bad[] = {Ending::errored, Ending::reset, Ending::connect_failed};
-      ended.ending = bad[trouble_];
-      if (trouble_ == 0) took = std::min(send.time_out, 350.0), ended.ending = Ending::timed_out;
+    if (troubled(send.server)) {
+      const AttemptOutcome bad[] = {AttemptOutcome::failed, AttemptOutcome::reset,
+                                    AttemptOutcome::connect_failed};
+      ended.outcome = bad[trouble_];
+      if (trouble_ == 0) took = std::min(send.timeout, 350.0), ended.outcome = AttemptOutcome::timed_out;
     } else if (chance(0.05)) {
-      const Ending ends[] = {Ending::turned_away_full, Ending::errored, Ending::turned_away_untouched,
-                             Ending::never_sent};
-      ended.ending = ends[draw(4)];
+      const AttemptOutcome ends[] = {AttemptOutcome::rejected_overloaded, AttemptOutcome::failed,
+                                     AttemptOutcome::rejected_not_executed, AttemptOutcome::not_sent};
+      ended.outcome = ends[draw(4)];
     }
-    ended.op_ended = ended.ending == Ending::acked;
-    ended.took = took;
+    ended.request_completed = ended.outcome == AttemptOutcome::acknowledged;
+    ended.latency = took;
     due_.emplace(now_ + took, ended);
   }
-  void take(const Probe& probe) {
-    digest_.add(fmt::format("probe {} {:.3f}", probe.member.address, probe.time_out));
-    const ListedMember& to = of(probe.member);
-    const bool answers = !troubled(probe.member) || trouble_ == 1;
-    const Millis took = answers ? 2 + draw(20) : probe.time_out;
-    due_.emplace(now_ + took,
-                 ProbeEnded{probe.member, answers, took, {role(to), now_ - lag(to), 0.2 + 0.1 * draw(8)}});
+  void take(const StartProbe& probe) {
+    digest_.add(fmt::format("probe {} {:.3f}", probe.server.address, probe.timeout));
+    const ServerEntry& to = of(probe.server);
+    const bool answers = !troubled(probe.server) || trouble_ == 1;
+    const Millis took = answers ? 2 + draw(20) : probe.timeout;
+    due_.emplace(
+        now_ + took,
+        ProbeCompleted{probe.server, answers, took, {role(to), now_ - lag(to), 0.2 + 0.1 * draw(8)}});
   }
-  void take(const Wake& wake) { due_.emplace(wake.at, TimerDue{wake.timer}); }
-  void take(const WatchList&) {
+  void take(const SetTimer& wake) { due_.emplace(wake.at, TimerExpired{wake.timer}); }
+  void take(const WatchEndpoints&) {
     digest_.add("watch");
-    due_.emplace(now_ + 30, ListRead{chance(0.5) ? ListKind::failed : ListKind::changes, {}});
-  }
-  void take(const CallOff& d) { digest_.add(fmt::format("call off {} {}", d.op.number, d.send.number)); }
-  void take(const BusyReply& d) { digest_.add(fmt::format("busy {} {:.3f}", d.op.number, d.come_back)); }
-  void take(const ErrorReply& d) { digest_.add(fmt::format("error {}", d.op.number)); }
-  void take(const Forget& d) { digest_.add("forget " + d.member.address); }
-  void take(const TellPeers& d) { digest_.add("tell " + d.text); }
-  void take(const LogLine&) {}
+    due_.emplace(now_ + 30, EndpointListReceived{
+                                chance(0.5) ? EndpointListKind::failed : EndpointListKind::changes, {}});
+  }
+  void take(const CancelAttempt& d) {
+    digest_.add(fmt::format("call off {} {}", d.request.number, d.attempt.number));
+  }
+  void take(const RejectRequest& d) {
+    digest_.add(fmt::format("busy {} {:.3f}", d.request.number, d.retry_after));
+  }
+  void take(const FailRequest& d) { digest_.add(fmt::format("error {}", d.request.number)); }
+  void take(const ForgetServer& d) { digest_.add("forget " + d.server.address); }
+  void take(const BroadcastToPeers& d) { digest_.add("tell " + d.text); }
+  void take(const LogMessage&) {}
 
   std::minstd_rand random_;
   std::unique_ptr<Router> router_;
   Digest digest_;
   Millis now_ = 1767225600000;
-  std::vector<ListedMember> members_;
+  std::vector<ServerEntry> members_;
   std::multimap<Millis, Event> due_;
-  std::map<OpId, int> sends_;
+  std::map<RequestId, int> sends_;
   std::uint64_t ops_ = 0;
   int trouble_ = 0, trouble_from_ = 0;
 };
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -4,11 +4,11 @@
 #include <exception>
 #include <optional>
 
-#include "accord/message.hpp"
+#include "consistency/message.hpp"
 #include "digest.hpp"
 #include "membership/message.hpp"
-#include "samples.hpp"
-#include "shares/message.hpp"
+#include "quota/message.hpp"
+#include "routing/replica_samples.hpp"
 
 namespace {
 using namespace reedspindle;
@@ -73,8 +73,8 @@
     return bytes;
   }
   std::string shares_bytes() {
-    shares::Message message;
-    message.kind = static_cast<shares::Kind>(draws_.below(7));
+    quota::Message message;
+    message.kind = static_cast<quota::Kind>(draws_.below(7));
     message.number = number(2000000000);
     message.of = number(2000000000);
     message.place = {place()};
@@ -89,11 +89,11 @@
     message.lends = draws_.below(9000);
     message.amount = draws_.below(9000);
     message.left = 0.25 * draws_.below(9000);
-    return shares::bytes_of(message);
+    return quota::bytes_of(message);
   }
   std::string accord_bytes() {
-    accord::Message message;
-    message.kind = static_cast<accord::Kind>(draws_.below(4));
+    consistency::Message message;
+    message.kind = static_cast<consistency::Kind>(draws_.below(4));
     message.number = number(2000000000);
     message.place = {place()};
     for (std::uint32_t& sum : message.account.sums) sum = number(2000000000);
@@ -101,7 +101,7 @@
     message.word_age = draws_.one_in(2) ? -1 : draws_.below(90000);
     const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
     for (int mark = 0; mark < marks; ++mark) message.marks.push_back(number(1 << 24));
-    return accord::bytes_of(message);
+    return consistency::bytes_of(message);
   }
 
   void play(const std::string& bytes) {
@@ -122,15 +122,15 @@
   }
   void read(const std::string& bytes) {
     digest_.comment(digests::hex(bytes));
-    digest_.add(fmt::format("for {} {} {}", membership::is_for_membership(bytes),
-                            shares::is_for_shares(bytes), accord::is_for_accord(bytes)));
+    digest_.add(fmt::format("for {} {} {}", membership::is_membership_message(bytes),
+                            quota::is_quota_message(bytes), consistency::is_consistency_message(bytes)));
     const auto fellow = read_by(membership::message_in, bytes);
     if (fellow) add(*fellow);
-    const auto share = read_by(shares::message_in, bytes);
+    const auto share = read_by(quota::message_in, bytes);
     if (share) add(*share);
-    const auto question = read_by(shares::question_in, bytes);
+    const auto question = read_by(quota::question_in, bytes);
     if (question) digest_.add(fmt::format("question {}", *question));
-    const auto account = read_by(accord::message_in, bytes);
+    const auto account = read_by(consistency::message_in, bytes);
     if (account) add(*account);
   }
   void add(const membership::Message& message) {
@@ -143,13 +143,13 @@
       digest_.add(fmt::format("word {} {} {} {} {}", word.name, word.place.number,
                               static_cast<int>(word.standing), word.incarnation.number, word.by.number));
   }
-  void add(const shares::Message& message) {
+  void add(const quota::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {}{}{}{}{} {} {} {} {:.3f}", static_cast<int>(message.kind),
                             message.number, message.of, message.place.number, message.life.number,
                             message.terms, message.held, message.yes, message.young, message.own,
                             message.need, message.wants, message.lends, message.amount, message.left));
   }
-  void add(const accord::Message& message) {
+  void add(const consistency::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
                             message.place.number, message.account.sums[0], message.account.sums[1],
                             message.account.sums[2], message.account.revision, message.word_age));
@@ -158,28 +158,28 @@
 
   void samples() {
     const Millis now = 1767225600000 + draws_.below(1000000);
-    std::vector<ToldSample> told;
+    std::vector<GossipedSample> told;
     const int count = draws_.below(45);
     for (int sample = 0; sample < count; ++sample) {
-      ToldSample one;
+      GossipedSample one;
       one.mark = mark_of({fmt::format("m{}", draws_.below(1000))});
-      one.seen.role = static_cast<Role>(draws_.below(3));
-      one.seen.position = draws_.one_in(5) ? -1 : now - draws_.below(9000);
-      one.seen.busy = draws_.one_in(5) ? -1 : 0.01 * draws_.below(101);
+      one.sample.role = static_cast<Role>(draws_.below(3));
+      one.sample.position = draws_.one_in(5) ? -1 : now - draws_.below(9000);
+      one.sample.utilization = draws_.one_in(5) ? -1 : 0.01 * draws_.below(101);
       told.push_back(one);
     }
     const std::string text = text_of(now, told);
     digest_.add(text);
-    add(samples_in(text, now + draws_.below(100)));
+    add(decode_samples(text, now + draws_.below(100)));
     const std::string mutated = draws_.mutated(text);
-    add(samples_in(mutated, now + draws_.below(100)));
+    add(decode_samples(mutated, now + draws_.below(100)));
   }
-  void add(const std::optional<ToldSamples>& read) {
+  void add(const std::optional<SampleGossip>& read) {
     if (!read) return digest_.add("no samples");
     digest_.add(fmt::format("samples of {:.3f}", read->then));
-    for (const ToldSample& one : read->samples)
-      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.seen.role),
-                              one.seen.position, one.seen.busy));
+    for (const GossipedSample& one : read->samples)
+      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.sample.role),
+                              one.sample.position, one.sample.utilization));
   }
 
   digests::Draws draws_;
--- a/tests/digests/accord.cpp
+++ b/tests/digests/consistency.cpp
@@ -1,17 +1,16 @@
 // Plays five fronts' accord in a drawn network and prints a digest of all decisions and views.
-#include "accord/accord.hpp"
-
 #include <variant>
 
-#include "accord/account.hpp"
-#include "accord/keepers.hpp"
+#include "consistency/consistency_monitor.hpp"
+#include "consistency/state_digest.hpp"
 #include "network.hpp"
+#include "routing/probe_leader.hpp"
 
 namespace {
 using namespace reedspindle;
-using namespace reedspindle::accord;
+using namespace reedspindle::consistency;
 
-class Sequence : public digests::Network<Accord> {
+class Sequence : public digests::Network<ConsistencyMonitor> {
  public:
   Sequence(unsigned seed, bool prints) : Network(seed, prints), odd_(seed % 2 == 1) {}
   std::string play() {
@@ -28,68 +27,68 @@
   }
 
  private:
-  std::unique_ptr<Accord> make(int front) override {
-    Charge charge;
+  std::unique_ptr<ConsistencyMonitor> make(int front) override {
+    Options charge;
     charge.place = {front};
     charge.silence = odd_ ? 3000 : 10000;
     charge.writes_for = odd_ ? 8000 : 20000;
     charge.reads_for = odd_ ? 12000 : 40000;
     lists_[static_cast<std::size_t>(front)] = ListHeld();
-    return make_accord(charge, static_cast<std::uint64_t>(draws.below(1000000)));
+    return make_consistency_monitor(charge, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
-    at(front).core->note(Heard{{from}, bytes});
+    at(front).core->enqueue(DatagramReceived{{from}, bytes});
   }
-  ListedMember member() {
-    ListedMember entry;
-    entry.member = {fmt::format("m{}", draws.below(9))};
+  ServerEntry member() {
+    ServerEntry entry;
+    entry.id = {fmt::format("m{}", draws.below(9))};
     entry.group = {draws.below(3)};
-    entry.state = static_cast<MemberState>(draws.below(5) < 3 ? 0 : draws.below(3));
+    entry.state = static_cast<ServerState>(draws.below(5) < 3 ? 0 : draws.below(3));
     entry.primary = draws.one_in(3);
     return entry;
   }
   void list(int front) {
     ListHeld& held = lists_[static_cast<std::size_t>(front)];
-    std::vector<ListedMember> members;
+    std::vector<ServerEntry> members;
     const int count = draws.below(4);
     for (int number = 0; number < count; ++number) members.push_back(member());
-    const ListKind kind = static_cast<ListKind>(draws.one_in(4) ? draws.below(4) : 0);
+    const EndpointListKind kind = static_cast<EndpointListKind>(draws.one_in(4) ? draws.below(4) : 0);
     const bool behind = draws.one_in(5);
     if (!behind) ++revision_;
     held.learn(kind, revision_, members);
     Acts acts;
     for (const auto& [mark, entry] : held.ready()) {
       acts.ready.insert(mark);
-      digest.add(fmt::format("ready {} {}", mark, entry.member.address));
+      digest.add(fmt::format("ready {} {}", mark, entry.id.address));
     }
-    std::vector<MemberView> views;
-    for (const ListedMember& entry : members) {
-      MemberView view;
+    std::vector<ServerView> views;
+    for (const ServerEntry& entry : members) {
+      ServerView view;
       view.entry = entry;
       view.primary = entry.primary;
       views.push_back(view);
     }
-    std::set<Place> there;
+    std::set<SlotId> there;
     for (int other = 0; other < kFronts; ++other)
       if (at(other).core) there.insert({other});
     acts.account.sums = {held.sum(), sum_of_primaries(views), sum_of_view(there, {front})};
     acts.account.revision = held.revision();
     digest.add(fmt::format("{} {} acts on {} {} {} {}", now, front, acts.account.sums[0],
                            acts.account.sums[1], acts.account.sums[2], acts.account.revision));
-    at(front).core->note(acts);
+    at(front).core->enqueue(acts);
   }
   void happen(int front) override {
     const int kind = draws.below(12);
     if (kind < 2) {
-      Fellows fellows;
+      PeersChanged fellows;
       for (int other = 0; other < kFronts; ++other)
         if (other != front && (at(other).core || draws.one_in(10))) fellows.there.insert({other});
       fellows.counted = kFronts - draws.below(2);
-      at(front).core->note(fellows);
+      at(front).core->enqueue(fellows);
     } else if (kind < 5) {
       list(front);
     } else if (kind == 5 && now >= silent_) {
-      at(front).core->note(Confirmed{});
+      at(front).core->enqueue(Confirmed{});
     } else if (kind == 6 && draws.one_in(10)) {
       silent_ = now + draws.below(60000);
     } else {
@@ -114,11 +113,11 @@
   }
   void read(const std::string& bytes) override { message_in(bytes); }
   void take(int front) override {
-    for (const auto& decision : at(front).core->settle(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front)))
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
   }
-  void take(int front, const Tell& tell) { send(front, tell.to.number, tell.bytes); }
-  void take(int front, const WakeAt& wanted) {
+  void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
+  void take(int front, const RequestWakeup& wanted) {
     digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
     wake(front, wanted.at);
   }
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <variant>
 
-#include "control/offer.hpp"
-#include "control/streams.hpp"
+#include "control/resource_snapshot.hpp"
+#include "control/subscriptions.hpp"
 #include "digest.hpp"
 #include "drawn_members.hpp"
 
@@ -40,7 +40,7 @@
       digest_.add(fmt::format("due {:.3f} of {} {}", streams_->due(), streams_->size(), offering_->ready()));
     }
     members_.add();
-    const Streams::Counts& counts = streams_->counts();
+    const Subscriptions::Counts& counts = streams_->counts();
     digest_.add(fmt::format("{} {} {} {} {} {}", counts.responses, counts.urgent, counts.taken,
                             counts.turned_down, counts.stale_nonces, counts.ended));
     return digest_.text();
@@ -56,17 +56,17 @@
 
   void start() {
     members_.start();
-    offering_ =
-        std::make_unique<Offering>(std::vector<RoutedType>{{"save", RoutedType::Needs::primary, 0},
-                                                           {"browse", RoutedType::Needs::bounded, 1500},
-                                                           {"own", RoutedType::Needs::session, 0},
-                                                           {"report", RoutedType::Needs::any, 0}},
-                                   Offering::Leases{100, 10, 250}, 2000);
-    Streams::Bounds bounds;
+    offering_ = std::make_unique<SnapshotBuilder>(
+        std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
+                                        {"browse", RoutedRequestClass::Needs::bounded, 1500},
+                                        {"own", RoutedRequestClass::Needs::session, 0},
+                                        {"report", RoutedRequestClass::Needs::any, 0}},
+        SnapshotBuilder::Leases{100, 10, 250}, 2000);
+    Subscriptions::Bounds bounds;
     bounds.streams = kStreams - 1;
     bounds.names = 24;
     bounds.name_length = 40;
-    streams_ = std::make_unique<Streams>(bounds, fmt::format("service-{}", epoch_ % 2), epoch_);
+    streams_ = std::make_unique<Subscriptions>(bounds, fmt::format("service-{}", epoch_ % 2), epoch_);
     asked_.clear();
   }
   void restart() {
@@ -117,7 +117,7 @@
     asked_[id] = Asked{form, {}, {}, {}};
   }
   void ask(StreamId id, Asked& asked) {
-    Heard heard;
+    SubscriptionRequest heard;
     heard.kind = static_cast<Kind>(draws_.below(static_cast<int>(kKinds)));
     const int names = draws_.below(5);
     for (int number = 0; number < names; ++number) heard.names.push_back(name());
@@ -146,7 +146,7 @@
   }
   void answer(StreamId id, Asked& asked) {
     if (asked.unanswered.empty()) return;
-    Heard heard;
+    SubscriptionRequest heard;
     heard.kind = asked.unanswered.front().first;
     heard.nonce = asked.unanswered.front().second;
     if (!draws_.one_in(12)) asked.unanswered.pop_front();
@@ -157,7 +157,7 @@
     streams_->hear(id, heard, now_);
   }
 
-  void add(const Abilities& abilities, const Offer& offer) {
+  void add(const Abilities& abilities, const ResourceSnapshot& offer) {
     digest_.add(fmt::format("offer {} {} {} {}: {} {} {}", static_cast<int>(abilities.expiry),
                             abilities.weighs, abilities.tokens, abilities.elder, offer.ready, offer.revision,
                             offer.withheld.size()));
@@ -179,15 +179,15 @@
   }
   void add(const Assignment& assignment) {
     for (const Endpoint& one : assignment.endpoints)
-      digest_.add(fmt::format("{} {} {} {} {} {} {} {} {:.3f} {:.3f}", one.member.address, one.address,
-                              one.zone, static_cast<int>(one.standing), static_cast<int>(one.hindrance),
+      digest_.add(fmt::format("{} {} {} {} {} {} {} {} {:.3f} {:.3f}", one.server.address, one.address,
+                              one.zone, static_cast<int>(one.standing), static_cast<int>(one.unavailability),
                               one.primary, one.rank, one.weight, one.position, one.until));
   }
   void add(const Listener& listener) { digest_.add("by " + listener.routes); }
   void add(const Routes& routes) {
     digest_.add(fmt::format("elder {}", routes.elder));
     for (const Route& one : routes.routes)
-      digest_.add(fmt::format("{} {} to {}", one.group.number, one.op_type, one.cluster));
+      digest_.add(fmt::format("{} {} to {}", one.group.number, one.request_class, one.cluster));
   }
   void add(const Write& write) {
     digest_.add(fmt::format("write {} {} {} {} {}", write.stream.number, static_cast<int>(write.kind),
@@ -212,8 +212,8 @@
   Millis now_ = 1767225600000;
   std::uint64_t epoch_ = 1;
   DrawnMembers members_;
-  std::unique_ptr<Offering> offering_;
-  std::unique_ptr<Streams> streams_;
+  std::unique_ptr<SnapshotBuilder> offering_;
+  std::unique_ptr<Subscriptions> streams_;
   std::map<StreamId, Asked> asked_;
   std::set<std::pair<std::uint64_t, std::uint64_t>> known_;
   std::vector<std::string> seen_;
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -3,12 +3,12 @@
 #include <optional>
 #include <variant>
 
+#include "config/instance_config.hpp"
 #include "digest.hpp"
 #include "discovery/list_reader.hpp"
 #include "discovery/poller.hpp"
 #include "discovery/server_table.hpp"
-#include "links/placement.hpp"
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 namespace {
 using namespace reedspindle;
@@ -76,7 +76,7 @@
   void add(const TellFailure& failure) {
     digest_.add(fmt::format("{} failed {} {:.3f}", now_, failure.in_a_row, failure.next_in));
   }
-  void add(const WakeAt& wanted) { digest_.add(fmt::format("{} wake {:.3f}", now_, wanted.at)); }
+  void add(const RequestWakeup& wanted) { digest_.add(fmt::format("{} wake {:.3f}", now_, wanted.at)); }
 
   std::string drawn_row() {
     const char* const states[] = {"active", "active", "active", "leaving", "left"};
@@ -109,17 +109,17 @@
     if (draws_.one_in(8)) head += R"(, "note": [[], {}, null, true, -1.5e3])";
     return "{" + head + ", " + targets + "}";
   }
-  static std::string text_of(const ListedServer& one) {
-    const ListedMember& entry = one.entry;
-    return fmt::format("{} {} {} {} {} {:.3f} {:.3f} {} {} {}", digests::hex(entry.member.address),
+  static std::string text_of(const ListedEndpoint& one) {
+    const ServerEntry& entry = one.entry;
+    return fmt::format("{} {} {} {} {} {:.3f} {:.3f} {} {} {}", digests::hex(entry.id.address),
                        entry.zone.number, entry.kind, entry.group.number, static_cast<int>(entry.state),
-                       entry.size, entry.up_since, entry.primary, digests::hex(one.zone),
-                       links::text_of(one.endpoint));
+                       entry.size, entry.started_at, entry.primary, digests::hex(one.zone),
+                       config::text_of(one.endpoint));
   }
   void read(const std::string& text) {
     table_.begin();
     try {
-      ListReader reader(catalogue_, [this](ListedServer row, const ListReader::Head& head) {
+      ListReader reader(catalogue_, [this](ListedEndpoint row, const ListReader::Head& head) {
         digest_.add(fmt::format("row {} {}: {}", head.revision.value_or(-1),
                                 head.whole ? static_cast<int>(*head.whole) : -1, text_of(row)));
         const auto counts = table_.take(std::move(row));
@@ -134,21 +134,21 @@
       const ListReader::Head head = reader.finish();
       digest_.add(fmt::format("list {} {}", *head.revision, *head.whole));
       table_.end(*head.whole);
-    } catch (const Malformed&) {
+    } catch (const InvalidInput&) {
       digest_.add("no list");
     }
     while (table_.has_parts()) {
       const auto rows = static_cast<std::size_t>(draws_.between(1, 5));
-      for (const ListedServer& one : table_.next_part(rows)) digest_.add("part " + text_of(one));
+      for (const ListedEndpoint& one : table_.next_part(rows)) digest_.add("part " + text_of(one));
       digest_.add("part ends");
       if (draws_.one_in(6)) break;
     }
     digest_.add(fmt::format("table {} {}", table_.size(), table_.left_out()));
     try {
-      const links::ServerList list = read_list(text, catalogue_);
+      const net::EndpointList list = read_list(text, catalogue_);
       digest_.add(fmt::format("whole {} {} {} {}", static_cast<int>(list.kind), list.revision,
                               list.servers.size(), list.last));
-    } catch (const Malformed&) {
+    } catch (const InvalidInput&) {
       digest_.add("not whole");
     }
   }
@@ -157,7 +157,7 @@
   digests::Digest digest_;
   Poller poller_;
   ServerTable table_;
-  links::Catalogue catalogue_;
+  config::NameTable catalogue_;
   Millis now_ = 1000;
   long long revision_ = 1;
   bool handing_on_ = false;
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -16,7 +16,7 @@
 
  private:
   std::unique_ptr<Membership> make(int front) override {
-    Charge charge;
+    Options charge;
     charge.name = fmt::format("n{}", front);
     if (draws.one_in(10)) charge.name = fmt::format("n{}", draws.below(kFronts));
     charge.place = {front};
@@ -26,13 +26,13 @@
     return make_membership(charge, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
-    at(front).core->note(Heard{{from}, bytes});
+    at(front).core->enqueue(DatagramReceived{{from}, bytes});
   }
   void happen(int front) override {
     if (draws.one_in(400)) {
-      at(front).core->note(Leaving{});
+      at(front).core->enqueue(Leaving{});
     } else if (draws.one_in(30)) {
-      at(front).core->note(Listed{draws.between(kFronts - 1, kFronts + 3)});
+      at(front).core->enqueue(Listed{draws.between(kFronts - 1, kFronts + 3)});
     } else {
       return;
     }
@@ -70,11 +70,11 @@
   }
   void read(const std::string& bytes) override { message_in(bytes); }
   void take(int front) override {
-    for (const auto& decision : at(front).core->settle(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front)))
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
   }
-  void take(int front, const Tell& tell) { send(front, tell.to.number, tell.bytes); }
-  void take(int front, const WakeAt& wanted) {
+  void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
+  void take(int front, const RequestWakeup& wanted) {
     digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
     wake(front, wanted.at);
   }
@@ -91,10 +91,10 @@
     digest.add(fmt::format("{} view {} {} {} {} dropped {} {} {} {}", front, view.version,
                            view.incarnation.number, view.health, view.yielded, view.dropped.unread,
                            view.dropped.strange, view.dropped.flood, view.dropped.late));
-    for (const FellowView& fellow : view.fellows)
+    for (const PeerView& fellow : view.fellows)
       digest.add(fmt::format("{} {} {} {} {:.3f}", fellow.name, fellow.place.number,
                              static_cast<int>(fellow.standing), fellow.incarnation.number, fellow.since));
-    for (const Place& place : there_in(view)) digest.add(fmt::format("there {}", place.number));
+    for (const SlotId& place : there_in(view)) digest.add(fmt::format("there {}", place.number));
   }
 
   const bool odd_;
--- a/tests/digests/network.hpp
+++ b/tests/digests/network.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "digest.hpp"
-#include "logic.hpp"
+#include "routing/router.hpp"
 
 namespace reedspindle::digests {
 
--- a/tests/digests/pgwire.cpp
+++ b/tests/digests/postgres.cpp
@@ -1,17 +1,16 @@
 // Reads drawn, mutated and cut messages and statements of the stores' protocol, and plays drawn commands to
 // the pending replies and drawn turns to the bound on arrivals; prints a digest of what comes of it.
-#include "links/pgwire.hpp"
-
 #include <algorithm>
 #include <vector>
 
 #include "digest.hpp"
-#include "front/arrival_bound.hpp"
-#include "front/pending_replies.hpp"
+#include "postgres/codec.hpp"
+#include "proxy/arrival_bound.hpp"
+#include "proxy/pending_replies.hpp"
 
 namespace {
 using namespace reedspindle;
-using namespace reedspindle::links;
+using reedspindle::net::Allowance;
 
 constexpr int kMessages = 4000;
 constexpr int kStatements = 4000;
@@ -32,15 +31,15 @@
 
  private:
   void fixed() {
-    digest_.add(digests::hex(pgwire::startup("router", "records")));
-    digest_.add(digests::hex(pgwire::query("SELECT 1")));
-    digest_.add(digests::hex(pgwire::welcome()));
-    digest_.add(digests::hex(pgwire::welcome({7, 4000000000u})));
-    digest_.add(digests::hex(pgwire::ready()));
-    digest_.add(digests::hex(pgwire::empty_answer()));
-    digest_.add(digests::hex(pgwire::completed("INSERT 0 1")));
-    digest_.add(digests::hex(pgwire::error(pgwire::Severity::error, "57014", "text")));
-    digest_.add(digests::hex(pgwire::error(pgwire::Severity::fatal, "53300", "text", "detail")));
+    digest_.add(digests::hex(postgres::startup("router", "records")));
+    digest_.add(digests::hex(postgres::query("SELECT 1")));
+    digest_.add(digests::hex(postgres::welcome()));
+    digest_.add(digests::hex(postgres::welcome({7, 4000000000u})));
+    digest_.add(digests::hex(postgres::ready()));
+    digest_.add(digests::hex(postgres::empty_answer()));
+    digest_.add(digests::hex(postgres::completed("INSERT 0 1")));
+    digest_.add(digests::hex(postgres::error(postgres::Severity::error, "57014", "text")));
+    digest_.add(digests::hex(postgres::error(postgres::Severity::fatal, "53300", "text", "detail")));
   }
   std::string big_endian(int number, int bytes) {
     std::string text;
@@ -54,15 +53,15 @@
     const char types[] = {'Q', 'X', 'P', 'D', 'S', 'E', 'N', 'T', 'R', 'K', 'C', 'Z', 'I', 'd', 'q'};
     switch (draws_.below(10)) {
       case 0:
-        return pgwire::startup("u", "d");
+        return postgres::startup("u", "d");
       case 1:
-        return pgwire::query(drawn_statement());
+        return postgres::query(drawn_statement());
       case 2:
-        return pgwire::welcome({static_cast<std::uint32_t>(draws_.below(1000)), 5});
+        return postgres::welcome({static_cast<std::uint32_t>(draws_.below(1000)), 5});
       case 3:
-        return pgwire::error(pgwire::Severity::error, "40001", "text");
+        return postgres::error(postgres::Severity::error, "40001", "text");
       case 4:
-        return pgwire::completed("SELECT 1");
+        return postgres::completed("SELECT 1");
       case 5: {
         const std::string value = draws_.bytes(draws_.below(12));
         return framed('D', big_endian(1, 2) + big_endian(static_cast<int>(value.size()), 4) + value);
@@ -87,25 +86,25 @@
     if (draws_.one_in(3)) held += drawn_message();
     if (draws_.one_in(2)) held = draws_.mutated(held);
     digest_.comment(digests::hex(held));
-    add(pgwire::read_from_client(held));
-    add(pgwire::read_from_store(held));
-    add(pgwire::read_startup(held));
+    add(postgres::read_from_client(held));
+    add(postgres::read_from_store(held));
+    add(postgres::read_startup(held));
   }
-  void add(const pgwire::Read& read) {
-    if (std::holds_alternative<pgwire::Partial>(read)) return digest_.add("more");
-    if (const auto* fault = std::get_if<pgwire::Fault>(&read)) return digest_.add("fault " + fault->code);
-    const auto& message = std::get<pgwire::Message>(read);
+  void add(const postgres::Read& read) {
+    if (std::holds_alternative<postgres::Partial>(read)) return digest_.add("more");
+    if (const auto* fault = std::get_if<postgres::Fault>(&read)) return digest_.add("fault " + fault->code);
+    const auto& message = std::get<postgres::Message>(read);
     digest_.add(fmt::format("message {} {} {}", static_cast<int>(message.type), digests::hex(message.body),
                             message.bytes.size()));
-    const auto key = pgwire::cancel_key(message);
-    digest_.add(fmt::format("start {} {} {}", static_cast<int>(pgwire::startup_kind(message)),
+    const auto key = postgres::cancel_key(message);
+    digest_.add(fmt::format("start {} {} {}", static_cast<int>(postgres::startup_kind(message)),
                             key ? key->process : 0, key ? key->secret : 0));
-    const auto error = pgwire::read_error(message.body);
-    const auto parameter = pgwire::read_parameter(message.body);
-    const auto row = pgwire::read_row(message.body);
+    const auto error = postgres::read_error(message.body);
+    const auto parameter = postgres::read_parameter(message.body);
+    const auto row = postgres::read_row(message.body);
     digest_.add(fmt::format("body {} {} {} {} {}", error ? digests::hex(error->code + error->text) : "-",
                             parameter ? digests::hex(parameter->first) : "-", row ? digests::hex(*row) : "-",
-                            pgwire::describes_one_column(message.body), pgwire::read_tag(message.body)));
+                            postgres::describes_one_column(message.body), postgres::read_tag(message.body)));
   }
 
   std::string drawn_statement() {
@@ -131,26 +130,26 @@
   void statement() {
     std::string text = drawn_statement();
     if (draws_.one_in(2)) text = draws_.mutated(text);
-    digest_.add("word " + pgwire::first_word(text));
-    const auto read = pgwire::read_statement(text);
-    if (const auto* fault = std::get_if<pgwire::Fault>(&read)) return digest_.add("fault " + fault->code);
-    const auto& one = std::get<pgwire::Statement>(read);
-    digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", one.writes, one.id, one.op_type,
-                            one.key, one.patience, one.group, one.position, one.token, one.repeat,
+    digest_.add("word " + postgres::first_word(text));
+    const auto read = postgres::read_statement(text);
+    if (const auto* fault = std::get_if<postgres::Fault>(&read)) return digest_.add("fault " + fault->code);
+    const auto& one = std::get<postgres::Statement>(read);
+    digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", one.writes, one.id, one.request_class,
+                            one.key, one.remaining, one.group, one.position, one.token, one.repeat,
                             one.patience_place.at, one.patience_place.size));
     const int patience = draws_.below(90000);
-    digest_.add(digests::hex(pgwire::with_patience(text, one.patience_place, 0.25 * patience)));
-    const auto [name, value] = pgwire::name_and_value(std::string_view(text).substr(text.rfind(',') + 1));
+    digest_.add(digests::hex(postgres::with_patience(text, one.patience_place, 0.25 * patience)));
+    const auto [name, value] = postgres::name_and_value(std::string_view(text).substr(text.rfind(',') + 1));
     digest_.add(fmt::format("{} / {}", digests::hex(name), digests::hex(value)));
     const int units = draws_.below(100);
     const int exponent = draws_.below(3);
     const std::string figure = draws_.mutated(fmt::format("{}.5e{}", units, exponent));
-    digest_.add(fmt::format("{:.3f}", pgwire::number(figure).value_or(-1)));
+    digest_.add(fmt::format("{:.3f}", postgres::number(figure).value_or(-1)));
   }
 
   void replies() {
     Allowance allowance(3000);
-    front::PendingReplies pending(allowance);
+    proxy::PendingReplies pending(allowance);
     std::uint64_t last = 0;
     for (int number = 0; number < kCommands; ++number) {
       const int kind = draws_.below(8);
@@ -160,20 +159,20 @@
       if (kind == 4) pending.complete_readiness(fmt::format("ready {}", number));
       if (kind > 4 && last > 0) {
         const int back = draws_.below(12);
-        OpId request{last - std::min<std::uint64_t>(last, static_cast<std::uint64_t>(back))};
-        const std::vector<OpId> open = pending.open_requests();
+        RequestId request{last - std::min<std::uint64_t>(last, static_cast<std::uint64_t>(back))};
+        const std::vector<RequestId> open = pending.open_requests();
         if (open.size() > 6) request = open.front();
         const auto size = static_cast<std::size_t>(draws_.below(1500));
         pending.complete(request, std::string(size, 'x') + fmt::format("{}", number), "instead");
       }
       if (draws_.one_in(2)) digest_.add(digests::hex(pending.take_complete()));
       digest_.add(fmt::format("{} {}", pending.size(), pending.empty()));
-      for (const OpId& open : pending.open_requests()) digest_.add(fmt::format("open {}", open.number));
+      for (const RequestId& open : pending.open_requests()) digest_.add(fmt::format("open {}", open.number));
     }
   }
   void arrivals() {
     Millis now = 1000;
-    front::ArrivalBound bound(now);
+    proxy::ArrivalBound bound(now);
     for (int turn = 0; turn < kTurns; ++turn) {
       now += draws_.below(draws_.one_in(9) ? 200 : 5);
       if (bound.marker_wanted() && !draws_.one_in(5)) bound.marker_sent(now);
--- a/tests/digests/shares.cpp
+++ b/tests/digests/quota.cpp
@@ -1,16 +1,15 @@
 // Plays five fronts' shares in a drawn network and prints a digest of all decisions and views.
-#include "shares/shares.hpp"
-
 #include <variant>
 
 #include "network.hpp"
-#include "shares/use.hpp"
+#include "quota/quota_manager.hpp"
+#include "quota/usage.hpp"
 
 namespace {
 using namespace reedspindle;
-using namespace reedspindle::shares;
+using namespace reedspindle::quota;
 
-class Sequence : public digests::Network<Shares> {
+class Sequence : public digests::Network<QuotaManager> {
  public:
   Sequence(unsigned seed, bool prints) : Network(seed, prints), odd_(seed % 2 == 1) {}
   std::string play() { return Network::play(30000); }
@@ -18,44 +17,44 @@
  private:
   static constexpr int kConnections = 100;
 
-  Charge charge_of(int front) {
-    Charge charge;
+  Options membership_options(int front) {
+    Options charge;
     charge.place = {front};
     charge.fleet = kFronts;
     if (odd_) charge.lease = 1200;
     if (odd_) charge.kept = 400;
     return charge;
   }
-  std::unique_ptr<Shares> make(int front) override {
-    Charge charge = charge_of(front);
+  std::unique_ptr<QuotaManager> make(int front) override {
+    Options charge = membership_options(front);
     if (draws.one_in(15)) charge.drift = 0.02;
-    uses_[static_cast<std::size_t>(front)] = std::make_unique<Use>(charge_of(front), kConnections);
-    return make_shares(charge, static_cast<std::uint64_t>(draws.below(1000000)));
+    uses_[static_cast<std::size_t>(front)] = std::make_unique<Use>(membership_options(front), kConnections);
+    return make_quota_manager(charge, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
-    at(front).core->note(Heard{{from}, bytes});
+    at(front).core->enqueue(DatagramReceived{{from}, bytes});
   }
   void refused(int front, int from, const std::string& bytes) override {
     const std::string kept = draws.one_in(4) ? bytes.substr(0, 8) : bytes;
-    at(front).core->note(Refused{{from}, kept});
+    at(front).core->enqueue(Refused{{from}, kept});
   }
   void happen(int front) override {
     const int kind = draws.below(40);
     if (kind == 0 && draws.one_in(10)) {
-      at(front).core->note(Leaving{});
+      at(front).core->enqueue(Leaving{});
     } else if (kind < 8) {
-      Fellows fellows;
+      PeersChanged fellows;
       for (int other = 0; other < kFronts; ++other)
         if (other != front && (at(other).core || draws.one_in(10))) fellows.there.insert({other});
-      at(front).core->note(fellows);
+      at(front).core->enqueue(fellows);
     } else if (kind < 20) {
       const int need = draws.below(60);
       const Demand demand = uses_[static_cast<std::size_t>(front)]->demand(static_cast<std::size_t>(need));
       digest.add(fmt::format("{} {} needs {} asks {} {}", now, front, need, demand.wants, demand.lends));
-      at(front).core->note(demand);
+      at(front).core->enqueue(demand);
     } else {
       const Part part = at(front).core->part(clock(front) + draws.below(3000));
-      const Connections connections = connections_of(part, charge_of(front), kConnections);
+      const Connections connections = connections_of(part, membership_options(front), kConnections);
       digest.add(fmt::format("{} {} may use {} {} {}, {} {}", now, front, part.open, part.hold, part.among,
                              connections.open, connections.hold));
       return;
@@ -88,11 +87,11 @@
     question_in(bytes);
   }
   void take(int front) override {
-    for (const auto& decision : at(front).core->settle(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front)))
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
   }
-  void take(int front, const Tell& tell) { send(front, tell.to.number, tell.bytes); }
-  void take(int front, const WakeAt& wanted) {
+  void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
+  void take(int front, const RequestWakeup& wanted) {
     digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
     wake(front, wanted.at);
   }
--- a/tests/discovery_properties.cpp
+++ b/tests/discovery_properties.cpp
@@ -11,7 +11,7 @@
 #include "discovery/list_reader.hpp"
 #include "discovery/poller.hpp"
 #include "discovery/server_table.hpp"
-#include "values.hpp"
+#include "settings/settings.hpp"
 
 using namespace reedspindle;
 using namespace reedspindle::discovery;
@@ -22,8 +22,8 @@
     6000;  // after discovery had a change and could be reached: the platform's rule
 constexpr Millis kStep = 10;
 
-// Discovery as a poller meets it. What it does with a call is decided when the call comes; one that it takes
-// while it is silent is never answered.
+// TestDiscovery as a poller meets it. What it does with a call is decided when the call comes; one that it
+// takes while it is silent is never answered.
 struct Service {
   enum class Manner { answers, silent, refuses, turns_away, slow };
   Manner manner = Manner::answers;
@@ -107,19 +107,19 @@
   });
 }
 
-ListedServer server(int number, MemberState state, int size) {
-  ListedServer one;
-  one.entry.member = {fmt::format("s{}", number)};
+ListedEndpoint server(int number, ServerState state, int size) {
+  ListedEndpoint one;
+  one.entry.id = {fmt::format("s{}", number)};
   one.entry.state = state;
   one.entry.size = size;
   return one;
 }
 
-using View = std::map<std::string, std::pair<MemberState, double>>;
+using View = std::map<std::string, std::pair<ServerState, double>>;
 
-void apply(View& view, const ListedServer& row) {
-  view[row.entry.member.address] = {row.entry.state, row.entry.size};
-  if (row.entry.state == MemberState::gone) view.erase(row.entry.member.address);
+void apply(View& view, const ListedEndpoint& row) {
+  view[row.entry.id.address] = {row.entry.state, row.entry.size};
+  if (row.entry.state == ServerState::gone) view.erase(row.entry.id.address);
 }
 
 bool table_follows_lists() {
@@ -135,16 +135,16 @@
       const int rows = *rc::gen::inRange(0, 12);
       for (int number = 0; number < 12; ++number) {
         if (*rc::gen::inRange(0, 12) >= rows) continue;
-        const auto state = static_cast<MemberState>(*rc::gen::inRange(0, whole ? 2 : 3));
-        const ListedServer row = server(number, state, *rc::gen::inRange(1, 3));
+        const auto state = static_cast<ServerState>(*rc::gen::inRange(0, whole ? 2 : 3));
+        const ListedEndpoint row = server(number, state, *rc::gen::inRange(1, 3));
         apply(next, row);
-        if (const auto known = leaving.find(row.entry.member.address);
-            known != leaving.end() && state != MemberState::ready) {
+        if (const auto known = leaving.find(row.entry.id.address);
+            known != leaving.end() && state != ServerState::ready) {
           known->second.first = state;
-          if (state == MemberState::gone) leaving.erase(known);
+          if (state == ServerState::gone) leaving.erase(known);
         }
         if (const auto now = table.take(row)) {
-          RC_ASSERT(now->entry.state != MemberState::ready);
+          RC_ASSERT(now->entry.state != ServerState::ready);
           apply(held, *now);
         }
       }
@@ -152,7 +152,7 @@
       while (table.has_parts()) {
         const auto part = table.next_part(3);
         RC_ASSERT(!part.empty() && part.size() <= 3);
-        for (const ListedServer& row : part) apply(held, row);
+        for (const ListedEndpoint& row : part) apply(held, row);
       }
       wanted = ends ? next : leaving;
       RC_ASSERT(held == wanted);
@@ -161,9 +161,9 @@
 }
 
 bool reading_in_pieces() {
-  const links::Catalogue catalogue;
+  const config::NameTable names;
   return rc::check("a list reads the same however its bytes are cut, and its prefixes are no lists",
-                   [&catalogue] {
+                   [&names] {
                      std::string text = R"({"rev": 7, "all": true, "more": [{"x": [1, null]}], "targets": [)";
                      const int rows = *rc::gen::inRange(0, 6);
                      for (int row = 0; row < rows; ++row)
@@ -173,9 +173,9 @@
                            row ? "," : "", row, 1000 + row, row);
                      text += "]}";
                      std::vector<std::string> read;
-                     ListReader reader(catalogue, [&read](ListedServer row, const ListReader::Head& head) {
+                     ListReader reader(names, [&read](ListedEndpoint row, const ListReader::Head& head) {
                        RC_ASSERT(head.revision == 7);
-                       read.push_back(row.entry.member.address);
+                       read.push_back(row.entry.id.address);
                      });
                      std::size_t at = 0;
                      while (at < text.size()) {
@@ -186,7 +186,7 @@
                      RC_ASSERT(reader.finish().revision == 7);
                      RC_ASSERT(read.size() == static_cast<std::size_t>(rows));
                      const auto cut = *rc::gen::inRange<std::size_t>(0, text.size());
-                     RC_ASSERT_THROWS_AS(read_list(text.substr(0, cut), catalogue), Malformed);
+                     RC_ASSERT_THROWS_AS(read_list(text.substr(0, cut), names), InvalidInput);
                    });
 }
 
--- a/tests/rules.cpp
+++ b/tests/invariants.cpp
@@ -1,7 +1,7 @@
 // Plays what happened to the checker of the rules and prints what it finds. A line: a time in ms, what
 // happened, its parts; "settle" closes a moment. Lines that begin with two spaces are what is expected and
 // are skipped.
-#include "rules/rules.hpp"
+#include "invariants/invariants.hpp"
 
 #include <fmt/format.h>
 
@@ -10,13 +10,13 @@
 #include <sstream>
 
 using namespace reedspindle;
-using namespace reedspindle::rules;
+using namespace reedspindle::invariants;
 
 int main(int, char** words) {
   Terms terms;
   terms.slack = 100, terms.cold_from = 0.2, terms.warm_within = 10000, terms.fall = 1000,
   terms.capacity = 100;
-  Rules rules(terms);
+  InvariantChecker rules(terms);
   std::ifstream file(words[1]);
   for (std::string line; std::getline(file, line);) {
     if (line.starts_with("  ")) continue;
@@ -30,7 +30,7 @@
     parts >> at >> what;
     if (what == "taken") {
       Taken taken;
-      parts >> taken.op >> front.number >> word >> taken.patience >> taken.bound >> taken.after;
+      parts >> taken.request >> front.number >> word >> taken.remaining >> taken.bound >> taken.after;
       taken.front = front, taken.at = at;
       taken.needs = word == "bounded" ? Needs::bounded : word == "session" ? Needs::session : Needs::write;
       rules.note(taken);
@@ -41,7 +41,7 @@
       while (count-- > 0) rules.note(Sent{op, front, store, at});
     } else if (what == "ran") {
       Ran ran;
-      parts >> ran.op >> ran.store.number >> ran.sent >> ran.position >> ran.token;
+      parts >> ran.request >> ran.store.number >> ran.sent >> ran.position >> ran.token;
       ran.effect = !ran.token.empty();
       if (ran.token == "-") ran.token.clear();
       rules.note(ran);
@@ -71,9 +71,9 @@
       return 1;
     }
     for (const Broken& one : rules.settle(at))
-      std::cout << fmt::format("  {}{}{}{}: {}\n", word_of(one.rule), one.op.empty() ? "" : ", op " + one.op,
-                               one.front.number < 0 ? "" : fmt::format(", front {}", one.front.number),
-                               one.store.number < 0 ? "" : fmt::format(", store {}", one.store.number),
-                               one.why);
+      std::cout << fmt::format(
+          "  {}{}{}{}: {}\n", word_of(one.rule), one.request.empty() ? "" : ", op " + one.request,
+          one.front.number < 0 ? "" : fmt::format(", front {}", one.front.number),
+          one.store.number < 0 ? "" : fmt::format(", store {}", one.store.number), one.why);
   }
 }
--- a/tests/log.cpp
+++ b/tests/log.cpp
@@ -1,5 +1,5 @@
 // Writes lines of both forms to a pipe in the place of standard error and prints what came, without times.
-#include "links/log.hpp"
+#include "logging/log.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -10,7 +10,9 @@
 #include <string>
 
 namespace {
-using namespace reedspindle::links;
+using namespace reedspindle;
+using namespace reedspindle::logging;
+using reedspindle::net::Clock;
 
 int taken[2];
 
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -11,12 +11,12 @@
 #include <set>
 #include <sstream>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 namespace {
 using namespace reedspindle::membership;
 using reedspindle::Millis;
-using reedspindle::rig::VirtualFleet;
+using reedspindle::faulttest::VirtualFleet;
 
 const char* word_of(Finding finding) {
   constexpr const char* words[] = {"stood still", "refuted", "contested", "yields", "claims"};
@@ -33,7 +33,7 @@
     if (word.empty() || word == "#") return;
     if (word == "fleet") {
       words >> front;
-      Charge charge;
+      Options charge;
       for (std::string key; words >> key;) key == "forget" ? void(words >> charge.forget) : give_up(text);
       fleet_ = std::make_unique<VirtualFleet>(front, charge, 7);
       fleet_->on([this](Millis at, int by, const Change& change) { seen(at, by, change); },
@@ -87,7 +87,7 @@
     } else if (word == "view") {
       words >> front;
       std::cout << (fleet_->view(front).fellows.empty() ? "  nobody" : " ");
-      for (const FellowView& fellow : fleet_->view(front).fellows)
+      for (const PeerView& fellow : fleet_->view(front).fellows)
         std::cout << fmt::format(" {}@{}{}", fellow.name, fellow.place.number,
                                  std::string(static_cast<std::size_t>(fellow.standing), '?'));
       std::cout << '\n';
--- a/tests/membership_properties.cpp
+++ b/tests/membership_properties.cpp
@@ -5,11 +5,11 @@
 #include <map>
 #include <set>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 namespace {
 using namespace reedspindle::membership;
-using reedspindle::rig::VirtualFleet;
+using reedspindle::faulttest::VirtualFleet;
 
 struct Fault {
   int kind = 0, front = 0, other = 0, span = 0;
@@ -32,7 +32,7 @@
       "whoever lives and can be reached is in the end held there, and no incarnation falls", [] {
         const int fronts = *rc::gen::inRange(2, 9);
         const auto struck = *rc::gen::container<std::vector<Fault>>(faults(fronts));
-        VirtualFleet fleet(fronts, Charge{}, static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
+        VirtualFleet fleet(fronts, Options{}, static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
         std::set<std::pair<int, int>> cut;
         std::map<std::pair<int, std::string>, Incarnation> held;
         std::vector<std::string> said;  // datagrams of the dead
@@ -44,7 +44,7 @@
         const auto look = [&] {
           for (int front = 0; front < fronts; ++front) {
             if (!fleet.up(front)) continue;
-            for (const FellowView& fellow : fleet.view(front).fellows) {
+            for (const PeerView& fellow : fleet.view(front).fellows) {
               Incarnation& last = held[{front, fellow.name}];
               RC_ASSERT(last <= fellow.incarnation);
               last = fellow.incarnation;
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -27,7 +27,7 @@
            reedspindle::operators::show(reedspindle::operators::read_text(text, "FILE")))
         if (shown.find("default") == std::string::npos || (!wanted.empty() && shown.starts_with(wanted)))
           std::cout << "  " << shown << '\n';
-    } catch (const reedspindle::operators::Faulty& faulty) {
+    } catch (const reedspindle::operators::InvalidFile& faulty) {
       for (const std::string& one : faulty.lines) std::cout << "  " << one << '\n';
     }
   }
--- a/tests/front.cpp
+++ b/tests/proxy.cpp
@@ -27,11 +27,11 @@
 #include <variant>
 #include <vector>
 
-#include "links/pgwire.hpp"
+#include "postgres/codec.hpp"
 
 namespace {
 using Json = nlohmann::json;
-namespace pgwire = reedspindle::links::pgwire;
+namespace postgres = reedspindle::postgres;
 
 const char* const kPlacement = R"({"name": "n0", "seed": "5", "limits": {"sockets": 1024}, "settings": {
   "nInstances": 1, "quantum": 5000000,
@@ -135,20 +135,20 @@
 }
 
 // The next message of the front, which says more kinds than a store does.
-pgwire::Read from_front(std::string_view held) {
-  return held.starts_with("I") && held.size() >= 5 ? pgwire::Message{'I', "", held.substr(0, 5)}
-                                                   : pgwire::read_from_store(held);
+postgres::Read from_front(std::string_view held) {
+  return held.starts_with("I") && held.size() >= 5 ? postgres::Message{'I', "", held.substr(0, 5)}
+                                                   : postgres::read_from_store(held);
 }
 
 class Stage {
  public:
-  explicit Stage(std::string front) : program_(std::move(front)), placement_(Json::parse(kPlacement)) {
+  explicit Stage(std::string front) : program_(std::move(front)), config_(Json::parse(kPlacement)) {
     // Each party at an address of its own: the front's port is free again until the front takes it.
     std::string listen = place(64), discovery = place(96);
     close(listen_at(listen));
-    placement_["listen"] = listen_ = listen;
+    config_["listen"] = listen_ = listen;
     discovery_listening_ = listen_at(discovery);
-    placement_["discovery"] = discovery;
+    config_["discovery"] = discovery;
     // The front's own datagrams arrive where no other process looks; the other front of the tier is played
     // here.
     std::string other = place(192);
@@ -156,9 +156,9 @@
     peer_ = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = address_of(other);
     if (bind(peer_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) give_up("no port");
-    placement_["peer_listen"] = listen;
-    placement_["peers"] = {listen, other};
-    placement_["peers_all"] = other;
+    config_["peer_listen"] = listen;
+    config_["peers"] = {listen, other};
+    config_["peers_all"] = other;
     // A file in memory: nothing is left behind however this ends.
     file_ = memfd_create("placement", MFD_CLOEXEC);
     path_ = "/proc/" + std::to_string(getpid()) + "/fd/" + std::to_string(file_);
@@ -174,11 +174,11 @@
     if (who == "given") {
       line >> what;
       std::getline(line, rest);
-      rest == " none" ? void(placement_.erase(what))
-                      : void(placement_[Json::json_pointer(what)] = Json::parse(rest));
+      rest == " none" ? void(config_.erase(what))
+                      : void(config_[Json::json_pointer(what)] = Json::parse(rest));
     } else if (who == "stores") {
       while (line >> what) add_store(what);
-      placement_["known"] = Json::parse(list_of(41, true));
+      config_["known"] = Json::parse(list_of(41, true));
     } else if (who == "start") {
       start();
     } else if (who == "start-signalled") {  // with a SIGHUP that comes before anything of it runs
@@ -262,7 +262,7 @@
   }
 
   void write_placement(const std::string& other = "") {
-    const std::string text = other.empty() ? placement_.dump() : other;
+    const std::string text = other.empty() ? config_.dump() : other;
     if (ftruncate(file_, 0) != 0 || pwrite(file_, text.data(), text.size(), 0) < 0) give_up("no file");
   }
   void start_child() {
@@ -276,8 +276,8 @@
       dup2(errors[1], STDERR_FILENO);
       close(errors[0]), close(errors[1]);
       setenv("ROUTER_CONFIG", path_.c_str(), 1);
-      if (placement_.contains("discovery"))  // as old as the process
-        setenv("ROUTER_DISCOVERY", placement_["discovery"].get<std::string>().c_str(), 1);
+      if (config_.contains("discovery"))  // as old as the process
+        setenv("ROUTER_DISCOVERY", config_["discovery"].get<std::string>().c_str(), 1);
       if (signalled_) {  // pending, and kept over the start of the program
         sigset_t signals;
         sigemptyset(&signals);
@@ -371,20 +371,21 @@
       return;
     }
     for (;;) {
-      const auto read = link.started ? pgwire::read_from_client(link.held) : pgwire::read_startup(link.held);
-      const auto* got = std::get_if<pgwire::Message>(&read);
+      const auto read =
+          link.started ? postgres::read_from_client(link.held) : postgres::read_startup(link.held);
+      const auto* got = std::get_if<postgres::Message>(&read);
       if (!got) return;
       const std::string text(got->body.substr(0, got->body.find('\0')));
       const std::size_t size = got->bytes.size();
       if (!std::exchange(link.started, true)) {
         link.greeted = store.manner == "welcomes";
-        if (link.greeted) put(link.fd, pgwire::welcome());
+        if (link.greeted) put(link.fd, postgres::welcome());
         if (store.manner == "full")
-          put(link.fd, pgwire::error(pgwire::Severity::fatal, "53300", "too many connections"));
+          put(link.fd, postgres::error(postgres::Severity::fatal, "53300", "too many connections"));
       } else if (text.empty()) {
-        put(link.fd, pgwire::empty_answer() + std::exchange(store.behind_empty, ""));
+        put(link.fd, postgres::empty_answer() + std::exchange(store.behind_empty, ""));
       } else if (text == "SHOW vitals") {
-        put(link.fd, row_of(with_now(store.vitals, true)) + pgwire::ready());
+        put(link.fd, row_of(with_now(store.vitals, true)) + postgres::ready());
       } else {
         link.asked = text;
         store.gets.push_back(text);
@@ -435,25 +436,25 @@
       Link& link = clients_[name];
       link.fd = connect_to(listen_);
       if (link.fd < 0) give_up("no connection to the front");
-      if (what != "opens") put(link.fd, pgwire::startup("svc", "main")), link.started = true;
+      if (what != "opens") put(link.fd, postgres::startup("svc", "main")), link.started = true;
     }
-    if (what == "asks") put(clients_[name].fd, pgwire::query(with_now(rest)));
+    if (what == "asks") put(clients_[name].fd, postgres::query(with_now(rest)));
     if (what == "sends") put(clients_[name].fd, unescaped(rest));
     if (what == "asks-many") {  // "asks-many 3 TEXT": a number each in the place of NUMBER
       const std::size_t space = rest.find(' ');
       std::string all;
       for (int i = 0; i < std::stoi(rest); ++i) {
         std::string text = rest.substr(space + 1);
-        all += pgwire::query(text.replace(text.find("NUMBER"), 6, std::to_string(i)));
+        all += postgres::query(text.replace(text.find("NUMBER"), 6, std::to_string(i)));
       }
       put(clients_[name].fd, all);
     }
     if (what == "hangs-up") shutdown(clients_[name].fd, SHUT_WR);
-    if (what == "sends-long") put(clients_[name].fd, pgwire::query(std::string(std::stoul(rest), 'x')));
+    if (what == "sends-long") put(clients_[name].fd, postgres::query(std::string(std::stoul(rest), 'x')));
     if (what == "sends-often") {
       const std::size_t space = rest.find(' ');
       std::string all;
-      for (int i = 0; i < std::stoi(rest); ++i) all += pgwire::query(rest.substr(space + 1));
+      for (int i = 0; i < std::stoi(rest); ++i) all += postgres::query(rest.substr(space + 1));
       put(clients_[name].fd, all);
     }
     if (what == "floods") floods_.push_back(clients_[name].fd);
@@ -468,23 +469,23 @@
       if (!link.started && link.held.starts_with("N")) {
         std::cout << "  no encryption\n";
         link.held.erase(0, 1);
-        put(link.fd, pgwire::startup("svc", "main"));
+        put(link.fd, postgres::startup("svc", "main"));
         return void(link.started = true);
       }
-      pgwire::Read read = from_front(link.held);
+      postgres::Read read = from_front(link.held);
       wait_for("an answer", [&] {
-        return !std::holds_alternative<pgwire::Partial>(read = from_front(link.held)) || link.ended;
+        return !std::holds_alternative<postgres::Partial>(read = from_front(link.held)) || link.ended;
       });
-      const auto* got = std::get_if<pgwire::Message>(&read);
+      const auto* got = std::get_if<postgres::Message>(&read);
       if (!got) return void(std::cout << "  end\n");
       if (got->type == 'K') link.key = got->body;
       whole = got->type == 'Z' && link.greeted;
       if (got->type == 'Z') link.greeted = true;
       if (got->type == 'I') std::cout << "  empty\n";
-      if (got->type == 'D') std::cout << "  row " << *pgwire::read_row(got->body) << '\n';
+      if (got->type == 'D') std::cout << "  row " << *postgres::read_row(got->body) << '\n';
       if (got->type == 'C') std::cout << "  " << got->body.substr(0, got->body.find('\0')) << '\n';
       if (got->type == 'E') {
-        const auto fault = *pgwire::read_error(got->body);
+        const auto fault = *postgres::read_error(got->body);
         const std::size_t detail = got->body.find(std::string("\0D", 2));
         std::cout << "  " << got->body.substr(1, 5) << ' ' << fault.code << ' ' << fault.text;
         if (detail != std::string::npos) std::cout << ", D " << got->body.data() + detail + 2;
@@ -526,7 +527,7 @@
       const auto hangs = [](const Link& at) { return at.started && !at.ended && !at.greeted; };
       wait_for("a connection that hangs", [&] { return std::ranges::any_of(store.links, hangs); });
       for (Link& at : store.links)
-        if (what == "greets" && hangs(at)) put(at.fd, pgwire::welcome()), at.greeted = true;
+        if (what == "greets" && hangs(at)) put(at.fd, postgres::welcome()), at.greeted = true;
       return;
     }
     if (what == "tells") return void(store.vitals = remainder(line));
@@ -546,11 +547,12 @@
       line >> text;
       answer = row_of(text);
       while (line >> name >> value) answer += message('S', name + '\0' + with_now(value) + '\0');
-      put(link->fd, answer + pgwire::ready());
+      put(link->fd, answer + postgres::ready());
       link->asked.clear();
     } else if (what == "says") {
       line >> text;
-      put(link->fd, pgwire::error(pgwire::Severity::error, text, "so the store says") + pgwire::ready());
+      put(link->fd,
+          postgres::error(postgres::Severity::error, text, "so the store says") + postgres::ready());
       link->asked.clear();
     } else if (what == "sends") {
       put(link->fd, unescaped(remainder(line)));
@@ -584,10 +586,10 @@
     std::vector<Link> links;
     for (int i = 0; i < count; ++i) {
       links.push_back({connect_to(listen_), "", true, false, false, ""});
-      std::string text = pgwire::startup("svc", "main");
-      if (way == "stays") text += pgwire::query("SET a");
+      std::string text = postgres::startup("svc", "main");
+      if (way == "stays") text += postgres::query("SET a");
       if (way == "asks")
-        text += pgwire::query(
+        text += postgres::query(
             fmt::format("SELECT v FROM records WHERE k = 'k' /* id=c{},c=look,d=9000,cluster=3 */", i));
       put(links.back().fd, text);
     }
@@ -703,7 +705,7 @@
       close(discovery_listening_);
       std::string address = place(96);
       discovery_listening_ = listen_at(address);
-      placement_["discovery"] = address;
+      config_["discovery"] = address;
     } else if (what == "left") {
       wait_for("the front to leave the old address", [&] {
         pollfd at{moved_.fd, POLLIN, 0};
@@ -715,14 +717,14 @@
   }
 
   const std::string program_;
-  Json placement_;
+  Json config_;
   std::string listen_, path_, said_;
   std::string behind_list_;
   int discovery_listening_ = -1, errors_ = -1, peer_ = -1, file_ = -1;
   pid_t child_ = 0;
   int signalled_ = 0;
   std::vector<int> floods_;
-  const std::string kFlood = pgwire::query("SET a") + pgwire::query("nonsense");
+  const std::string kFlood = postgres::query("SET a") + postgres::query("nonsense");
   Link discovery_, moved_;
   std::map<std::string, Store> stores_;
   std::map<std::string, Json> rows_;
--- a/tests/shares_properties.cpp
+++ b/tests/quota_properties.cpp
@@ -5,11 +5,11 @@
 
 #include <set>
 
-#include "rig/virtual_fleet.hpp"
+#include "faulttest/virtual_fleet.hpp"
 
 namespace {
 using namespace reedspindle;
-using rig::VirtualFleet;
+using faulttest::VirtualFleet;
 
 struct Fault {
   int kind = 0, front = 0, other = 0, span = 0;
@@ -27,9 +27,9 @@
                                    rc::gen::inRange(0, fronts), rc::gen::inRange(5, 2500));
 }
 
-membership::Charge brisk() {
-  membership::Charge charge;
-  charge.pace = 200, charge.time_out = 80;
+membership::Options brisk() {
+  membership::Options charge;
+  charge.pace = 200, charge.timeout = 80;
   return charge;
 }
 
@@ -40,7 +40,7 @@
     const int fronts = *rc::gen::inRange(2, 8);
     const auto struck = *rc::gen::container<std::vector<Fault>>(faults(fronts));
     VirtualFleet fleet(fronts, brisk(), static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
-    shares::Charge share;
+    quota::Options share;
     share.fleet = fronts;
     fleet.share(share);
     std::set<std::pair<int, int>> cut;
@@ -52,14 +52,14 @@
     fleet.stepped = [&](Millis) {
       int sum = 0;
       for (int front = 0; front < fronts; ++front) sum += fleet.part(front).hold;
-      RC_ASSERT(sum <= fronts * shares::kSlot);
+      RC_ASSERT(sum <= fronts * quota::kSlot);
     };
     // Steady clocks as far apart in their rates as the charge allows, wall clocks anywhere.
     for (int front = 0; front < fronts; ++front) {
       fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * share.drift);
       fleet.clock(front, 60000.0 * (front % 3 - 1));
       fleet.start(front);
-      fleet.want(front, {shares::kSlot * fronts, 0});
+      fleet.want(front, {quota::kSlot * fronts, 0});
     }
     fleet.run(9000);
     for (const Fault& fault : struck) {
@@ -68,7 +68,7 @@
       if ((kind == "kill" || kind == "restart") && up) fleet.kill(fault.front);
       if ((kind == "start" || kind == "restart") && !fleet.up(fault.front)) {
         fleet.start(fault.front);
-        fleet.want(fault.front, {shares::kSlot * fronts, 0});
+        fleet.want(fault.front, {quota::kSlot * fronts, 0});
       }
       if (kind == "stop" && up) fleet.stop(fault.front);
       if (kind == "wake") fleet.wake(fault.front);
@@ -80,7 +80,7 @@
       if (kind == "heal") cut.clear(), slow.clear();
       if (kind == "delay") slow.insert(fault.front);
       fleet.network.loss = kind == "loss" ? 0.3 : 0;
-      if (kind == "want" && up) fleet.want(fault.front, {shares::kSlot * fault.other, 0});
+      if (kind == "want" && up) fleet.want(fault.front, {quota::kSlot * fault.other, 0});
       if (kind == "lend" && up) fleet.want(fault.front, {0, 100 * (1 + fault.other)});
       if (kind == "leave" && up) fleet.leave(fault.front);
       fleet.run(fault.span);
@@ -89,50 +89,50 @@
   const bool use = rc::check("what the dead leave is in use soon, and theirs again when they are back", [] {
     const int fronts = *rc::gen::inRange(3, 9), dead = *rc::gen::inRange(1, (fronts + 1) / 2);
     VirtualFleet fleet(fronts, brisk(), static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
-    shares::Charge share;
+    quota::Options share;
     share.fleet = fronts;
     fleet.share(share);
     for (int front = 0; front < fronts; ++front) {
       fleet.start(front);
-      fleet.want(front, {shares::kSlot, 0});
+      fleet.want(front, {quota::kSlot, 0});
     }
     fleet.run(10000);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == shares::kSlot);
+    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == quota::kSlot);
     for (int front = 0; front < dead; ++front) fleet.kill(front);
     fleet.run(12000);
     int sum = 0;
     for (int front = dead; front < fronts; ++front) {
-      RC_ASSERT(fleet.part(front).open > shares::kSlot);
+      RC_ASSERT(fleet.part(front).open > quota::kSlot);
       sum += fleet.part(front).open;
     }
-    const int all = (fronts - dead) * shares::kSlot + dead * (shares::kSlot - share.kept);
+    const int all = (fronts - dead) * quota::kSlot + dead * (quota::kSlot - share.kept);
     RC_ASSERT(sum > all - fronts);
     for (int front = 0; front < dead; ++front) {
       fleet.start(front);
-      fleet.want(front, {shares::kSlot, 0});
+      fleet.want(front, {quota::kSlot, 0});
     }
     fleet.run(200);
     for (int front = 0; front < dead; ++front) RC_ASSERT(fleet.part(front).open >= share.kept);
     fleet.run(10000);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == shares::kSlot);
+    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == quota::kSlot);
   });
   const bool lent = rc::check("what some don't use others have, and give back soon", [] {
     const int fronts = *rc::gen::inRange(3, 9);
-    VirtualFleet fleet(fronts, membership::Charge{},
+    VirtualFleet fleet(fronts, membership::Options{},
                        static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
-    shares::Charge share;
+    quota::Options share;
     share.fleet = fronts;
     fleet.share(share);
     for (int front = 0; front < fronts; ++front) fleet.start(front);
     fleet.run(10000);
-    fleet.want(fronts - 1, {2 * shares::kSlot, 0});
+    fleet.want(fronts - 1, {2 * quota::kSlot, 0});
     for (int front = 0; front + 1 < fronts; ++front) fleet.want(front, {0, 600});
     fleet.run(10000);
-    RC_ASSERT(fleet.part(fronts - 1).open > shares::kSlot);
+    RC_ASSERT(fleet.part(fronts - 1).open > quota::kSlot);
     // Back within two leases of the last word that it was lent.
     for (int front = 0; front + 1 < fronts; ++front) fleet.want(front, {0, 0});
     fleet.run(2 * share.lease * (1 + 3 * share.drift) + 1);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).hold >= shares::kSlot);
+    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).hold >= quota::kSlot);
   });
   return !(sums && use && lent);
 }
--- a/tests/keep.cpp
+++ b/tests/snapshot.cpp
@@ -11,10 +11,10 @@
 #include <map>
 #include <random>
 
-#include "keep/store.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace {
-using namespace reedspindle::keep;
+using namespace reedspindle::snapshot;
 
 struct Crash {};
 
--- a/tests/stored_forms.cpp
+++ b/tests/stored_forms.cpp
@@ -12,9 +12,9 @@
 #include <map>
 #include <string>
 
-#include "control/kept.hpp"
-#include "keep/store.hpp"
+#include "control/registry_state.hpp"
 #include "operators/file.hpp"
+#include "snapshot/snapshot_store.hpp"
 
 namespace {
 using namespace reedspindle;
@@ -34,18 +34,18 @@
   return text;
 }
 
-control::KeptRoster state() {
-  control::KeptRoster kept;
+control::RegistryState state() {
+  control::RegistryState kept;
   kept.revision = 4711;
   for (int number = 0; number < 6; ++number) {
-    control::RosterEntry entry;
-    entry.listed.member = {fmt::format("store-{}", number)};
+    control::RegistryEntry entry;
+    entry.listed.id = {fmt::format("store-{}", number)};
     entry.listed.zone = {number % 3};
     entry.listed.kind = number % 2;
     entry.listed.group = {number / 3};
-    entry.listed.state = number == 4 ? MemberState::draining : MemberState::ready;
+    entry.listed.state = number == 4 ? ServerState::draining : ServerState::ready;
     entry.listed.size = 0.5 + 0.25 * number;
-    entry.listed.up_since = number == 2 ? 1767225600125.5 : 0;
+    entry.listed.started_at = number == 2 ? 1767225600125.5 : 0;
     entry.endpoint = number == 5 ? "[2001:db8::5]:6432" : fmt::format("10.1.0.{}:6432", number);
     entry.zone = number == 3 ? "zone \"\xc3\xa9\"" : fmt::format("zone-{}", number % 3);
     kept.members.push_back(entry);
@@ -55,29 +55,29 @@
 
 // One generation, as the control service writes it.
 void write(const std::string& folder, const std::string& text) {
-  keep::FolderDisk disk(folder);
-  keep::Store store(disk);
+  snapshot::FolderDisk disk(folder);
+  snapshot::Store store(disk);
   store.load();
   store.save(text);
 }
 
-void snapshot(const std::filesystem::path& fixture, const std::filesystem::path& scratch) {
+void check_snapshot(const std::filesystem::path& fixture, const std::filesystem::path& scratch) {
   // Read from a copy: a store may tidy its folder up.
   const auto copy = scratch / "copy";
   std::filesystem::copy(fixture, copy);
-  keep::FolderDisk disk(copy.string());
-  keep::Store store(disk);
-  const keep::Loaded loaded = store.load();
+  snapshot::FolderDisk disk(copy.string());
+  snapshot::Store store(disk);
+  const snapshot::Loaded loaded = store.load();
   std::cout << fmt::format("snapshot: generation {}, whole {}, damaged {}\n", loaded.generation,
                            loaded.state.has_value(), loaded.damaged.size());
   if (!loaded.state) return;
-  const control::KeptRoster kept = control::kept_in(*loaded.state);
+  const control::RegistryState kept = control::registry_state_in(*loaded.state);
   std::cout << fmt::format("revision {}\n", kept.revision);
-  for (const control::RosterEntry& one : kept.members)
+  for (const control::RegistryEntry& one : kept.members)
     std::cout << fmt::format("{} {} {} zone {} group {} kind {} state {} size {:.3f} up since {:.3f}\n",
-                             one.listed.member.address, one.endpoint, one.zone, one.listed.zone.number,
+                             one.listed.id.address, one.endpoint, one.zone, one.listed.zone.number,
                              one.listed.group.number, one.listed.kind, static_cast<int>(one.listed.state),
-                             one.listed.size, one.listed.up_since);
+                             one.listed.size, one.listed.started_at);
   std::cout << fmt::format("the same text: {}\n", control::text_of(kept) == *loaded.state);
   std::cout << fmt::format("the text of the state: {}\n", control::text_of(state()) == *loaded.state);
   const auto again = scratch / "again";
@@ -91,7 +91,7 @@
   try {
     for (const std::string& line : operators::show(operators::read_file(fixture.string())))
       std::cout << line << '\n';
-  } catch (const operators::Faulty& faulty) {
+  } catch (const operators::InvalidFile& faulty) {
     for (const std::string& line : faulty.lines) std::cout << "faulty: " << line << '\n';
   }
 }
@@ -107,7 +107,7 @@
   std::string name = (std::filesystem::temp_directory_path() / "stored_forms-XXXXXX").string();
   if (!mkdtemp(name.data())) return 1;
   const std::filesystem::path scratch = name;
-  snapshot(fixtures / "snapshot-58f40b9", scratch);
+  check_snapshot(fixtures / "snapshot-58f40b9", scratch);
   std::filesystem::remove_all(scratch);
   operators_file(fixtures / "operators-58f40b9.sexp");
   return 0;
--- a/tests/proxies.cpp
+++ b/tests/xds.cpp
@@ -1,7 +1,5 @@
 // Plays one scenario with the real control service between stand-ins for discovery, stores and proxies, and
 // prints what came of it. Nothing waits for a fixed time where there is something to wait for.
-#include "standins/proxies.hpp"
-
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -24,11 +22,12 @@
 #include <set>
 #include <thread>
 
-#include "standins/service.hpp"
-#include "standins/world.hpp"
+#include "testservers/proxies.hpp"
+#include "testservers/service.hpp"
+#include "testservers/world.hpp"
 
 namespace {
-using namespace reedspindle::standins;
+using namespace reedspindle::testservers;
 
 std::string program, folder;
 
@@ -50,13 +49,13 @@
            bool healthy = true) {
   const auto handed = proxy.assignment(assignment);
   return handed && std::ranges::any_of(
-                       *handed, [&](const Handed& h) { return h.member == member && h.healthy == healthy; });
+                       *handed, [&](const Handed& h) { return h.server == member && h.healthy == healthy; });
 }
 std::string healthy_in(const Proxy& proxy, const std::string& assignment) {
   std::string text;
   std::map<unsigned, std::set<std::string>> by_priority;
   for (const Handed& handed : proxy.assignment(assignment).value_or(std::vector<Handed>{}))
-    if (handed.healthy) by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.member);
+    if (handed.healthy) by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
   for (const auto& [priority, members] : by_priority)
     for (const std::string& member : members) text += fmt::format(" {}:{}", priority, member);
   return text;
@@ -233,7 +232,7 @@
   say("epochs went on", std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
 }
 
-// Discovery empty, then back in its revisions, then whole again.
+// TestDiscovery empty, then back in its revisions, then whole again.
 void lists() {
   World world(4);
   world.change(one_group);
--- a/standins/proxies.cpp
+++ b/testservers/proxies.cpp
@@ -1,4 +1,4 @@
-#include "standins/proxies.hpp"
+#include "testservers/proxies.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -6,9 +6,9 @@
 #include <thread>
 
 #include "envoy/config/cluster/v3/cluster.pb.h"
-#include "standins/world.hpp"
+#include "testservers/world.hpp"
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 namespace discovery = envoy::service::discovery::v3;
 using envoy::config::cluster::v3::Cluster;
@@ -233,7 +233,7 @@
       handed.draining = row.health_status() == envoy::config::core::v3::DRAINING;
       handed.priority = locality.priority(), handed.weight = row.load_balancing_weight().value();
       const auto& fields = row.metadata().filter_metadata().at("reedspindle").fields();
-      handed.member = fields.at("member").string_value();
+      handed.server = fields.at("member").string_value();
       handed.primary = fields.at("role").string_value() == "primary";
       if (fields.contains("fresh_until_ms")) handed.fresh_until = fields.at("fresh_until_ms").number_value();
       if (fields.contains("position_ms")) handed.position = fields.at("position_ms").number_value();
@@ -290,4 +290,4 @@
   return true;
 }
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
--- a/standins/proxies.hpp
+++ b/testservers/proxies.hpp
@@ -17,10 +17,10 @@
 #include "envoy/config/endpoint/v3/endpoint.pb.h"
 #include "envoy/service/discovery/v3/ads.grpc.pb.h"
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 struct Handed {
-  std::string member, address;
+  std::string server, address;
   bool healthy = false, draining = false, primary = false;
   unsigned priority = 0, weight = 0;
   double fresh_until = -1, position = -1;
@@ -100,4 +100,4 @@
   std::function<void()> cancel_;
 };
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
--- a/standins/service.cpp
+++ b/testservers/service.cpp
@@ -1,4 +1,4 @@
-#include "standins/service.hpp"
+#include "testservers/service.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 #include <thread>
 #include <utility>
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 std::string own_address() {
   static int last = 18000;
@@ -97,4 +97,4 @@
   return cost;
 }
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
--- a/standins/service.hpp
+++ b/testservers/service.hpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 class ServiceProcess {
  public:
@@ -40,4 +40,4 @@
 // from another address, so it stays free while the service is down.
 std::string own_address();
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
--- a/standins/world.cpp
+++ b/testservers/world.cpp
@@ -1,4 +1,4 @@
-#include "standins/world.hpp"
+#include "testservers/world.hpp"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <future>
 #include <nlohmann/json.hpp>
 
-#include "links/placement.hpp"
+#include "config/instance_config.hpp"
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 namespace {
 
@@ -46,9 +46,9 @@
   over.get_future().wait();
 }
 
-std::string World::discovery_address() const { return links::text_of(discovery_.at()); }
+std::string World::discovery_address() const { return config::text_of(discovery_.at()); }
 std::string World::name_of(int store) const { return fmt::format("s-{:03}", store); }
-std::string World::address_of(int store) const { return links::text_of(stores_.at(store)); }
+std::string World::address_of(int store) const { return config::text_of(stores_.at(store)); }
 int World::store_at(const std::string& address) const {
   for (int store = 0; store < size(); ++store)
     if (address_of(store) == address) return store;
@@ -107,7 +107,7 @@
   return static_cast<long long>(probes);
 }
 
-rig::Discovery::Now World::list() const {
+faulttest::TestDiscovery::Now World::list() const {
   nlohmann::json targets = nlohmann::json::array();
   for (int store = 0; manner_ != Manner::empty_list && store < size(); ++store) {
     const StoreState& state = stores_.state(store);
@@ -122,4 +122,4 @@
   return {revision_, nlohmann::json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump()};
 }
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
--- a/standins/world.hpp
+++ b/testservers/world.hpp
@@ -1,5 +1,5 @@
-// Discovery and stores on loopback for tests that are not on a loop of their own: the rig's stand-ins, driven
-// by a thread. What tests ask of them is handed over to it.
+// TestDiscovery and stores on loopback for tests that are not on a loop of their own: the rig's stand-ins,
+// driven by a thread. What tests ask of them is handed over to it.
 #pragma once
 
 #include <asio.hpp>
@@ -8,16 +8,16 @@
 #include <thread>
 #include <vector>
 
-#include "links/clock.hpp"
-#include "rig/discovery.hpp"
-#include "rig/stores.hpp"
+#include "faulttest/test_discovery.hpp"
+#include "faulttest/test_stores.hpp"
+#include "net/clock.hpp"
 
-namespace reedspindle::standins {
+namespace reedspindle::testservers {
 
 double now_ms();  // Unix ms with fractions
 
 enum class Manner { answers, silent, empty_list };
-using rig::StoreState;
+using faulttest::StoreState;
 
 class World {
  public:
@@ -48,16 +48,16 @@
   // Done on the loop's thread, before it returns.
   void on_loop(const std::function<void()>& done) const;
   void apply(const std::function<void(std::vector<StoreState>&)>& by);
-  rig::Discovery::Now list() const;
+  faulttest::TestDiscovery::Now list() const;
 
   mutable asio::io_context io_;
-  const links::Clock clock_;
-  links::Timers timers_;
-  rig::Stores stores_;
+  const net::Clock clock_;
+  net::Timers timers_;
+  faulttest::TestStores stores_;
   long long revision_ = 1;
   Manner manner_ = Manner::answers;
-  rig::Discovery discovery_;
+  faulttest::TestDiscovery discovery_;
   std::thread thread_;
 };
 
-}  // namespace reedspindle::standins
+}  // namespace reedspindle::testservers
