--- a/bench/consistency.cpp
+++ b/bench/consistency.cpp
@@ -26,12 +26,16 @@
   Fleet(int fronts, std::uint64_t seed) : fleet(fronts, membership::Options{}, seed), muted_(at(fronts)) {
     fleet.compare(consistency::Options{});
     fleet.passes = [this](int from, int to) { return !cut || (from < side) == (to < side); };
-    for (int front = 0; front < fronts; ++front) fleet.start(front), tell(front, 1);
+    for (int front = 0; front < fronts; ++front) {
+      fleet.start(front), tell(front, 1);
+    }
   }
   static std::size_t at(int front) { return static_cast<std::size_t>(front); }
   void mute(int front, bool muted) { muted_[at(front)] = muted; }
   void tell(int front, std::uint32_t list) {
-    if (muted_[at(front)]) return;
+    if (muted_[at(front)]) {
+      return;
+    }
     // All that are held there are told of as one view.
     fleet.act(front, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
     fleet.confirm(front);
@@ -41,16 +45,22 @@
   Millis until(std::uint32_t list, There there) {
     Millis took = 0;
     for (; took < 600000 && !there(); took += 50) {
-      if (std::fmod(took, 500) == 0)
-        for (int front = 0; front < fleet.size(); ++front) tell(front, list);
+      if (std::fmod(took, 500) == 0) {
+        for (int front = 0; front < fleet.size(); ++front) {
+          tell(front, list);
+        }
+      }
       fleet.run(50);
     }
     return took / 1000;
   }
   Millis until_accord(std::uint32_t list) {
     return until(list, [this] {
-      for (int front = 0; front < fleet.size(); ++front)
-        if (!agrees(fleet, front)) return false;
+      for (int front = 0; front < fleet.size(); ++front) {
+        if (!agrees(fleet, front)) {
+          return false;
+        }
+      }
       return true;
     });
   }
@@ -80,11 +90,15 @@
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   std::vector<double> sent;
   std::vector<faulttest::Load> before;
-  for (int front = 0; front < fronts; ++front) before.push_back(fleet.consistency_load(front));
+  for (int front = 0; front < fronts; ++front) {
+    before.push_back(fleet.consistency_load(front));
+  }
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
-  double datagrams = 0, bytes = 0;
+  double datagrams = 0;
+  double bytes = 0;
   for (int front = 0; front < fronts; ++front) {
-    const faulttest::Load now = fleet.consistency_load(front), then = before[Fleet::at(front)];
+    const faulttest::Load now = fleet.consistency_load(front);
+    const faulttest::Load then = before[Fleet::at(front)];
     datagrams += static_cast<double>(now.datagrams - then.datagrams) / 20 / fronts;
     bytes += static_cast<double>(now.bytes - then.bytes) / 20 / fronts;
   }
@@ -97,8 +111,11 @@
   std::cout << fmt::format(", doubts who left {:.1f} s later",
                            all.until(2, [&] { return !fleet.consistency(0)->view().doubted.empty(); }));
   std::cout << fmt::format(", the first of the others sees it {:.1f} s after that\n", all.until(2, [&] {
-    for (int front = 1; front < fronts; ++front)
-      if (differs(front)) return true;
+    for (int front = 1; front < fronts; ++front) {
+      if (differs(front)) {
+        return true;
+      }
+    }
     return false;
   }));
   all.mute(0, false);
@@ -106,24 +123,36 @@
 
   // Two fifths without discovery and cut off, a list changes meanwhile.
   all.cut = true, all.side = fronts * 2 / 5;
-  for (int front = 0; front < all.side; ++front) all.mute(front, true);
+  for (int front = 0; front < all.side; ++front) {
+    all.mute(front, true);
+  }
   all.until(3, [&, from = fleet.now()] { return fleet.now() - from > 30000; });
   int off = 0;
-  for (int front = 0; front < fronts; ++front) off += fleet.consistency(front)->view().cut_off;
+  for (int front = 0; front < fronts; ++front) {
+    off += fleet.consistency(front)->view().cut_off;
+  }
   std::cout << fmt::format(
       "two fifths cut off, and from discovery, for 30 s: {} of {} hold themselves cut off\n", off, all.side);
   all.cut = false;
   std::cout << fmt::format("links heal, discovery stays silent to them: none cut off after {:.1f} s",
                            all.until(3, [&] {
-                             for (int front = 0; front < fronts; ++front)
-                               if (fleet.consistency(front)->view().cut_off) return false;
+                             for (int front = 0; front < fronts; ++front) {
+                               if (fleet.consistency(front)->view().cut_off) {
+                                 return false;
+                               }
+                             }
                              return true;
                            }));
   std::cout << fmt::format(", all of them doubt who left {:.1f} s later\n", all.until(3, [&] {
-    for (int front = 0; front < all.side; ++front)
-      if (fleet.consistency(front)->view().doubted.empty()) return false;
+    for (int front = 0; front < all.side; ++front) {
+      if (fleet.consistency(front)->view().doubted.empty()) {
+        return false;
+      }
+    }
     return true;
   }));
-  for (int front = 0; front < all.side; ++front) all.mute(front, false);
+  for (int front = 0; front < all.side; ++front) {
+    all.mute(front, false);
+  }
   std::cout << fmt::format("discovery speaks again: all in accord after {:.1f} s\n", all.until_accord(3));
 }
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -49,61 +49,80 @@
 
 int run(const Wish& wish) {
   char made[] = "/tmp/reedspindle-bench-XXXXXX";
-  if (!mkdtemp(made)) return 1;
+  if (!mkdtemp(made)) {
+    return 1;
+  }
   const std::string folder = made;
   World world(wish.members);
   world.change([](auto& states) {
-    for (std::size_t i = 0; i < states.size(); ++i)
+    for (std::size_t i = 0; i < states.size(); ++i) {
       states[i].group = static_cast<int>(i) / kOfGroup, states[i].primary = i % kOfGroup == 0;
+    }
   });
   const int groups = (wish.members + kOfGroup - 1) / kOfGroup;
   ServiceProcess service(wish.program, folder, "bench", world.discovery_address(),
                          "(proxies (most 5000)) (sockets 8192)");
   service.start();
-  if (!service.says("hands out")) return 1;
+  if (!service.says("hands out")) {
+    return 1;
+  }
   std::vector<std::string> names;
-  for (int group = 0; group < groups; ++group)
-    for (const char* of : {"primary", "any", "within-1500ms"})
-      if (wish.leases || std::string(of) != "within-1500ms")
+  for (int group = 0; group < groups; ++group) {
+    for (const char* of : {"primary", "any", "within-1500ms"}) {
+      if (wish.leases || std::string(of) != "within-1500ms") {
         names.push_back(fmt::format("group-{}.{}", group, of));
+      }
+    }
+  }
   Watch watch;
   std::atomic<bool> empty = false;
   const auto look = [&](Proxy& proxy, const std::string&, double at) {
     const std::lock_guard lock(watch.mutex);
-    if (watch.server.empty()) return;
+    if (watch.server.empty()) {
+      return;
+    }
     const bool there = has(proxy, watch.assignment, watch.server);
-    if (there)
+    if (there) {
       watch.out.erase(proxy.node());
-    else
+    } else {
       watch.out.try_emplace(proxy.node(), at);
+    }
     const auto handed = proxy.assignment(watch.assignment);
-    if (handed && handed->empty()) empty = true;
+    if (handed && handed->empty()) {
+      empty = true;
+    }
   };
   ProxyCan can{wish.changes, {"reedspindle.weights"}, "stand-in"};
-  if (wish.leases) can.features.push_back("reedspindle.expiry.stated");
+  if (wish.leases) {
+    can.features.push_back("reedspindle.expiry.stated");
+  }
   const long alone = service.cost().resident;
   const double connect_from = now_ms();
   std::vector<std::unique_ptr<Proxy>> proxies;
-  for (int i = 0; i < wish.proxies; ++i)
+  for (int i = 0; i < wish.proxies; ++i) {
     proxies.push_back(std::make_unique<Proxy>(fmt::format("p{:04}", i), service.target(), can, names, look));
+  }
   const std::string last_any = fmt::format("group-{}.any", groups - 1);
-  for (auto& proxy : proxies)
+  for (auto& proxy : proxies) {
     if (!proxy->wait([&](const Proxy& p) { return p.assignments().size() == names.size(); }, 120000)) {
       std::cout << "not all proxies were told\n";
       return 1;
     }
+  }
   const double all_told = now_ms() - connect_from;
 
   std::vector<double> delays;
   std::minstd_rand chance(1);
   const auto bytes_of = [&] {
     std::pair<double, double> sum{0, 0};
-    for (const auto& proxy : proxies)
+    for (const auto& proxy : proxies) {
       sum.first += static_cast<double>(proxy->bytes()), sum.second += static_cast<double>(proxy->responses());
+    }
     return sum;
   };
   const auto bytes_before = bytes_of();
-  const double from = now_ms(), processor_before = service.cost().processor;
+  const double from = now_ms();
+  const double processor_before = service.cost().processor;
   int lost = 0;
   for (int round = 0; round < wish.rounds; ++round) {
     const int group =
@@ -115,8 +134,11 @@
       watch.server = world.name_of(store), watch.assignment = fmt::format("group-{}.any", group);
       watch.out.clear();
     }
-    if (wish.reconnect)
-      for (auto& proxy : proxies) proxy->come_back();
+    if (wish.reconnect) {
+      for (auto& proxy : proxies) {
+        proxy->come_back();
+      }
+    }
     const double told =
         world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = true; });
     const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -128,14 +150,17 @@
     {
       const std::lock_guard lock(watch.mutex);
       lost += static_cast<int>(proxies.size() - watch.out.size());
-      for (const auto& [node, at] : watch.out) delays.push_back(std::max(0.0, at - told));
+      for (const auto& [node, at] : watch.out) {
+        delays.push_back(std::max(0.0, at - told));
+      }
       watch.server.clear();
     }
     world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = false; });
-    for (auto& proxy : proxies)
+    for (auto& proxy : proxies) {
       proxy->wait(
           [&](const Proxy& p) { return has(p, fmt::format("group-{}.any", group), world.name_of(store)); },
           30000);
+    }
   }
   const double took = now_ms() - from;
   const auto bytes_after = bytes_of();
@@ -169,12 +194,17 @@
       std::this_thread::sleep_for(std::chrono::microseconds(chance() % 150000));
       std::vector<std::size_t> before;
       service.end(SIGKILL);
-      for (auto& proxy : proxies) before.push_back(proxy->responses());
+      for (auto& proxy : proxies) {
+        before.push_back(proxy->responses());
+      }
       const double down = now_ms();
       service.start();
-      if (kill % 10 != 9) continue;
-      for (std::size_t i = 0; i < proxies.size(); ++i)
+      if (kill % 10 != 9) {
+        continue;
+      }
+      for (std::size_t i = 0; i < proxies.size(); ++i) {
         proxies[i]->wait([&](const Proxy& p) { return p.responses() >= before[i] + 2; }, 30000);
+      }
       times.push_back(now_ms() - down);
     }
     std::ranges::sort(times);
@@ -183,7 +213,9 @@
         "{:.0f} ms\n",
         wish.kills, empty ? "YES" : "no", part(times, 0.5), part(times, 1));
   }
-  for (auto& proxy : proxies) proxy->stop();
+  for (auto& proxy : proxies) {
+    proxy->stop();
+  }
   std::filesystem::remove_all(folder);
   return empty || lost > 0 ? 1 : 0;
 }
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -25,36 +25,47 @@
  public:
   explicit Heartbeats(const Options& options) : charge_(options) {}
   void enqueue(Event event) override {
-    if (const auto* heard = std::get_if<DatagramReceived>(&event)) heard_.push_back(heard->from);
+    if (const auto* heard = std::get_if<DatagramReceived>(&event)) {
+      heard_.push_back(heard->from);
+    }
   }
   std::vector<Decision> process(Millis now) override {
     std::vector<Decision> decisions;
-    if (began_ == 0) began_ = next_ = now;
+    if (began_ == 0) {
+      began_ = next_ = now;
+    }
     for (const SlotId from : std::exchange(heard_, {})) {
       Peer& fellow = fellows_[from];
       fellow.heard = now;
-      if (!std::exchange(fellow.there, true)) decisions.push_back(change(from, Happening::joined));
+      if (!std::exchange(fellow.there, true)) {
+        decisions.push_back(change(from, Happening::joined));
+      }
     }
     if (now >= next_) {
       next_ = now + charge_.pace;
       Message beat;
       beat.name = charge_.name, beat.place = charge_.place;
       std::size_t told = 0;
-      for (int place = 0; place < charge_.places; ++place)
-        if (place != charge_.place.number) decisions.push_back(SendDatagram{{place}, bytes_of(beat, told)});
+      for (int place = 0; place < charge_.places; ++place) {
+        if (place != charge_.place.number) {
+          decisions.push_back(SendDatagram{{place}, bytes_of(beat, told)});
+        }
+      }
     }
-    for (auto& [place, fellow] : fellows_)
+    for (auto& [place, fellow] : fellows_) {
       if (fellow.there && now - fellow.heard > charge_.suspicion_multiplier * charge_.pace) {
         fellow.there = false;
         decisions.push_back(change(place, Happening::failed));
       }
+    }
     decisions.push_back(RequestWakeup{next_});
     return decisions;
   }
-  View view() const override {
+  [[nodiscard]] View view() const override {
     View view;
-    for (const auto& [place, fellow] : fellows_)
+    for (const auto& [place, fellow] : fellows_) {
       view.fellows.push_back({name(place), place, fellow.there ? Standing::there : Standing::failed, {}, 0});
+    }
     return view;
   }
 
@@ -72,7 +83,9 @@
 };
 
 double part(std::vector<double> values, double share) {
-  if (values.empty()) return std::nan("");
+  if (values.empty()) {
+    return std::nan("");
+  }
   std::ranges::sort(values);
   return values[std::min(values.size() - 1,
                          static_cast<std::size_t>(share * static_cast<double>(values.size())))];
@@ -85,7 +98,7 @@
 struct Sizes {
   Options options;
   bool plain = false;
-  VirtualFleet fleet(int fronts, std::uint64_t seed) const {
+  [[nodiscard]] VirtualFleet fleet(int fronts, std::uint64_t seed) const {
     return {fronts, options, seed, [plain = plain](const Options& of, std::uint64_t with) {
               return plain ? std::make_unique<Heartbeats>(of) : make_membership(of, with);
             }};
@@ -94,31 +107,46 @@
 
 // Started together; returns the time until all agree.
 Millis gather(VirtualFleet& fleet, Millis most = 120000) {
-  for (int front = 0; front < fleet.size(); ++front) fleet.start(front);
+  for (int front = 0; front < fleet.size(); ++front) {
+    fleet.start(front);
+  }
   const Millis began = fleet.now();
-  while (!fleet.agreed() && fleet.now() - began < most) fleet.run(250);
+  while (!fleet.agreed() && fleet.now() - began < most) {
+    fleet.run(250);
+  }
   return fleet.now() - began;
 }
 
 void deaths(const Sizes& sizes, int fronts, int count, std::uint64_t seed) {
   VirtualFleet fleet = sizes.fleet(fronts, seed);
   const Millis gathered = gather(fleet);
-  std::vector<double> first, all;
+  std::vector<double> first;
+  std::vector<double> all;
   for (int turn = 0; turn < count; ++turn) {
     const int dead = (turn * 7) % fronts;
     fleet.run(3000 + 137 * turn % 500);
     int seen = 0;
     const Millis killed = fleet.now();
     fleet.on([&](Millis at, int, const Change& change) {
-      if (change.happening != Happening::failed || change.place.number != dead) return;
-      if (seen++ == 0) first.push_back(at - killed);
-      if (seen == fronts - 1) all.push_back(at - killed);
+      if (change.happening != Happening::failed || change.place.number != dead) {
+        return;
+      }
+      if (seen++ == 0) {
+        first.push_back(at - killed);
+      }
+      if (seen == fronts - 1) {
+        all.push_back(at - killed);
+      }
     });
     fleet.kill(dead);
-    while (seen < fronts - 1 && fleet.now() - killed < 60000) fleet.run(100);
+    while (seen < fronts - 1 && fleet.now() - killed < 60000) {
+      fleet.run(100);
+    }
     fleet.on({});
     fleet.start(dead);
-    while (!fleet.agreed() && fleet.now() - killed < 120000) fleet.run(250);
+    while (!fleet.agreed() && fleet.now() - killed < 120000) {
+      fleet.run(250);
+    }
   }
   std::cout << fmt::format("deaths {:5} fronts  gathered {:6.2f} s  first {}  all {}  of {} of {}\n", fronts,
                            gathered / 1000, spread_of(first), spread_of(all), all.size(), count);
@@ -130,25 +158,33 @@
   gather(fleet);
   fleet.run(20000);
   fleet.network.loss = loss;
-  int failed = 0, suspected = 0;
+  int failed = 0;
+  int suspected = 0;
   fleet.on([&](Millis, int, const Change& change) {
     failed += change.happening == Happening::failed;
     suspected += change.happening == Happening::suspected;
   });
   std::vector<faulttest::Load> before;
-  for (int front = 0; front < fronts; ++front) before.push_back(fleet.load(front));
+  for (int front = 0; front < fronts; ++front) {
+    before.push_back(fleet.load(front));
+  }
   const Millis began = fleet.now();
   while (fleet.now() - began < span) {
     if (stops) {
-      for (int front = 0; front < fronts; front += 10) fleet.stop(front);
+      for (int front = 0; front < fronts; front += 10) {
+        fleet.stop(front);
+      }
       fleet.run(1000);
-      for (int front = 0; front < fronts; front += 10) fleet.wake(front);
+      for (int front = 0; front < fronts; front += 10) {
+        fleet.wake(front);
+      }
       fleet.run(9000);
     } else {
       fleet.run(10000);
     }
   }
-  double datagrams = 0, bytes = 0;
+  double datagrams = 0;
+  double bytes = 0;
   for (int front = 0; front < fronts; ++front) {
     datagrams +=
         static_cast<double>(fleet.load(front).datagrams - before[static_cast<std::size_t>(front)].datagrams);
@@ -171,10 +207,17 @@
   fleet.run(cut);
   fleet.passes = {};
   const Millis healed = fleet.now();
-  std::uint64_t before = 0, after = 0;
-  for (int front = 0; front < fronts; ++front) before += fleet.load(front).datagrams;
-  while (!fleet.agreed() && fleet.now() - healed < 300000) fleet.run(100);
-  for (int front = 0; front < fronts; ++front) after += fleet.load(front).datagrams;
+  std::uint64_t before = 0;
+  std::uint64_t after = 0;
+  for (int front = 0; front < fronts; ++front) {
+    before += fleet.load(front).datagrams;
+  }
+  while (!fleet.agreed() && fleet.now() - healed < 300000) {
+    fleet.run(100);
+  }
+  for (int front = 0; front < fronts; ++front) {
+    after += fleet.load(front).datagrams;
+  }
   const Millis took = std::max(100.0, fleet.now() - healed);
   std::cout << fmt::format(
       "heals  {:5} fronts  cut in halves for {:3.0f} s, agreed after {:6.2f} s, {:.1f} datagrams/s a front\n",
@@ -203,13 +246,20 @@
   CLI11_PARSE(app, count, words);
   for (const int size : fronts) {
     const auto began = std::chrono::steady_clock::now();
-    if (what == "all" || what == "deaths") deaths(sizes, size, turns, seed);
+    if (what == "all" || what == "deaths") {
+      deaths(sizes, size, turns, seed);
+    }
     if (what == "all" || what == "quiet") {
-      for (const double loss : {0.0, 0.01, 0.05, 0.2}) quiet(sizes, size, loss, false, minutes * 60000, seed);
+      for (const double loss : {0.0, 0.01, 0.05, 0.2}) {
+        quiet(sizes, size, loss, false, minutes * 60000, seed);
+      }
       quiet(sizes, size, 0, true, minutes * 60000, seed);
     }
-    if (what == "all" || what == "heals")
-      for (const Millis cut : {10000.0, 60000.0}) heals(sizes, size, cut, seed);
+    if (what == "all" || what == "heals") {
+      for (const Millis cut : {10000.0, 60000.0}) {
+        heals(sizes, size, cut, seed);
+      }
+    }
     std::cerr << fmt::format("{} fronts: {:.1f} s of real time\n", size,
                              std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count());
   }
--- a/bench/probe_leaders.cpp
+++ b/bench/probe_leaders.cpp
@@ -24,29 +24,43 @@
                            "age p50", "age p99", "age max", "over 1 s");
   VirtualRouters fleet(stage, seed);
   const int n = stage.fronts;
-  for (int front = 0; front < n; ++front) fleet.start(front);
+  for (int front = 0; front < n; ++front) {
+    fleet.start(front);
+  }
   print("all start at once, 2 s", fleet.run(2000));
   fleet.run(10000);
   print("steady, 10 s", fleet.run(10000));
-  for (int front = 0; front < n * 2 / 5; ++front) fleet.kill(front);
+  for (int front = 0; front < n * 2 / 5; ++front) {
+    fleet.kill(front);
+  }
   print("two fifths killed, 5 s", fleet.run(5000));
   fleet.run(30000);
   print("30 s later, 5 s", fleet.run(5000));
-  for (int front = 0; front < n * 2 / 5; ++front) fleet.start(front);
+  for (int front = 0; front < n * 2 / 5; ++front) {
+    fleet.start(front);
+  }
   print("started again, 5 s", fleet.run(5000));
   fleet.run(10000);
-  for (int front = 0; front < n * 3 / 5; ++front)
-    for (int other = n * 3 / 5; other < n; ++other) fleet.cut(front, other);
+  for (int front = 0; front < n * 3 / 5; ++front) {
+    for (int other = n * 3 / 5; other < n; ++other) {
+      fleet.cut(front, other);
+    }
+  }
   print("cut 60 to 40, 10 s", fleet.run(10000));
   fleet.heal();
   print("healed, 2 s", fleet.run(2000));
   fleet.run(20000);
-  for (int front = 1; front < n; ++front) fleet.cut(0, front);
+  for (int front = 1; front < n; ++front) {
+    fleet.cut(0, front);
+  }
   print("one cut off from all, 10 s", fleet.run(10000));
   fleet.heal();
   fleet.run(20000);
-  for (int front = 0; front < n; ++front)
-    for (int other = 0; other < front; ++other) fleet.cut(front, other);
+  for (int front = 0; front < n; ++front) {
+    for (int other = 0; other < front; ++other) {
+      fleet.cut(front, other);
+    }
+  }
   print("nobody hears anybody, 5 s", fleet.run(5000));
   fleet.heal();
   print("healed, 2 s", fleet.run(2000));
@@ -55,9 +69,13 @@
   print("10 % of datagrams lost, 10 s", fleet.run(10000));
   fleet.loss(0);
   fleet.run(10000);
-  for (int front = 0; front < n; front += 10) fleet.stop(front);
+  for (int front = 0; front < n; front += 10) {
+    fleet.stop(front);
+  }
   const Probing stopped = fleet.run(3000);
-  for (int front = 0; front < n; front += 10) fleet.wake(front);
+  for (int front = 0; front < n; front += 10) {
+    fleet.wake(front);
+  }
   print("one in ten stopped, 3 s", stopped);
   print("they wake, 2 s", fleet.run(2000));
 }
--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -37,11 +37,15 @@
   };
   const auto sum = [&] {
     int all = 0;
-    for (int front = 0; front < wish.fronts; ++front) all += fleet.part(front).hold;
+    for (int front = 0; front < wish.fronts; ++front) {
+      all += fleet.part(front).hold;
+    }
     return all;
   };
   const auto want = [&](int front) {
-    if (fleet.up(front)) fleet.want(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
+    if (fleet.up(front)) {
+      fleet.want(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
+    }
   };
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * charge.drift);
@@ -50,29 +54,45 @@
   }
   int most = 0;
   for (Millis at = 0; at < wish.seconds * 1000;) {
-    const int front = below(wish.fronts), other = below(wish.fronts);
+    const int front = below(wish.fronts);
+    const int other = below(wish.fronts);
     switch (below(12)) {
       case 0:
-        for (int turn = below(wish.fronts); turn > 0; --turn)
-          if (const int struck = below(wish.fronts); fleet.up(struck)) fleet.kill(struck);
+        for (int turn = below(wish.fronts); turn > 0; --turn) {
+          if (const int struck = below(wish.fronts); fleet.up(struck)) {
+            fleet.kill(struck);
+          }
+        }
         break;
       case 1:
       case 2:
-        for (int turn = 0; turn < wish.fronts; ++turn)
-          if (!fleet.up(turn)) fleet.start(turn), want(turn);
+        for (int turn = 0; turn < wish.fronts; ++turn) {
+          if (!fleet.up(turn)) {
+            fleet.start(turn), want(turn);
+          }
+        }
         break;
       case 3:
-        if (fleet.up(front)) fleet.stop(front);
+        if (fleet.up(front)) {
+          fleet.stop(front);
+        }
         break;
       case 4:
-        for (int turn = 0; turn < wish.fronts; ++turn) fleet.wake(turn);
+        for (int turn = 0; turn < wish.fronts; ++turn) {
+          fleet.wake(turn);
+        }
         break;
       case 5:
-        for (int from = 0; from < other; ++from)
-          for (int to = other; to < wish.fronts; ++to) cut.insert({from, to}), cut.insert({to, from});
+        for (int from = 0; from < other; ++from) {
+          for (int to = other; to < wish.fronts; ++to) {
+            cut.insert({from, to}), cut.insert({to, from});
+          }
+        }
         break;
       case 6:
-        for (int to = 0; to < wish.fronts; ++to) cut.insert({front, to});
+        for (int to = 0; to < wish.fronts; ++to) {
+          cut.insert({front, to});
+        }
         break;
       case 7:
         cut.clear(), slow.clear(), fleet.network.loss = 0;
@@ -84,7 +104,9 @@
         fleet.network.loss = 0.3;
         break;
       default:
-        for (int turn = 0; turn < 5; ++turn) want(below(wish.fronts));
+        for (int turn = 0; turn < 5; ++turn) {
+          want(below(wish.fronts));
+        }
     }
     // Looked at every 5 ms: parts hold for seconds.
     for (const Millis until = at + 20 + below(2000); at < until; at += 5) {
@@ -107,10 +129,11 @@
   CLI11_PARSE(app, count, words);
 
   double most = 0;
-  for (int run = 0; run < wish.runs; ++run)
+  for (int run = 0; run < wish.runs; ++run) {
     most =
         std::max(most, static_cast<double>(highest_sum(wish, static_cast<std::uint64_t>(wish.seed + run))) /
                            (quota::kSlot * wish.fronts));
+  }
   std::cout << fmt::format("{} fronts, {} runs of {} s with drawn faults: highest sum {:.4f} of the whole\n",
                            wish.fronts, wish.runs, wish.seconds, most);
 
@@ -124,12 +147,17 @@
   }
   const auto until = [&](auto there) {
     Millis took = 0;
-    for (; took < 300000 && !there(); took += 20) fleet.run(20);
+    for (; took < 300000 && !there(); took += 20) {
+      fleet.run(20);
+    }
     return took / 1000;
   };
   const auto all = [&](int from, int least) {
-    for (int front = from; front < wish.fronts; ++front)
-      if (fleet.part(front).open < least) return false;
+    for (int front = from; front < wish.fronts; ++front) {
+      if (fleet.part(front).open < least) {
+        return false;
+      }
+    }
     return true;
   };
   std::cout << fmt::format("started together, all whole after {:.2f} s\n",
@@ -137,28 +165,38 @@
   fleet.run(20000);
   const auto load = [&](const char* when) {
     std::vector<faulttest::Load> before;
-    for (int front = 0; front < wish.fronts; ++front) before.push_back(fleet.quota_load(front));
+    for (int front = 0; front < wish.fronts; ++front) {
+      before.push_back(fleet.quota_load(front));
+    }
     fleet.run(10000);
     std::vector<double> sent;
-    for (int front = 0; front < wish.fronts; ++front)
-      if (fleet.up(front))
+    for (int front = 0; front < wish.fronts; ++front) {
+      if (fleet.up(front)) {
         sent.push_back(static_cast<double>(fleet.quota_load(front).datagrams -
                                            before[static_cast<std::size_t>(front)].datagrams) /
                        10);
+      }
+    }
     std::ranges::sort(sent);
     std::cout << fmt::format("datagrams/s of shares {}: median {:.1f}, most (the office) {:.1f}\n", when,
                              sent[sent.size() / 2], sent.back());
   };
   load("while all want more");
   const int dead = wish.fronts * 2 / 5;
-  for (int front = 0; front < dead; ++front) fleet.kill(front);
+  for (int front = 0; front < dead; ++front) {
+    fleet.kill(front);
+  }
   const int each = dead * (quota::kSlot - charge.kept) / (wish.fronts - dead);
   std::cout << fmt::format("{} killed, each other has {} more after {:.2f} s\n", dead, each - 1,
                            until([&] { return all(dead, quota::kSlot + each - 1); }));
-  for (int front = 0; front < dead; ++front) fleet.start(front);
+  for (int front = 0; front < dead; ++front) {
+    fleet.start(front);
+  }
   std::cout << fmt::format("started again, theirs after {:.2f} s\n",
                            until([&] { return all(0, quota::kSlot); }));
-  for (int front = 0; front < wish.fronts; ++front) fleet.want(front, {});
+  for (int front = 0; front < wish.fronts; ++front) {
+    fleet.want(front, {});
+  }
   fleet.run(10000);
   load("while nobody wants more");
 }
--- a/bench/routing.cpp
+++ b/bench/routing.cpp
@@ -51,7 +51,7 @@
     EndpointListReceived list{EndpointListKind::complete, {}};
     for (int server = 0; server < servers; ++server) {
       ServerEntry entry;
-      entry.id = {fmt::format("s-{:08x}", server * 2654435761u)};
+      entry.id = {fmt::format("s-{:08x}", server * 2654435761U)};
       entry.group = {server / kReplicas};
       entry.started_at = server % 3 == 0 ? 0 : now;
       list.servers.push_back(entry);
@@ -70,8 +70,8 @@
                 static_cast<int>(number * 7919 % static_cast<unsigned>(std::max(1, servers / kReplicas)))};
             arrived.remaining = 1000;
             router->enqueue(arrived);
-            for (const Decision& decision : router->process(now += 5))
-              if (const auto* send = std::get_if<StartAttempt>(&decision))
+            for (const Decision& decision : router->process(now += 5)) {
+              if (const auto* send = std::get_if<StartAttempt>(&decision)) {
                 router->enqueue(AttemptCompleted{send->request,
                                                  {0},
                                                  send->server,
@@ -79,6 +79,8 @@
                                                  10,
                                                  true,
                                                  {Role::replica, now, 0.3}});
+              }
+            }
           }
         }));
     list.kind = EndpointListKind::changes;
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -24,7 +24,7 @@
   const char* name;
   double used, allowed;
   bool timed;  // depends on the machine's speed: not held in the short form
-  bool kept() const { return used <= allowed; }
+  [[nodiscard]] bool kept() const { return used <= allowed; }
 };
 
 // The six limits of the standing page, the fleet bench's "More than these days".
@@ -80,7 +80,8 @@
   ScaleDay day;
   std::vector<int> sizes = {200, 800, 3200};
   std::string json_path;
-  bool short_form = false, keep = false;
+  bool short_form = false;
+  bool keep = false;
   app.add_option("--program", day.program, "the front's program")->required()->check(CLI::ExistingFile);
   app.add_option("--servers", sizes, "sizes; the first is the usual one")->delimiter(',');
   app.add_option("--fronts", day.fronts, "of the fleet");
@@ -97,7 +98,9 @@
   }
 
   std::string folder = (std::filesystem::temp_directory_path() / "scale-XXXXXX").string();
-  if (!mkdtemp(folder.data())) return 2;
+  if (!mkdtemp(folder.data())) {
+    return 2;
+  }
   std::cout << fmt::format(
       "{:>8} {:>9} {:>8} {:>6} {:>7} {:>7} {:>10} {:>8} {:>7} {:>7} {:>8} {:>7} {:>7} {:>5} {:>5} {:>6}\n",
       "servers", "cpu s", "mem MB", "fds", "conns", "probes", "list B", "turn ms", "ping50", "ping99",
@@ -108,10 +111,14 @@
     day.servers = servers;
     costs.push_back(reedspindle::faulttest::play_scale_day(day, folder));
     print(costs.back());
-    for (const std::string& line : costs.back().breaks) std::cout << "  " << line << '\n';
+    for (const std::string& line : costs.back().breaks) {
+      std::cout << "  " << line << '\n';
+    }
     kept = kept && costs.back().rules_kept();
     for (const Limit& limit : limits_of(costs.back(), costs.front())) {
-      if (limit.kept()) continue;
+      if (limit.kept()) {
+        continue;
+      }
       std::cout << fmt::format("  limit passed: {} {:.2f} over {:.2f}{}\n", limit.name, limit.used,
                                limit.allowed,
                                short_form && limit.timed ? " (not held in the short form)" : "");
@@ -120,13 +127,16 @@
   }
   if (!json_path.empty()) {
     Json rows = Json::array();
-    for (const ScaleCost& cost : costs) rows.push_back(json_of(cost));
+    for (const ScaleCost& cost : costs) {
+      rows.push_back(json_of(cost));
+    }
     std::ofstream(json_path) << rows.dump(1) << '\n';
   }
-  if (keep)
+  if (keep) {
     std::cout << "kept in " << folder << '\n';
-  else
+  } else {
     std::filesystem::remove_all(folder);
+  }
   std::cout << (kept ? "kept\n" : "NOT KEPT\n");
   return kept ? 0 : 1;
 }
--- a/src/config/instance_config.hpp
+++ b/src/config/instance_config.hpp
@@ -50,9 +50,11 @@
   // Each peer's share of the descriptors. Clients hold at most a third for ops; what is over is for those
   // that ask once and stay. Held besides connections: standard streams, the event queue, its timer and
   // wake-up, signals, the listening socket, discovery, the peers' socket, and a few in passing.
-  std::size_t client_connections() const { return sockets * 9 / 16; }
-  std::size_t leaving_connections() const { return sockets / 16; }  // of clients, that are being ended
-  std::size_t store_connections() const {
+  [[nodiscard]] std::size_t client_connections() const { return sockets * 9 / 16; }
+  [[nodiscard]] std::size_t leaving_connections() const {
+    return sockets / 16;
+  }  // of clients, that are being ended
+  [[nodiscard]] std::size_t store_connections() const {
     return sockets - client_connections() - leaving_connections() - 20;
   }
 };
--- a/src/consistency/consistency_monitor.cpp
+++ b/src/consistency/consistency_monitor.cpp
@@ -32,14 +32,23 @@
 
   std::vector<Decision> process(Millis now) override {
     decisions_.clear();
-    if (started_ == kNever) started_ = next_ask_ = now, now_ = now;
+    if (started_ == kNever) {
+      started_ = next_ask_ = now, now_ = now;
+    }
     now_ = std::max(now_, now);
-    if (now_ >= next_count_) heard_of_.clear(), next_count_ = now_ + charge_.pace;
-    for (Event& event : std::exchange(events_, {}))
+    if (now_ >= next_count_) {
+      heard_of_.clear(), next_count_ = now_ + charge_.pace;
+    }
+    for (Event& event : std::exchange(events_, {})) {
       std::visit([this](const auto& happened) { take(happened); }, event);
-    if (2 * (there_.size() + 1) > static_cast<std::size_t>(std::max(1, counted_))) majority_at_ = now_;
+    }
+    if (2 * (there_.size() + 1) > static_cast<std::size_t>(std::max(1, counted_))) {
+      majority_at_ = now_;
+    }
     forget();
-    for (int matter = 0; matter < kMatters; ++matter) compare(static_cast<Matter>(matter));
+    for (int matter = 0; matter < kMatters; ++matter) {
+      compare(static_cast<Matter>(matter));
+    }
     ask();
     check_list();
     judge_contact();
@@ -47,9 +56,11 @@
     return std::move(decisions_);
   }
 
-  View view() const override {
+  [[nodiscard]] View view() const override {
     View view{{}, contact(), cut_off_, allowed_, told_doubted_, dropped_};
-    for (std::size_t matter = 0; matter < kMatters; ++matter) view.differences[matter] = streaks_[matter].is;
+    for (std::size_t matter = 0; matter < kMatters; ++matter) {
+      view.differences[matter] = streaks_[matter].is;
+    }
     return view;
   }
 
@@ -68,15 +79,18 @@
   void take(const DatagramReceived& heard) {
     const auto message = message_in(heard.bytes);
     if (!message || message->place != heard.from || heard.from == charge_.place ||
-        ++heard_of_[heard.from] > kOfPlace)
+        ++heard_of_[heard.from] > kOfPlace) {
       return void(++dropped_);
+    }
     if (message->kind == Kind::asks) {
       hold(heard.from, message->account, now_);
       return tell(heard.from, Kind::answers, message->number);
     }
     if (message->kind == Kind::checks) {
       // Only a list that is later than the other's says more of who leaves.
-      if (message->account.revision >= account_.revision) return;
+      if (message->account.revision >= account_.revision) {
+        return;
+      }
       std::vector<std::uint32_t> leave;
       std::ranges::copy_if(message->marks, std::back_inserter(leave),
                            [this](std::uint32_t mark) { return !ready_.contains(mark); });
@@ -85,13 +99,22 @@
     // Guards against a word that took long: it is dated by when it was asked for, not by when it came.
     const auto asked =
         std::ranges::find(asked_, std::tuple(message->number, heard.from, message->kind), &Asked::what);
-    if (asked == asked_.end()) return void(++dropped_);
+    if (asked == asked_.end()) {
+      return void(++dropped_);
+    }
     hold(heard.from, message->account, asked->at);
-    if (message->word_age >= 0) word_at_ = std::max(word_at_, asked->at - message->word_age);
+    if (message->word_age >= 0) {
+      word_at_ = std::max(word_at_, asked->at - message->word_age);
+    }
     asked_.erase(asked);
-    if (message->kind != Kind::leave || !silent()) return;
-    for (const std::uint32_t mark : message->marks)
-      if (ready_.contains(mark)) doubted_[mark] = now_ + charge_.pace * kDoubtPaces;
+    if (message->kind != Kind::leave || !silent()) {
+      return;
+    }
+    for (const std::uint32_t mark : message->marks) {
+      if (ready_.contains(mark)) {
+        doubted_[mark] = now_ + charge_.pace * kDoubtPaces;
+      }
+    }
   }
 
   // Who is there anew is asked next: two halves that meet would else each end their rounds among themselves.
@@ -105,19 +128,21 @@
   }
 
   void take(const Acts& acts) {
-    for (int matter = 0; matter < kMatters; ++matter)
-      if (acts.account.of(static_cast<Matter>(matter)) != account_.of(static_cast<Matter>(matter)))
+    for (int matter = 0; matter < kMatters; ++matter) {
+      if (acts.account.of(static_cast<Matter>(matter)) != account_.of(static_cast<Matter>(matter))) {
         changed_at_[static_cast<std::size_t>(matter)] = now_;
+      }
+    }
     account_ = acts.account, ready_ = acts.ready;
   }
 
-  void take(const Confirmed&) {
+  void take(const Confirmed& /*unused*/) {
     word_at_ = own_word_at_ = now_;
     doubted_.clear();
   }
 
   // TestDiscovery has not spoken to this front itself for longer than news may take.
-  bool silent() const { return now_ - std::max(own_word_at_, started_) > charge_.grace; }
+  [[nodiscard]] bool silent() const { return now_ - std::max(own_word_at_, started_) > charge_.grace; }
 
   // What removes is taken from a fellow at once, for it can only make this front more careful: while
   // discovery is silent here, whoever has a later list is asked which of the members held ready it does not
@@ -127,13 +152,18 @@
     if (now_ >= next_check_) {
       next_check_ = now_ + charge_.pace;
       std::vector<SlotId> ahead;
-      for (const auto& [place, held] : held_)
-        if (held.account.revision > account_.revision) ahead.push_back(place);
+      for (const auto& [place, held] : held_) {
+        if (held.account.revision > account_.revision) {
+          ahead.push_back(place);
+        }
+      }
       if (silent() && !ahead.empty() && !ready_.empty()) {
         std::vector<std::uint32_t> marks;
         auto next = ready_.upper_bound(checked_);
         for (std::size_t turn = 0; turn < std::min(kMostMarks, ready_.size()); ++turn, ++next) {
-          if (next == ready_.end()) next = ready_.begin();
+          if (next == ready_.end()) {
+            next = ready_.begin();
+          }
           marks.push_back(checked_ = *next);
         }
         const SlotId whom = ahead[random_() % ahead.size()];
@@ -142,13 +172,19 @@
       }
     }
     std::set<std::uint32_t> marks;
-    for (const auto& [mark, until] : doubted_) marks.insert(mark);
-    if (marks != told_doubted_) decisions_.push_back(Doubted{told_doubted_ = std::move(marks)});
+    for (const auto& [mark, until] : doubted_) {
+      marks.insert(mark);
+    }
+    if (marks != told_doubted_) {
+      decisions_.push_back(Doubted{told_doubted_ = std::move(marks)});
+    }
   }
 
   void hold(SlotId of, const Account& account, Millis at) {
     Held& held = held_[of];
-    if (at >= held.at) held = {account, at};
+    if (at >= held.at) {
+      held = {account, at};
+    }
   }
 
   void forget() {
@@ -157,15 +193,16 @@
     std::erase_if(held_, [&](const auto& item) {
       return !there_.contains(item.first) || now_ - item.second.at > charge_.pace * paces;
     });
-    while (held_.size() > kMostHeld)
+    while (held_.size() > kMostHeld) {
       held_.erase(std::ranges::min_element(held_, {}, [](const auto& item) { return item.second.at; }));
+    }
   }
 
   // What a fellow said before this front's own last change says nothing: both may have changed.
-  bool compares(const Held& held, Matter matter) const {
+  [[nodiscard]] bool compares(const Held& held, Matter matter) const {
     return held.at > changed_at_[static_cast<std::size_t>(matter)];
   }
-  bool differs(const Held& held, Matter matter) const {
+  [[nodiscard]] bool differs(const Held& held, Matter matter) const {
     return compares(held, matter) && held.account.of(matter) != account_.of(matter);
   }
 
@@ -176,8 +213,12 @@
     std::optional<SlotId> one;
     for (const auto& [place, held] : held_) {
       is.compared += compares(held, matter);
-      if (!differs(held, matter)) continue;
-      if (++is.differ == 1) one = place;
+      if (!differs(held, matter)) {
+        continue;
+      }
+      if (++is.differ == 1) {
+        one = place;
+      }
       is.behind = is.behind || (matter == Matter::list && held.account.revision > account_.revision);
     }
     if (one && is.since == 0) {
@@ -189,46 +230,63 @@
       found({Finding::differs, matter, is.first, streak.mine, streak.theirs, now_ - is.since});
     }
     // While nobody's word compares, nothing says that it is over.
-    if (one || is.since == 0 || is.compared == 0) return;
-    if (streak.told) found({Finding::agrees, matter, is.first, {}, {}, now_ - is.since});
+    if (one || is.since == 0 || is.compared == 0) {
+      return;
+    }
+    if (streak.told) {
+      found({Finding::agrees, matter, is.first, {}, {}, now_ - is.since});
+    }
     streak = {Difference{0, is.compared, 0, {}, false}, {}, {}, false};
   }
 
   // Who differs is asked every other time, so that a difference that is over is soon seen to be; else each in
   // its turn, in an order drawn anew each time round.
   void ask() {
-    if (now_ < next_ask_) return;
+    if (now_ < next_ask_) {
+      return;
+    }
     next_ask_ = now_ + charge_.pace * (0.9 + 0.2 * chance());
     std::vector<SlotId> differing;
-    for (const auto& [place, held] : held_)
-      for (int matter = 0; matter < kMatters; ++matter)
-        if (differs(held, static_cast<Matter>(matter)) && (differing.empty() || differing.back() != place))
+    for (const auto& [place, held] : held_) {
+      for (int matter = 0; matter < kMatters; ++matter) {
+        if (differs(held, static_cast<Matter>(matter)) && (differing.empty() || differing.back() != place)) {
           differing.push_back(place);
+        }
+      }
+    }
     std::optional<SlotId> whom;
     if (!differing.empty() && std::exchange(again_, !again_)) {
       whom = differing[random_() % differing.size()];
     } else {
-      while (!round_.empty() && !there_.contains(round_.back())) round_.pop_back();
+      while (!round_.empty() && !there_.contains(round_.back())) {
+        round_.pop_back();
+      }
       if (round_.empty()) {
         round_.assign(there_.begin(), there_.end());
         std::shuffle(round_.begin(), round_.end(), random_);
       }
-      if (!round_.empty()) whom = round_.back(), round_.pop_back();
+      if (!round_.empty()) {
+        whom = round_.back(), round_.pop_back();
+      }
+    }
+    if (!whom) {
+      return;
     }
-    if (!whom) return;
     note_asked(*whom, Kind::answers);
     tell(*whom, Kind::asks, number_);
   }
 
   void note_asked(SlotId whom, Kind answer) {
     asked_.push_back({{++number_, whom, answer}, now_});
-    if (asked_.size() > kAsked) asked_.pop_front();
+    if (asked_.size() > kAsked) {
+      asked_.pop_front();
+    }
   }
 
   // Contact is what would tell this front if it were wrong: discovery, here or at a fellow that hears it, or
   // the greater part of the fleet. A fleet that has all lost discovery goes on; one who has lost both may be
   // on the wrong side of a cut.
-  Millis contact() const { return std::max({started_, word_at_, majority_at_}); }
+  [[nodiscard]] Millis contact() const { return std::max({started_, word_at_, majority_at_}); }
 
   void judge_contact() {
     const Millis without = now_ - contact();
@@ -236,11 +294,19 @@
       cut_off_ = cut_off;
       found({cut_off ? Finding::cut_off : Finding::in_touch, {}, {}, {}, {}, now_ - lost_});
     }
-    if (!cut_off_) lost_ = contact();
+    if (!cut_off_) {
+      lost_ = contact();
+    }
     const Allowed allowed{without <= charge_.writes_for, without <= charge_.reads_for};
-    if (allowed == allowed_) return;
-    if (allowed_.writes && !allowed.writes) found({Finding::turns_writes_away, {}, {}, {}, {}, without});
-    if (allowed_.reads && !allowed.reads) found({Finding::turns_reads_away, {}, {}, {}, {}, without});
+    if (allowed == allowed_) {
+      return;
+    }
+    if (allowed_.writes && !allowed.writes) {
+      found({Finding::turns_writes_away, {}, {}, {}, {}, without});
+    }
+    if (allowed_.reads && !allowed.reads) {
+      found({Finding::turns_reads_away, {}, {}, {}, {}, without});
+    }
     decisions_.push_back(allowed_ = allowed);
   }
 
@@ -254,10 +320,16 @@
 
   void wake() {
     Millis next = std::min(next_ask_, next_check_);
-    for (const Millis at : {charge_.silence, charge_.writes_for, charge_.reads_for})
-      if (at != kForever && contact() + at + 1 > now_) next = std::min(next, contact() + at + 1);
-    for (const Streak& streak : streaks_)
-      if (streak.is.since > 0 && !streak.told) next = std::min(next, streak.is.since + charge_.grace);
+    for (const Millis at : {charge_.silence, charge_.writes_for, charge_.reads_for}) {
+      if (at != kForever && contact() + at + 1 > now_) {
+        next = std::min(next, contact() + at + 1);
+      }
+    }
+    for (const Streak& streak : streaks_) {
+      if (streak.is.since > 0 && !streak.told) {
+        next = std::min(next, streak.is.since + charge_.grace);
+      }
+    }
     decisions_.push_back(RequestWakeup{std::max(next, now_ + 1)});
   }
 
--- a/src/consistency/consistency_monitor.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -86,7 +86,7 @@
 
 class ConsistencyMonitor : public EventCore<Event, Decision> {
  public:
-  virtual View view() const = 0;
+  [[nodiscard]] virtual View view() const = 0;
 };
 
 std::unique_ptr<ConsistencyMonitor> make_consistency_monitor(const Options& charge, std::uint64_t seed);
--- a/src/consistency/message.cpp
+++ b/src/consistency/message.cpp
@@ -42,30 +42,43 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) {
-  if (!is_consistency_message(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
+  if (!is_consistency_message(bytes) || bytes.size() > membership::kLongest) {
+    return std::nullopt;
+  }
   const Json json = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
-  if (!json.is_array() || json.size() != kFields || json[0] != kForm || !json[8].is_number())
+  if (!json.is_array() || json.size() != kFields || json[0] != kForm || !json[8].is_number()) {
     return std::nullopt;
+  }
   constexpr std::uint64_t k32 = std::numeric_limits<std::uint32_t>::max();
-  const auto kind = whole(json[1], static_cast<int>(Kind::leave)), number = whole(json[2], k32),
-             place = whole(json[3], kMostPlaces - 1),
-             revision = whole(json[4], std::numeric_limits<std::uint64_t>::max() >> 1);
-  if (!kind || !number || !place || !revision) return std::nullopt;
+  const auto kind = whole(json[1], static_cast<int>(Kind::leave));
+  const auto number = whole(json[2], k32);
+  const auto place = whole(json[3], kMostPlaces - 1);
+  const auto revision = whole(json[4], std::numeric_limits<std::uint64_t>::max() >> 1);
+  if (!kind || !number || !place || !revision) {
+    return std::nullopt;
+  }
   Message m;
   for (std::size_t at = 0; at < kMatters; ++at) {
     const auto sum = whole(json[5 + at], k32);
-    if (!sum) return std::nullopt;
+    if (!sum) {
+      return std::nullopt;
+    }
     m.account.sums[at] = static_cast<std::uint32_t>(*sum);
   }
-  if (!json[9].is_array() || json[9].size() > kMostMarks) return std::nullopt;
+  if (!json[9].is_array() || json[9].size() > kMostMarks) {
+    return std::nullopt;
+  }
   for (const Json& told : json[9]) {
     const auto mark = whole(told, kMark);
-    if (!mark) return std::nullopt;
+    if (!mark) {
+      return std::nullopt;
+    }
     m.marks.push_back(static_cast<std::uint32_t>(*mark));
   }
   m.word_age = json[8].get<double>();
-  if (!std::isfinite(m.word_age) || m.word_age > kOldest || (m.word_age < 0 && m.word_age != -1))
+  if (!std::isfinite(m.word_age) || m.word_age > kOldest || (m.word_age < 0 && m.word_age != -1)) {
     return std::nullopt;
+  }
   m.kind = static_cast<Kind>(*kind), m.number = static_cast<std::uint32_t>(*number);
   m.place = {static_cast<int>(*place)}, m.account.revision = *revision;
   return m;
--- a/src/consistency/message.hpp
+++ b/src/consistency/message.hpp
@@ -23,7 +23,7 @@
 struct Account {
   std::array<std::uint32_t, kMatters> sums{};
   std::uint64_t revision = 0;  // of the list
-  std::uint32_t of(Matter matter) const { return sums[static_cast<std::size_t>(matter)]; }
+  [[nodiscard]] std::uint32_t of(Matter matter) const { return sums[static_cast<std::size_t>(matter)]; }
   bool operator==(const Account&) const = default;
 };
 
--- a/src/consistency/state_digest.cpp
+++ b/src/consistency/state_digest.cpp
@@ -17,33 +17,45 @@
 }  // namespace
 
 void ListHeld::learn(EndpointListKind kind, std::uint64_t revision, const std::vector<ServerEntry>& members) {
-  if (kind == EndpointListKind::failed) return;
-  if (kind != EndpointListKind::changes) held_.clear();
+  if (kind == EndpointListKind::failed) {
+    return;
+  }
+  if (kind != EndpointListKind::changes) {
+    held_.clear();
+  }
   for (const ServerEntry& entry : members) {
-    if (entry.state == ServerState::gone)
+    if (entry.state == ServerState::gone) {
       held_.erase(entry.id);
-    else
+    } else {
       held_[entry.id] = entry;
+    }
   }
   revision_ = revision;
   std::string text;
-  for (const auto& [member, entry] : held_)
+  for (const auto& [member, entry] : held_) {
     text += fmt::format("{} {} {} {}\n", member.address, entry.group.number,
                         entry.state == ServerState::draining, entry.started_at);
+  }
   sum_ = sum_of(text);
 }
 
 std::map<std::uint32_t, ServerEntry> ListHeld::ready() const {
   std::map<std::uint32_t, ServerEntry> ready;
-  for (const auto& [member, entry] : held_)
-    if (entry.state == ServerState::ready) ready[static_cast<std::uint32_t>(mark_of(member))] = entry;
+  for (const auto& [member, entry] : held_) {
+    if (entry.state == ServerState::ready) {
+      ready[static_cast<std::uint32_t>(mark_of(member))] = entry;
+    }
+  }
   return ready;
 }
 
 std::uint32_t sum_of_primaries(const std::vector<ServerView>& members) {
   std::string text;
-  for (const ServerView& member : members)
-    if (member.primary) text += fmt::format("{} {}\n", member.entry.id.address, member.entry.group.number);
+  for (const ServerView& member : members) {
+    if (member.primary) {
+      text += fmt::format("{} {}\n", member.entry.id.address, member.entry.group.number);
+    }
+  }
   return sum_of(text);
 }
 
@@ -51,7 +63,9 @@
   std::set<SlotId> all = there;
   all.insert(self);
   std::string text;
-  for (const SlotId place : all) text += fmt::format("{}\n", place.number);
+  for (const SlotId place : all) {
+    text += fmt::format("{}\n", place.number);
+  }
   return sum_of(text);
 }
 
--- a/src/consistency/state_digest.hpp
+++ b/src/consistency/state_digest.hpp
@@ -17,10 +17,10 @@
 class ListHeld {
  public:
   void learn(EndpointListKind kind, std::uint64_t revision, const std::vector<ServerEntry>& members);
-  std::uint64_t revision() const { return revision_; }
-  std::uint32_t sum() const { return sum_; }
+  [[nodiscard]] std::uint64_t revision() const { return revision_; }
+  [[nodiscard]] std::uint32_t sum() const { return sum_; }
   // Those that it holds ready, by their marks.
-  std::map<std::uint32_t, ServerEntry> ready() const;
+  [[nodiscard]] std::map<std::uint32_t, ServerEntry> ready() const;
 
  private:
   std::map<ServerId, ServerEntry> held_;  // who is on it and not gone
--- a/src/control/endpoint_registry.hpp
+++ b/src/control/endpoint_registry.hpp
@@ -44,20 +44,20 @@
 
   // What the store held; before any list.
   void restore(const RegistryState& kept);
-  RegistryState kept() const;
+  [[nodiscard]] RegistryState kept() const;
 
   // Returns the members that drain or are gone from now on and did not before.
   std::vector<ServerId> take(const RegistryUpdate& list, Millis now);
 
   // For the module: everyone who counts, as a complete list.
-  EndpointListReceived read() const;
-  const std::map<ServerId, RegistryEntry>& members() const { return members_; }
-  long long revision() const { return revision_; }
-  bool known() const { return !members_.empty(); }
+  [[nodiscard]] EndpointListReceived read() const;
+  [[nodiscard]] const std::map<ServerId, RegistryEntry>& members() const { return members_; }
+  [[nodiscard]] long long revision() const { return revision_; }
+  [[nodiscard]] bool known() const { return !members_.empty(); }
   // What a list was not believed for last; none once one is.
-  UpdateDoubt doubt() const { return doubt_; }
+  [[nodiscard]] UpdateDoubt doubt() const { return doubt_; }
   // When the whole list is to be asked for, to settle a doubt; none: no need.
-  std::optional<Millis> ask_at() const { return ask_at_; }
+  [[nodiscard]] std::optional<Millis> ask_at() const { return ask_at_; }
   void asked(Millis now);
 
  private:
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -25,12 +25,14 @@
   charge.name = control["name"], charge.listen = control["listen"], charge.keep = control["keep"];
   charge.config.name = charge.name;
   const auto discovery = config::endpoint_in(control["discovery"]);
-  if (discovery)
+  if (discovery) {
     charge.config.discovery = *discovery;
-  else
+  } else {
     fault("control.discovery", "a numeric address and a port were expected");
-  if (!config::endpoint_in(charge.listen))
+  }
+  if (!config::endpoint_in(charge.listen)) {
     fault("control.listen", "a numeric address and a port were expected");
+  }
   const Json& stores = file.values["stores"];
   charge.config.sockets = control["sockets"], charge.config.memory = control["memory"];
   charge.config.seed = control["seed"];
@@ -52,11 +54,15 @@
   std::set<std::string> names;
   for (std::size_t i = 0; i < types.size(); ++i) {
     const Json& type = types[i];
-    const std::string at = fmt::format("op_type.{}.", i), key = fmt::format("op-type[{}]", i);
+    const std::string at = fmt::format("op_type.{}.", i);
+    const std::string key = fmt::format("op-type[{}]", i);
     const std::string needs = type["needs"];
-    if (!names.insert(type["name"]).second) fault(key + ".name", "is there twice");
-    if ((needs == "bounded") != type.contains("bound"))
+    if (!names.insert(type["name"]).second) {
+      fault(key + ".name", "is there twice");
+    }
+    if ((needs == "bounded") != type.contains("bound")) {
       fault(key, needs == "bounded" ? "bound is missing" : "bound goes with needs bounded alone");
+    }
     values[at + "needs"] = needs, values[at + "effect"] = type["effect"].get<std::string>();
     values[at + "latency_target"] = type["latency-target"].get<double>();
     values[at + "op_timeout"] = type["op-timeout"].get<double>();
@@ -79,11 +85,14 @@
   charge.streams.name_length = proxies["name-length"], charge.streams.unread = proxies["unread"];
   charge.streams.behind = proxies["behind"], charge.streams.transit = leases["transit"];
   charge.keepalive = proxies["keepalive"];
-  if (control.contains("tls"))
+  if (control.contains("tls")) {
     charge.tls =
         Tls{control["tls"]["certificate"], control["tls"]["key"], control["tls"].value("proxies", "")};
+  }
   charge.log = logging::log_options_in(file.values["log"]);
-  if (!faults.empty()) throw operators::InvalidFile(std::move(faults));
+  if (!faults.empty()) {
+    throw operators::InvalidFile(std::move(faults));
+  }
   return charge;
 }
 
--- a/src/control/registry_state.cpp
+++ b/src/control/registry_state.cpp
@@ -31,8 +31,9 @@
 RegistryState registry_state_in(const std::string& text) {
   try {
     const Json json = Json::parse(text);
-    if (json.at("form").get<int>() != kForm)
+    if (json.at("form").get<int>() != kForm) {
       throw InvalidInput("form " + json.at("form").dump() + " is unknown");
+    }
     RegistryState kept;
     kept.revision = json.at("revision").get<long long>();
     for (const Json& row : json.at("members")) {
--- a/src/control/resource_snapshot.cpp
+++ b/src/control/resource_snapshot.cpp
@@ -22,8 +22,11 @@
 
 // Up to when the member passes for the bound; below 0: it does not.
 Millis fresh_until(const ServerView& view, Millis bound) {
-  for (const FreshnessWindow& fresh : view.fresh)
-    if (fresh.bound == bound) return fresh.until;
+  for (const FreshnessWindow& fresh : view.fresh) {
+    if (fresh.bound == bound) {
+      return fresh.until;
+    }
+  }
   return -1;
 }
 
@@ -49,7 +52,9 @@
 // Whether the later one takes an endpoint away that the one before gave.
 bool takes_away(const Assignment& before, const Assignment& later) {
   return std::ranges::any_of(before.endpoints, [&later](const Endpoint& gave) {
-    if (gave.standing != Standing::healthy) return false;
+    if (gave.standing != Standing::healthy) {
+      return false;
+    }
     return std::ranges::none_of(later.endpoints, [&gave](const Endpoint& e) {
       return e.server == gave.server && e.standing == Standing::healthy && e.address == gave.address;
     });
@@ -70,8 +75,10 @@
   const EndpointRegistry* roster = nullptr;
   Millis now = 0;
 
-  const Resource* last(Kind kind, const std::string& name) const {
-    if (!before) return nullptr;
+  [[nodiscard]] const Resource* last(Kind kind, const std::string& name) const {
+    if (!before) {
+      return nullptr;
+    }
     const auto& of_kind = before->resources[static_cast<std::size_t>(kind)];
     const auto found = of_kind.find(name);
     return found == of_kind.end() ? nullptr : found->second.get();
@@ -86,10 +93,14 @@
     Millis now) {
   std::map<GroupId, Group> groups;
   for (const ServerView& view : views) {
-    if (!roster.members().contains(view.entry.id)) continue;
+    if (!roster.members().contains(view.entry.id)) {
+      continue;
+    }
     Group& group = groups[view.entry.group];
     group.members.push_back(&view);
-    if (view.primary) group.primary = &view;
+    if (view.primary) {
+      group.primary = &view;
+    }
   }
   judge_ready(groups, roster, now);
   std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers;
@@ -99,7 +110,9 @@
     made.before = before == last_.end() ? nullptr : before->second.get();
     made.roster = &roster, made.now = now;
     made.offer.ready = ready_, made.offer.revision = roster.revision(), made.offer.abilities = abilities;
-    if (made.before) made.offer.versions = made.before->versions;
+    if (made.before) {
+      made.offer.versions = made.before->versions;
+    }
     if (ready_) {
       Routes routes{{}, abilities.elder};
       for (const auto& [id, group] : groups) {
@@ -117,9 +130,13 @@
       see_off(made, groups);
       put(made, Kind::listeners, kRoutes, Listener{kRoutes});
       put(made, Kind::routes, kRoutes, std::move(routes));
-      for (std::size_t kind = 0; made.before && kind < kKinds; ++kind)
-        for (const auto& [name, held] : made.before->resources[kind])
-          if (!made.offer.resources[kind].contains(name)) made.offer.versions[kind] = ++last_version_;
+      for (std::size_t kind = 0; made.before && kind < kKinds; ++kind) {
+        for (const auto& [name, held] : made.before->resources[kind]) {
+          if (!made.offer.resources[kind].contains(name)) {
+            made.offer.versions[kind] = ++last_version_;
+          }
+        }
+      }
     }
     offers[abilities] = std::make_shared<const ResourceSnapshot>(std::move(made.offer));
   }
@@ -131,8 +148,12 @@
 // primary, though not for ever, and never without a roster.
 void SnapshotBuilder::judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster,
                                   Millis now) {
-  if (ready_ || !roster.known() || groups.empty()) return;
-  if (known_since_ < 0) known_since_ = now;
+  if (ready_ || !roster.known() || groups.empty()) {
+    return;
+  }
+  if (known_since_ < 0) {
+    known_since_ = now;
+  }
   const bool named =
       std::ranges::all_of(groups, [](const auto& item) { return item.second.primary != nullptr; });
   ready_ = named || now - known_since_ >= first_answer_;
@@ -172,13 +193,20 @@
              return e.server == id && !e.primary && e.standing == Standing::healthy;
            });
   };
-  std::vector<Endpoint> passing, beyond;
+  std::vector<Endpoint> passing;
+  std::vector<Endpoint> beyond;
   bool any_warm = group.primary && group.primary->slow_start_fraction >= 1 && in_use(*group.primary);
-  for (const ServerView* view : group.members) any_warm |= view->slow_start_fraction >= 1 && in_use(*view);
   for (const ServerView* view : group.members) {
-    if (view == group.primary || !in_use(*view)) continue;
+    any_warm |= view->slow_start_fraction >= 1 && in_use(*view);
+  }
+  for (const ServerView* view : group.members) {
+    if (view == group.primary || !in_use(*view)) {
+      continue;
+    }
     // One that can't be given a small share waits until it is warm, unless there are no others.
-    if (view->slow_start_fraction < 1 && !made.offer.abilities.weighs && any_warm) continue;
+    if (view->slow_start_fraction < 1 && !made.offer.abilities.weighs && any_warm) {
+      continue;
+    }
     Endpoint endpoint = endpoint_of(*view, *made.roster);
     const Millis until = fresh_until(*view, bound);
     const Millis left = until - made.now - lost;
@@ -186,7 +214,9 @@
       (until > made.now ? passing : beyond).push_back(std::move(endpoint));
     } else if (left >= (given(view->entry.id) ? 1 : leases_.least)) {
       endpoint.until = until - leases_.clocks;
-      if (made.offer.abilities.tokens) endpoint.position = view->position;
+      if (made.offer.abilities.tokens) {
+        endpoint.position = view->position;
+      }
       passing.push_back(std::move(endpoint));
     }
   }
@@ -200,48 +230,63 @@
   std::vector<Endpoint> all;
   for (const ServerView* view : group.members) {
     all.push_back(endpoint_of(*view, *made.roster));
-    if (all.back().standing == Standing::healthy && !in_use(*view)) all.back().standing = Standing::out;
+    if (all.back().standing == Standing::healthy && !in_use(*view)) {
+      all.back().standing = Standing::out;
+    }
   }
   put(made, Kind::clusters, members, Cluster{id, {}});
   put_assignment(made, members, std::move(all));
 
   // A primary that only our probes can't reach is not taken away: proxies see their own way to it.
   std::vector<Endpoint> head;
-  if (group.primary) head.push_back(endpoint_of(*group.primary, *made.roster));
+  if (group.primary) {
+    head.push_back(endpoint_of(*group.primary, *made.roster));
+  }
   put(made, Kind::clusters, primary, Cluster{id, {}});
-  if (!head.empty())
+  if (!head.empty()) {
     put_assignment(made, primary, head);
-  else if (!put_as_draining(made, primary))
+  } else if (!put_as_draining(made, primary)) {
     made.offer.withheld.insert(primary);
+  }
 
   for (const RoutedRequestClass& type : types_) {
-    if (type.needs == RoutedRequestClass::Needs::primary) continue;
+    if (type.needs == RoutedRequestClass::Needs::primary) {
+      continue;
+    }
     const std::string name = cluster_of(id, type);
     // A time to live takes the whole resource, so replicas stand in one of their own, before the primary's.
     const bool apart =
         made.offer.abilities.expiry == Expiry::time_to_live && type.needs != RoutedRequestClass::Needs::any;
     const std::string where = apart ? name + ".replicas" : name;
-    if (made.offer.resources[0].contains(name)) continue;  // two op types with the same needs
-    if (apart) put(made, Kind::clusters, where, Cluster{id, {}});
+    if (made.offer.resources[0].contains(name)) {
+      continue;  // two op types with the same needs
+    }
+    if (apart) {
+      put(made, Kind::clusters, where, Cluster{id, {}});
+    }
     put(made, Kind::clusters, name,
         Cluster{id, apart ? std::vector{where, primary} : std::vector<std::string>{}});
     std::vector<Endpoint> endpoints;
     const bool leased =
         type.needs == RoutedRequestClass::Needs::any || made.offer.abilities.expiry != Expiry::none;
     const bool tested = type.needs != RoutedRequestClass::Needs::session || made.offer.abilities.tokens;
-    if (leased && tested) endpoints = replicas(made, group, type, where);
+    if (leased && tested) {
+      endpoints = replicas(made, group, type, where);
+    }
     if (!apart) {
       const int rank = endpoints.empty() ? 0 : 1;
-      for (const Endpoint& endpoint : head)
+      for (const Endpoint& endpoint : head) {
         if (endpoint.standing == Standing::healthy || endpoints.empty()) {
           endpoints.push_back(endpoint);
           endpoints.back().rank = rank;
         }
+      }
     }
-    if (!endpoints.empty() || apart)
+    if (!endpoints.empty() || apart) {
       put_assignment(made, where, std::move(endpoints));
-    else if (!put_as_draining(made, where))
+    } else if (!put_as_draining(made, where)) {
       made.offer.withheld.insert(where);
+    }
   }
 }
 
@@ -249,9 +294,13 @@
 // without endpoints reads as "no such server ever" at some proxies. False: nothing was given.
 bool SnapshotBuilder::put_as_draining(Made& made, const std::string& name) {
   const Resource* last = made.last(Kind::endpoints, name);
-  if (!last) return false;
+  if (!last) {
+    return false;
+  }
   std::vector<Endpoint> endpoints = std::get<Assignment>(last->body).endpoints;
-  for (Endpoint& endpoint : endpoints) endpoint.standing = Standing::draining, endpoint.until = -1;
+  for (Endpoint& endpoint : endpoints) {
+    endpoint.standing = Standing::draining, endpoint.until = -1;
+  }
   put_assignment(made, name, std::move(endpoints));
   return true;
 }
@@ -260,11 +309,17 @@
   std::erase_if(ended_, [&](const auto& item) {
     return groups.contains(item.first) || made.now - item.second > 2 * kSeenOff;
   });
-  if (!made.before) return;
+  if (!made.before) {
+    return;
+  }
   for (const auto& [name, held] : made.before->resources[static_cast<std::size_t>(Kind::clusters)]) {
     const Cluster& cluster = std::get<Cluster>(held->body);
-    if (groups.contains(cluster.group)) continue;
-    if (made.now - ended_.try_emplace(cluster.group, made.now).first->second > kSeenOff) continue;
+    if (groups.contains(cluster.group)) {
+      continue;
+    }
+    if (made.now - ended_.try_emplace(cluster.group, made.now).first->second > kSeenOff) {
+      continue;
+    }
     put(made, Kind::clusters, name, cluster);
     put_as_draining(made, name);
   }
@@ -283,16 +338,20 @@
   auto& place = made.offer.resources[static_cast<std::size_t>(kind)][name];
   const auto keep = [&] { place = made.before->resources[static_cast<std::size_t>(kind)].at(name); };
   if (const auto* assignment = std::get_if<Assignment>(&body)) {
-    for (const Endpoint& endpoint : assignment->endpoints)
-      if (endpoint.until >= 0)
+    for (const Endpoint& endpoint : assignment->endpoints) {
+      if (endpoint.until >= 0) {
         resource.until = resource.until < 0 ? endpoint.until : std::min(resource.until, endpoint.until);
+      }
+    }
     const Assignment* before = last ? &std::get<Assignment>(last->body) : nullptr;
     // One that nobody was offered before: whoever holds another of that name is told at once.
     resource.revoked = last ? last->revoked : last_version_ + 1;
     if (before && same(*before, *assignment)) {
       // A lease is renewed once half of it is over. With a time to live, the body stays what it is.
       const bool renew = resource.until >= 0 && last->until - made.now < (last->until - last->made) / 2;
-      if (!renew || resource.until <= last->until) return keep();
+      if (!renew || resource.until <= last->until) {
+        return keep();
+      }
       if (made.offer.abilities.expiry == Expiry::time_to_live) {
         resource.version = last->version, resource.body = last->body;
         place = std::make_shared<const Resource>(std::move(resource));
@@ -304,13 +363,16 @@
   } else if (last && last->body.index() == body.index()) {
     const bool unchanged = std::visit(
         [&body]<typename T>(const T& was) {
-          if constexpr (std::is_same_v<T, Assignment>)
+          if constexpr (std::is_same_v<T, Assignment>) {
             return false;
-          else
+          } else {
             return was == std::get<T>(body);
+          }
         },
         last->body);
-    if (unchanged) return keep();
+    if (unchanged) {
+      return keep();
+    }
   }
   resource.version = ++last_version_;
   resource.body = std::move(body);
--- a/src/control/resource_snapshot.hpp
+++ b/src/control/resource_snapshot.hpp
@@ -46,7 +46,7 @@
   std::uint32_t weight = 100;        // 100 for one that is warm and of the usual size
   Millis position = -1, until = -1;  // below 0: not told, or not bound to a time
   // What matters to who is sent to; positions and times move all the while.
-  bool same(const Endpoint& other) const;
+  [[nodiscard]] bool same(const Endpoint& other) const;
 };
 
 struct Assignment {
@@ -119,7 +119,7 @@
                                                                     Millis now);
 
   // Whether anything has been offered as ready since the start.
-  bool ready() const { return ready_; }
+  [[nodiscard]] bool ready() const { return ready_; }
 
  private:
   struct Group {
@@ -130,9 +130,9 @@
 
   void judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster, Millis now);
   void hand_out(Made& made, GroupId id, const Group& group);
-  Endpoint endpoint_of(const ServerView& view, const EndpointRegistry& roster) const;
-  std::vector<Endpoint> replicas(const Made& made, const Group& group, const RoutedRequestClass& type,
-                                 const std::string& name) const;
+  [[nodiscard]] Endpoint endpoint_of(const ServerView& view, const EndpointRegistry& roster) const;
+  [[nodiscard]] std::vector<Endpoint> replicas(const Made& made, const Group& group,
+                                               const RoutedRequestClass& type, const std::string& name) const;
   void put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body);
   void put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints);
   bool put_as_draining(Made& made, const std::string& name);
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -57,19 +57,25 @@
     void read_on() override { this->StartRead(&in_); }
     void finish(const grpc::Status& status) override {
       const std::lock_guard lock(mutex_);
-      if (!std::exchange(finished, true)) this->Finish(status);
+      if (!std::exchange(finished, true)) {
+        this->Finish(status);
+      }
     }
     // On the writers' threads; one at a time.
     void write(Response response) {
       const std::lock_guard lock(mutex_);
-      if (finished) return;
+      if (finished) {
+        return;
+      }
       out_ = std::move(response);
       this->StartWrite(&out_);
     }
 
     // On gRPC's threads.
     void OnReadDone(bool ok) override {
-      if (!ok) return server_->post([server = server_, id = id_] { server->leaves(id); });
+      if (!ok) {
+        return server_->post([server = server_, id = id_] { server->leaves(id); });
+      }
       server_->post([server = server_, id = id_, form = form_, message = std::move(in_)]() mutable {
         server->read(id, form, std::move(message));
       });
@@ -98,11 +104,11 @@
    public:
     explicit Handed(Impl& server) : server_(server) {}
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
-    StreamAggregatedResources(grpc::CallbackServerContext*) override {
+    StreamAggregatedResources(grpc::CallbackServerContext* /*unused*/) override {
       return Whole::make(server_, Form::whole);
     }
     grpc::ServerBidiReactor<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>*
-    DeltaAggregatedResources(grpc::CallbackServerContext*) override {
+    DeltaAggregatedResources(grpc::CallbackServerContext* /*unused*/) override {
       return Changes::make(server_, Form::changes);
     }
 
@@ -125,14 +131,20 @@
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.SetResourceQuota(grpc::ResourceQuota("proxies").Resize(charge.config.memory).SetMaxThreads(16));
     server_ = builder.BuildAndStart();
-    if (!server_ || port_ == 0) throw std::runtime_error(fmt::format("can't listen at {}", charge.listen));
+    if (!server_ || port_ == 0) {
+      throw std::runtime_error(fmt::format("can't listen at {}", charge.listen));
+    }
     sweep();
   }
 
   ~Impl() {
-    if (stopper_.joinable()) stopper_.join();
+    if (stopper_.joinable()) {
+      stopper_.join();
+    }
     writers_.join();
-    if (server_) server_->Shutdown(std::chrono::system_clock::now());
+    if (server_) {
+      server_->Shutdown(std::chrono::system_clock::now());
+    }
     // What gRPC's threads still hand over is not run any more.
   }
 
@@ -144,7 +156,9 @@
   template <typename Message>
   void read(StreamId id, Form form, Message message) {
     const auto found = links_.find(id);
-    if (found == links_.end() || found->second->finished) return;
+    if (found == links_.end() || found->second->finished) {
+      return;
+    }
     Link& link = *found->second;
     if (!link.opened) {
       link.opened = true;
@@ -153,24 +167,31 @@
         return link.finish({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many streams"});
       }
     }
-    if (auto heard = xds::heard_in(std::move(message))) hearer_.heard(id, std::move(*heard));
+    if (auto heard = xds::heard_in(std::move(message))) {
+      hearer_.heard(id, std::move(*heard));
+    }
     link.read_on();
   }
 
   void write(Form form, Write write) {
     const auto found = links_.find(write.stream);
-    if (found == links_.end() || found->second->finished) return;
+    if (found == links_.end() || found->second->finished) {
+      return;
+    }
     asio::post(writers_, [this, form, link = found->second, write = std::move(write)] {
-      if (form == Form::whole)
+      if (form == Form::whole) {
         static_cast<Whole&>(*link).write(encoder_.whole(write));
-      else
+      } else {
         static_cast<Changes&>(*link).write(encoder_.changes(write));
+      }
     });
   }
 
   void end(StreamId id, const std::string& why) {
     const auto found = links_.find(id);
-    if (found == links_.end()) return;
+    if (found == links_.end()) {
+      return;
+    }
     found->second->finish({grpc::StatusCode::RESOURCE_EXHAUSTED, why});
     told_closed(id, *found->second);
   }
@@ -178,7 +199,9 @@
   // The proxy has ended its side, or the stream has broken.
   void leaves(StreamId id) {
     const auto found = links_.find(id);
-    if (found == links_.end()) return;
+    if (found == links_.end()) {
+      return;
+    }
     found->second->finish(grpc::Status::OK);
     told_closed(id, *found->second);
   }
@@ -201,17 +224,23 @@
 
  private:
   void told_closed(StreamId id, Link& link) {
-    if (std::exchange(link.opened, false)) hearer_.closed(id);
+    if (std::exchange(link.opened, false)) {
+      hearer_.closed(id);
+    }
   }
 
   // Guards against streams that are opened and say nothing: nobody else counts them.
   void sweep() {
     sweep_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstWord)));
     sweep_.async_wait([this](const asio::error_code& fault) {
-      if (fault || stopping_) return;
-      for (const auto& [id, link] : std::map(links_))
-        if (!link->opened && !link->finished && id <= seen_)
+      if (fault || stopping_) {
+        return;
+      }
+      for (const auto& [id, link] : std::map(links_)) {
+        if (!link->opened && !link->finished && id <= seen_) {
           link->finish({grpc::StatusCode::DEADLINE_EXCEEDED, "nothing was said"});
+        }
+      }
       seen_ = {last_id_};
       sweep();
     });
@@ -219,7 +248,9 @@
 
   // Certificates are read again when their files change, so a new one needs neither restart nor signal.
   static std::shared_ptr<grpc::ServerCredentials> credentials(const Options& charge) {
-    if (!charge.tls) return grpc::InsecureServerCredentials();
+    if (!charge.tls) {
+      return grpc::InsecureServerCredentials();
+    }
     namespace tls = grpc::experimental;
     const auto files = charge.tls->proxies.empty()
                            ? std::make_shared<tls::FileWatcherCertificateProvider>(
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -35,8 +35,8 @@
   void end(StreamId id, const std::string& why);
   // Ends all streams; the loop has to run on until stopped.
   void stop();
-  bool stopped() const;
-  int port() const;
+  [[nodiscard]] bool stopped() const;
+  [[nodiscard]] int port() const;
 
  private:
   class Impl;
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -17,8 +17,9 @@
 
 RegistryUpdate roster_list(const net::EndpointList& list) {
   RegistryUpdate told{list.kind, list.revision, {}};
-  for (const net::ListedEndpoint& store : list.servers)
+  for (const net::ListedEndpoint& store : list.servers) {
     told.members.push_back({store.entry, config::text_of(store.endpoint), store.zone});
+  }
   return told;
 }
 
@@ -59,8 +60,9 @@
 std::uint64_t Service::start_roster() {
   log_.be(charge_.log);
   const snapshot::Loaded loaded = store_.load();
-  for (const snapshot::Damage& damage : loaded.damaged)
+  for (const snapshot::Damage& damage : loaded.damaged) {
     log_.error("keep", "damaged", {{"file", damage.name}, {"why", damage.why}});
+  }
   if (loaded.state) {
     try {
       roster_.restore(registry_state_in(*loaded.state));
@@ -80,15 +82,25 @@
 
 void Service::run() {
   hear_signals();
-  if (roster_.known()) tell_module();
-  if (!charge_.config.polls_endpoints) list_.watch();
+  if (roster_.known()) {
+    tell_module();
+  }
+  if (!charge_.config.polls_endpoints) {
+    list_.watch();
+  }
   log_.info("control", "listens",
             {{"name", charge_.name}, {"at", charge_.listen}, {"port", server_.port()}, {"epoch", epoch_}});
   report();
   while (!server_.stopped()) {
-    if (!due_) io_.run_one();
-    for (int taken = 0; taken < kOfOneTurn && io_.poll_one() > 0; ++taken) continue;
-    if (std::exchange(due_, false) && !stopping_) settle();
+    if (!due_) {
+      io_.run_one();
+    }
+    for (int taken = 0; taken < kOfOneTurn && io_.poll_one() > 0; ++taken) {
+      continue;
+    }
+    if (std::exchange(due_, false) && !stopping_) {
+      settle();
+    }
     log_.flush();
   }
   log_.info("control", "stops", {{"name", charge_.name}});
@@ -103,19 +115,21 @@
     return;
   }
   const auto out = roster_.take(roster_list(list), clock_.now());
-  for (const ServerId& member : out)
+  for (const ServerId& member : out) {
     log_.info("drains", "drains or is gone", {{"member", member.address}, {"revision", list.revision}});
+  }
   if (const UpdateDoubt doubt = roster_.doubt(); doubt != told_doubt_) {
     told_doubt_ = doubt;
-    if (doubt != UpdateDoubt::none)
+    if (doubt != UpdateDoubt::none) {
       log_.warn("roster", "list in doubt, the roster is held",
                 {{"why", word_of(doubt)},
                  {"revision", list.revision},
                  {"listed", list.servers.size()},
                  {"held", roster_.members().size()}});
-    else
+    } else {
       log_.info("roster", "list believed",
                 {{"revision", list.revision}, {"members", roster_.members().size()}});
+    }
   }
   tell_module();
 }
@@ -123,9 +137,11 @@
 // The module and the links to stores go by the roster, never by a list that is in doubt.
 void Service::tell_module() {
   net::EndpointList list{EndpointListKind::complete, roster_.revision(), {}};
-  for (const auto& [id, entry] : roster_.members())
-    if (const auto endpoint = config::endpoint_in(entry.endpoint))
+  for (const auto& [id, entry] : roster_.members()) {
+    if (const auto endpoint = config::endpoint_in(entry.endpoint)) {
       list.servers.push_back({entry.listed, entry.zone, *endpoint});
+    }
+  }
   members_.learn(list);
   router_->enqueue(roster_.read());
   due_ = noted_ = listed_ = true;
@@ -137,14 +153,18 @@
     roster_.asked(now);
     list_.ask_whole();
   }
-  if (std::exchange(noted_, false))
-    for (const Decision& decision : router_->process(now))
+  if (std::exchange(noted_, false)) {
+    for (const Decision& decision : router_->process(now)) {
       std::visit([this](const auto& taken) { carry_out(taken); }, decision);
+    }
+  }
   const bool listed = listed_;
   hand_out(now);
   // After what was handed out: proxies that know a newer list than a service does are left with it, so a
   // crash in between brings nothing back.
-  if (listed) keep_roster();
+  if (listed) {
+    keep_roster();
+  }
 }
 
 void Service::hand_out(Millis now) {
@@ -161,16 +181,23 @@
     log_.info("control", "hands out",
               {{"members", roster_.members().size()}, {"revision", roster_.revision()}});
   }
-  for (const Act& act : streams_.settle(now))
+  for (const Act& act : streams_.settle(now)) {
     std::visit([this](const auto& taken) { carry_out(taken); }, act);
+  }
   // Leases run out and rosters are asked for by time alone; the module wakes for its probes, which is
   // oftener.
-  if (const Millis due = streams_.due(); due >= 0) wake_at(due);
-  if (const auto ask = roster_.ask_at()) wake_at(*ask);
+  if (const Millis due = streams_.due(); due >= 0) {
+    wake_at(due);
+  }
+  if (const auto ask = roster_.ask_at()) {
+    wake_at(*ask);
+  }
 }
 
 void Service::wake_at(Millis at) {
-  if (wake_ && wake_time_ <= at) return;
+  if (wake_ && wake_time_ <= at) {
+    return;
+  }
   timers_.drop(wake_);
   wake_time_ = at;
   wake_ = timers_.set(at, [this] {
@@ -181,22 +208,30 @@
 
 void Service::keep_roster() {
   std::string text = text_of(roster_.kept());
-  if (text == kept_) return;
+  if (text == kept_) {
+    return;
+  }
   kept_ = text;
   keeper_.keep(std::move(text));
 }
 
 void Service::kept(const std::string& fault) {
-  if (fault.empty()) return;
+  if (fault.empty()) {
+    return;
+  }
   log_.error("keep", "not kept, tried again", {{"why", fault}});
   timers_.set(clock_.now() + kKeepAgain, [this] { keeper_.keep(kept_); });
 }
 
 void Service::hear_signals() {
   signals_.async_wait([this](const asio::error_code& fault, int signal) {
-    if (fault) return;
+    if (fault) {
+      return;
+    }
     log_.info("control", "told to stop", {{"signal", signal}});
-    if (!std::exchange(stopping_, true)) server_.stop();
+    if (!std::exchange(stopping_, true)) {
+      server_.stop();
+    }
     hear_signals();
   });
 }
@@ -250,13 +285,15 @@
     due_ = noted_ = true;
   });
 }
-void Service::carry_out(const WatchEndpoints&) { list_.watch(); }
+void Service::carry_out(const WatchEndpoints& /*unused*/) { list_.watch(); }
 void Service::carry_out(const ForgetServer& decision) { members_.forget(decision.server); }
 void Service::carry_out(const LogMessage& decision) { log_.info("decisions", decision.text); }
 
 void Service::carry_out(const Write& write) {
   const auto proxy = proxies_.find(write.stream);
-  if (proxy == proxies_.end()) return;
+  if (proxy == proxies_.end()) {
+    return;
+  }
   server_.write(proxy->second.form, write);
 }
 
--- a/src/control/service.hpp
+++ b/src/control/service.hpp
@@ -52,11 +52,11 @@
 
   void carry_out(const StartProbe& decision);
   void carry_out(const SetTimer& decision);
-  void carry_out(const WatchEndpoints&);
+  void carry_out(const WatchEndpoints& /*unused*/);
   void carry_out(const ForgetServer& decision);
   void carry_out(const LogMessage& decision);
   template <typename Op>
-  void carry_out(const Op&) {}  // there are no ops here and no peers
+  void carry_out(const Op& /*unused*/) {}  // there are no ops here and no peers
 
   void carry_out(const Write& write);
   void carry_out(const End& end);
--- a/src/control/subscriptions.hpp
+++ b/src/control/subscriptions.hpp
@@ -93,14 +93,14 @@
   void written(StreamId id);
   void close(StreamId id);
 
-  std::set<Abilities> abilities() const;
+  [[nodiscard]] std::set<Abilities> abilities() const;
   void offer(std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers);
   std::vector<Act> settle(Millis now);
   // When something is due though nothing happens; below 0: nothing.
-  Millis due() const { return due_; }
+  [[nodiscard]] Millis due() const { return due_; }
 
-  std::size_t size() const { return streams_.size(); }
-  const Counts& counts() const { return counts_; }
+  [[nodiscard]] std::size_t size() const { return streams_.size(); }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   // What a proxy has of one resource.
@@ -142,7 +142,7 @@
   };
 
   OfKind& of(Stream& stream, Kind kind) { return stream.kinds[static_cast<std::size_t>(kind)]; }
-  const OfKind& of(const Stream& stream, Kind kind) const {
+  [[nodiscard]] const OfKind& of(const Stream& stream, Kind kind) const {
     return stream.kinds[static_cast<std::size_t>(kind)];
   }
   // What an offer changed, by kind, of the one before for the same abilities.
@@ -156,16 +156,18 @@
     std::deque<Past> past;
   };
 
-  const Current* standing_for(const Stream& stream) const;
+  [[nodiscard]] const Current* standing_for(const Stream& stream) const;
   void answered(StreamId id, Stream& stream, OfKind& kind, const SubscriptionRequest& heard, Millis now);
   void ask(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
   void come_with(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
   void trust(Stream& stream, Millis took, Millis now);
-  Held wanted(const Stream& stream, Kind kind, const ResourceSnapshot& offer, const std::string& name) const;
-  std::set<std::string> all_names(const Stream& stream, Kind kind, const ResourceSnapshot& offer) const;
-  std::optional<std::set<std::string>> changed(const OfKind& kind, std::size_t place,
-                                               const Current& current) const;
-  bool waits_for_clusters(const Stream& stream, const ResourceSnapshot& offer) const;
+  [[nodiscard]] Held wanted(const Stream& stream, Kind kind, const ResourceSnapshot& offer,
+                            const std::string& name) const;
+  [[nodiscard]] std::set<std::string> all_names(const Stream& stream, Kind kind,
+                                                const ResourceSnapshot& offer) const;
+  [[nodiscard]] std::optional<std::set<std::string>> changed(const OfKind& kind, std::size_t place,
+                                                             const Current& current) const;
+  [[nodiscard]] bool waits_for_clusters(const Stream& stream, const ResourceSnapshot& offer) const;
   std::optional<Write> difference(StreamId id, Stream& stream, Kind kind, const Current& current,
                                   bool urgent_only, Millis now);
   std::optional<Write> difference(StreamId id, Stream& stream, bool urgent_only, Millis now);
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -44,7 +44,9 @@
     from_us(*message.mutable_eds_cluster_config()->mutable_eds_config());
   } else {
     envoy::extensions::clusters::aggregate::v3::ClusterConfig others;
-    for (const std::string& other : body.others) others.add_clusters(other);
+    for (const std::string& other : body.others) {
+      others.add_clusters(other);
+    }
     message.mutable_cluster_type()->set_name("envoy.clusters.aggregate");
     message.mutable_cluster_type()->mutable_typed_config()->PackFrom(others);
     message.set_lb_policy(cluster::Cluster::CLUSTER_PROVIDED);
@@ -65,7 +67,9 @@
   // By rank and zone, in the order of both.
   std::map<std::pair<int, std::string>, endpoint::LocalityLbEndpoints*> places;
   std::map<std::pair<int, std::string>, std::vector<const Endpoint*>> sorted;
-  for (const Endpoint& e : body.endpoints) sorted[{e.rank, e.zone}].push_back(&e);
+  for (const Endpoint& e : body.endpoints) {
+    sorted[{e.rank, e.zone}].push_back(&e);
+  }
   for (const auto& [place, endpoints] : sorted) {
     endpoint::LocalityLbEndpoints& locality = *message.add_endpoints();
     locality.set_priority(static_cast<std::uint32_t>(place.first));
@@ -76,7 +80,9 @@
       auto& address = *row.mutable_endpoint()->mutable_address()->mutable_socket_address();
       const std::size_t colon = e->address.rfind(':');
       std::string_view host = std::string_view(e->address).substr(0, colon);
-      if (host.starts_with('[') && host.ends_with(']')) host = host.substr(1, host.size() - 2);
+      if (host.starts_with('[') && host.ends_with(']')) {
+        host = host.substr(1, host.size() - 2);
+      }
       address.set_address(std::string(host));
       address.set_port_value(colon == std::string::npos ? 0
                                                         : static_cast<std::uint32_t>(std::strtoul(
@@ -92,8 +98,12 @@
       fields["member"].set_string_value(e->server.address);
       fields["role"].set_string_value(e->primary ? "primary" : "replica");
       fields["hindrance"].set_string_value(hindrances[static_cast<int>(e->unavailability)]);
-      if (e->position >= 0) fields["position_ms"].set_number_value(e->position);
-      if (e->until >= 0) fields["fresh_until_ms"].set_number_value(e->until);
+      if (e->position >= 0) {
+        fields["position_ms"].set_number_value(e->position);
+      }
+      if (e->until >= 0) {
+        fields["fresh_until_ms"].set_number_value(e->until);
+      }
     }
     locality.mutable_load_balancing_weight()->set_value(weight);
   }
@@ -127,10 +137,11 @@
     const auto match = [&](const char* name, const std::string& value) {
       route::HeaderMatcher& header = *row.mutable_match()->add_headers();
       header.set_name(name);
-      if (body.elder)
+      if (body.elder) {
         header.set_exact_match(value);
-      else
+      } else {
         header.mutable_string_match()->set_exact(value);
+      }
     };
     match(kGroupHeader, std::to_string(one.group.number));
     match(kTypeHeader, one.request_class);
@@ -148,15 +159,20 @@
 template <typename Names>
 std::vector<std::string> taken_from(Names& names) {
   std::vector<std::string> taken;
-  for (std::string& name : names) taken.push_back(std::move(name));
+  for (std::string& name : names) {
+    taken.push_back(std::move(name));
+  }
   return taken;
 }
 
 }  // namespace
 
 std::optional<Kind> kind_of(const std::string& type_url) {
-  for (std::size_t kind = 0; kind < kKinds; ++kind)
-    if (type_url == kTypes[kind]) return static_cast<Kind>(kind);
+  for (std::size_t kind = 0; kind < kKinds; ++kind) {
+    if (type_url == kTypes[kind]) {
+      return static_cast<Kind>(kind);
+    }
+  }
   return std::nullopt;
 }
 const char* type_url_of(Kind kind) { return kTypes[static_cast<std::size_t>(kind)]; }
@@ -179,31 +195,45 @@
 
 std::optional<SubscriptionRequest> heard_in(discovery::DiscoveryRequest&& message) {
   const auto kind = kind_of(message.type_url());
-  if (!kind) return std::nullopt;
+  if (!kind) {
+    return std::nullopt;
+  }
   SubscriptionRequest heard;
   heard.kind = *kind, heard.nonce = message.response_nonce(), heard.version = message.version_info();
   heard.names = taken_from(*message.mutable_resource_names());
-  if (message.has_error_detail()) heard.turned_down = message.error_detail().message();
+  if (message.has_error_detail()) {
+    heard.turned_down = message.error_detail().message();
+  }
   return heard;
 }
 
 std::optional<SubscriptionRequest> heard_in(discovery::DeltaDiscoveryRequest&& message) {
   const auto kind = kind_of(message.type_url());
-  if (!kind) return std::nullopt;
+  if (!kind) {
+    return std::nullopt;
+  }
   SubscriptionRequest heard;
   heard.kind = *kind, heard.nonce = message.response_nonce();
   heard.names = taken_from(*message.mutable_resource_names_subscribe());
   heard.no_more = taken_from(*message.mutable_resource_names_unsubscribe());
-  for (const auto& [name, version] : message.initial_resource_versions()) heard.holds[name] = version;
-  if (message.has_error_detail()) heard.turned_down = message.error_detail().message();
+  for (const auto& [name, version] : message.initial_resource_versions()) {
+    heard.holds[name] = version;
+  }
+  if (message.has_error_detail()) {
+    heard.turned_down = message.error_detail().message();
+  }
   return heard;
 }
 
 std::shared_ptr<const std::string> Encoder::encoded(const Resource& resource) {
   const std::lock_guard lock(mutex_);
   const auto found = encoded_.find(resource.version);
-  if (found != encoded_.end()) return found->second;
-  while (encoded_.size() >= kEncoded) encoded_.erase(encoded_.begin());
+  if (found != encoded_.end()) {
+    return found->second;
+  }
+  while (encoded_.size() >= kEncoded) {
+    encoded_.erase(encoded_.begin());
+  }
   auto bytes = std::make_shared<std::string>();
   std::visit([&](const auto& body) { encode(body, resource, *bytes); }, resource.body);
   return encoded_[resource.version] = std::move(bytes);
@@ -212,8 +242,12 @@
 void Encoder::wrap(const Write::Item& item, discovery::Resource& into) {
   into.set_name(item.resource->name);
   into.set_version(version_of(*item.resource, epoch_, service_));
-  if (item.time_to_live >= 0) set(*into.mutable_ttl(), item.time_to_live);
-  if (item.body) put(*item.resource, *into.mutable_resource());
+  if (item.time_to_live >= 0) {
+    set(*into.mutable_ttl(), item.time_to_live);
+  }
+  if (item.body) {
+    put(*item.resource, *into.mutable_resource());
+  }
 }
 
 void Encoder::put(const Resource& resource, google::protobuf::Any& into) {
@@ -246,8 +280,12 @@
   response.set_type_url(type_url_of(write.kind));
   response.set_nonce(write.nonce);
   response.mutable_control_plane()->set_identifier(service_);
-  for (const Write::Item& item : write.items) wrap(item, *response.add_resources());
-  for (const std::string& name : write.removed) response.add_removed_resources(name);
+  for (const Write::Item& item : write.items) {
+    wrap(item, *response.add_resources());
+  }
+  for (const std::string& name : write.removed) {
+    response.add_removed_resources(name);
+  }
   return response;
 }
 
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -53,7 +53,9 @@
 
   int take(std::string_view body) {
     body_bytes += body.size();
-    if (parser.status_code != 200) return 0;
+    if (parser.status_code != 200) {
+      return 0;
+    }
     try {
       reader->read(body);
     } catch (const InvalidInput& malformed) {
@@ -81,14 +83,18 @@
 
 void Client::watch() {
   watch_wanted_ = handing_on_ == EndpointListKind::saved && table_.has_parts();
-  if (watch_wanted_) return;
+  if (watch_wanted_) {
+    return;
+  }
   poller_.note(Watch{});
   settle();
 }
 
 void Client::start_with(net::EndpointList saved) {
   table_.begin();
-  for (net::ListedEndpoint& row : saved.servers) table_.take(std::move(row));
+  for (net::ListedEndpoint& row : saved.servers) {
+    table_.take(std::move(row));
+  }
   table_.end(true);
   taken_ = {saved.revision, true};
   handing_on_ = EndpointListKind::saved;
@@ -96,7 +102,9 @@
 }
 
 void Client::move(const Tcp::endpoint& discovery) {
-  if (discovery == discovery_) return;
+  if (discovery == discovery_) {
+    return;
+  }
   discovery_ = discovery;
   poller_.note(Moved{});
   settle();
@@ -114,8 +122,9 @@
 }
 
 void Client::settle() {
-  for (const PollDecision& decision : poller_.settle(clock_.now()))
+  for (const PollDecision& decision : poller_.settle(clock_.now())) {
     std::visit([this](const auto& one) { carry_out(one); }, decision);
+  }
 }
 
 void Client::carry_out(const RequestWakeup& wake) {
@@ -126,13 +135,14 @@
     // up.
     asio::error_code fault;
     if (poller_.calling() && connection_ && connection_->socket.is_open() &&
-        connection_->socket.available(fault) > 0)
+        connection_->socket.available(fault) > 0) {
       poller_.note(BytesCame{});
+    }
     settle();
   });
 }
 
-void Client::carry_out(const GiveUpCall&) { close(); }
+void Client::carry_out(const GiveUpCall& /*unused*/) { close(); }
 
 void Client::carry_out(const TellFailure& failure) {
   log_.warn("list", "no answer, what is known stays",
@@ -155,8 +165,12 @@
   connection_ = std::make_shared<Connection>(io_);
   connection_->request = request;
   connection_->socket.async_connect(discovery_, [this, held = connection_](const asio::error_code& fault) {
-    if (held->closed) return;
-    if (fault) return fail(fault.message(), false);
+    if (held->closed) {
+      return;
+    }
+    if (fault) {
+      return fail(fault.message(), false);
+    }
     write(held);
   });
 }
@@ -169,10 +183,13 @@
       [this](net::ListedEndpoint row, const ListReader::Head& head) { take_row(std::move(row), head); });
 }
 
-void Client::take_row(net::ListedEndpoint row, const ListReader::Head&) {
-  if (delivery_ == Delivery::as_read) return as_read_.servers.push_back(std::move(row));
-  if (std::optional<net::ListedEndpoint> now = table_.take(std::move(row)))
+void Client::take_row(net::ListedEndpoint row, const ListReader::Head& /*unused*/) {
+  if (delivery_ == Delivery::as_read) {
+    return as_read_.servers.push_back(std::move(row));
+  }
+  if (std::optional<net::ListedEndpoint> now = table_.take(std::move(row))) {
     at_once_.push_back(std::move(*now));
+  }
 }
 
 void Client::write(const Connected& connection) {
@@ -184,7 +201,9 @@
   connection->parser.data = connection.get();
   asio::async_write(connection->socket, asio::buffer(connection->request),
                     [this, connection](const asio::error_code& fault, std::size_t) {
-                      if (!connection->closed && fault) fail(fault.message(), false);
+                      if (!connection->closed && fault) {
+                        fail(fault.message(), false);
+                      }
                     });
   read(connection);
 }
@@ -192,20 +211,29 @@
 void Client::read(const Connected& connection) {
   connection->socket.async_read_some(asio::buffer(connection->bytes),
                                      [this, connection](const asio::error_code& fault, std::size_t count) {
-                                       if (!connection->closed) received(connection, fault, count);
+                                       if (!connection->closed) {
+                                         received(connection, fault, count);
+                                       }
                                      });
 }
 
 void Client::received(const Connected& connection, const asio::error_code& fault, std::size_t count) {
   // An answer without a length ends with its connection, which the parser is told as no bytes.
-  if (fault && fault != asio::error::eof) return fail(fault.message(), false);
+  if (fault && fault != asio::error::eof) {
+    return fail(fault.message(), false);
+  }
   poller_.note(BytesCame{count});
   const std::size_t parsed = http_parser_execute(&connection->parser, &Connection::settings(),
                                                  connection->bytes.data(), fault ? 0 : count);
-  if (!at_once_.empty())
+  if (!at_once_.empty()) {
     told_({EndpointListKind::changes, poller_.revision(), std::exchange(at_once_, {}), false});
-  if (connection->closed) return;
-  if (!connection->fault.empty()) return fail(connection->fault, true);
+  }
+  if (connection->closed) {
+    return;
+  }
+  if (!connection->fault.empty()) {
+    return fail(connection->fault, true);
+  }
   if (connection->whole) {
     // What stands behind the answer belongs to none that was asked for: it must not be taken for the next
     // one.
@@ -215,16 +243,22 @@
     }
     return answered(connection);
   }
-  if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK)
+  if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK) {
     return fail(http_errno_description(HTTP_PARSER_ERRNO(&connection->parser)), false);
-  if (fault) return fail("discovery ended the connection", false);
+  }
+  if (fault) {
+    return fail("discovery ended the connection", false);
+  }
   settle();
-  if (!connection->closed) read(connection);
+  if (!connection->closed) {
+    read(connection);
+  }
 }
 
 void Client::answered(const Connected& connection) {
-  if (connection->parser.status_code != 200)
+  if (connection->parser.status_code != 200) {
     return fail(fmt::format("status {}", static_cast<int>(connection->parser.status_code)), false);
+  }
   try {
     const ListReader::Head head = reader_->finish();
     taken_ = {*head.revision, *head.whole};
@@ -232,7 +266,9 @@
     return fail(malformed.what(), true);
   }
   http_parser_pause(&connection->parser, 0);
-  if (!connection->socket.is_open()) close();
+  if (!connection->socket.is_open()) {
+    close();
+  }
   log_.debug("list", "answer",
              {{"revision", taken_.revision}, {"whole", taken_.whole}, {"bytes", connection->body_bytes}});
   // Of changes to another list than the one that is held nothing counts but what drains.
@@ -249,9 +285,10 @@
   }
   poller_.note(AnswerWhole{});
   table_.end(taken_.whole);
-  if (table_.left_out() > 0)
+  if (table_.left_out() > 0) {
     log_.warn("list", "servers left out for want of memory",
               {{"servers", table_.left_out()}, {"kept", table_.size()}});
+  }
   handing_on_ = EndpointListKind::changes;
   hand_on_part();
 }
@@ -266,7 +303,9 @@
     return;
   }
   if (handing_on_ == EndpointListKind::saved) {
-    if (std::exchange(watch_wanted_, false)) watch();
+    if (std::exchange(watch_wanted_, false)) {
+      watch();
+    }
     return;
   }
   poller_.note(taken_);
@@ -280,7 +319,9 @@
 
 // The connection to discovery is given back here and nowhere else.
 void Client::close() {
-  if (!connection_) return;
+  if (!connection_) {
+    return;
+  }
   asio::error_code ignored;
   connection_->closed = true;
   connection_->socket.close(ignored);
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -23,7 +23,9 @@
 
 std::optional<long long> whole_number(const Value& value) {
   const auto* number = std::get_if<Number>(&value);
-  if (!number) return std::nullopt;
+  if (!number) {
+    return std::nullopt;
+  }
   long long read = 0;
   const char* const end = number->text.data() + number->text.size();
   const auto [stop, fault] = std::from_chars(number->text.data(), end, read);
@@ -32,7 +34,9 @@
 
 std::optional<double> any_number(const Value& value) {
   const auto* number = std::get_if<Number>(&value);
-  if (!number) return std::nullopt;
+  if (!number) {
+    return std::nullopt;
+  }
   double read = 0;
   const char* const end = number->text.data() + number->text.size();
   const auto [stop, fault] = std::from_chars(number->text.data(), end, read);
@@ -44,13 +48,17 @@
 
 const Value& needed(const Row& row, const char* key) {
   const auto found = row.find(key);
-  if (found == row.end()) throw InvalidInput(fmt::format("targets: {} is missing", key));
+  if (found == row.end()) {
+    throw InvalidInput(fmt::format("targets: {} is missing", key));
+  }
   return found->second;
 }
 
 const std::string& text(const Row& row, const char* key) {
   const auto* value = std::get_if<std::string>(&needed(row, key));
-  if (!value || value->empty()) throw InvalidInput(fmt::format("targets: {} is no text", key));
+  if (!value || value->empty()) {
+    throw InvalidInput(fmt::format("targets: {} is no text", key));
+  }
   return *value;
 }
 
@@ -62,9 +70,13 @@
 
 double number(const Row& row, const char* key, double other) {
   const auto found = row.find(key);
-  if (found == row.end() || std::holds_alternative<Other>(found->second)) return other;
+  if (found == row.end() || std::holds_alternative<Other>(found->second)) {
+    return other;
+  }
   const auto value = any_number(found->second);
-  if (!value) throw InvalidInput(fmt::format("targets: {} is no number", key));
+  if (!value) {
+    throw InvalidInput(fmt::format("targets: {} is no number", key));
+  }
   return *value;
 }
 
@@ -77,9 +89,15 @@
 
 ServerState state_in(const Row& row) {
   const std::string& word = text(row, "state");
-  if (word == "active") return ServerState::ready;
-  if (word == "leaving") return ServerState::draining;
-  if (word == "left") return ServerState::gone;
+  if (word == "active") {
+    return ServerState::ready;
+  }
+  if (word == "leaving") {
+    return ServerState::draining;
+  }
+  if (word == "left") {
+    return ServerState::gone;
+  }
   throw InvalidInput("targets: state is none of active, leaving, left");
 }
 
@@ -88,10 +106,14 @@
   server.entry.id = {text(row, "uid")};
   server.entry.state = state_in(row);
   const auto endpoint = config::endpoint_in(text(row, "endpoint"));
-  if (!endpoint) throw InvalidInput("targets: endpoint is no address and port");
+  if (!endpoint) {
+    throw InvalidInput("targets: endpoint is no address and port");
+  }
   server.endpoint = *endpoint;
   const auto group = whole_number(needed(row, "pod_group"));
-  if (!group) throw InvalidInput("targets: pod_group is no whole number");
+  if (!group) {
+    throw InvalidInput("targets: pod_group is no whole number");
+  }
   server.entry.group = {static_cast<int>(*group)};
   server.zone = text_or_none(row, "az");
   server.entry.zone = named(server.zone, names.zones);
@@ -104,8 +126,11 @@
 
 bool is_named(std::string_view key) {
   for (const char* one :
-       {"uid", "state", "endpoint", "pod_group", "az", "model", "capacity_hint", "boot_ms", "rank"})
-    if (key == one) return true;
+       {"uid", "state", "endpoint", "pod_group", "az", "model", "capacity_hint", "boot_ms", "rank"}) {
+    if (key == one) {
+      return true;
+    }
+  }
   return false;
 }
 
@@ -122,17 +147,26 @@
   void read(std::string_view bytes) {
     since_row_ += bytes.size();
     check(yajl_parse(parser_, reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size()));
-    if (since_row_ > kLongestRow)
+    if (since_row_ > kLongestRow) {
       throw InvalidInput(
           fmt::format("targets: {} bytes with no server's end, the limit is {}", since_row_, kLongestRow));
+    }
   }
 
   Head finish() {
     check(yajl_complete_parse(parser_));
-    if (!began_) throw InvalidInput("the list is no object");
-    if (!head_.revision) throw InvalidInput("rev is no whole number");
-    if (!head_.whole) throw InvalidInput("all is neither true nor false");
-    if (!has_targets_) throw InvalidInput("targets is no array");
+    if (!began_) {
+      throw InvalidInput("the list is no object");
+    }
+    if (!head_.revision) {
+      throw InvalidInput("rev is no whole number");
+    }
+    if (!head_.whole) {
+      throw InvalidInput("all is neither true nor false");
+    }
+    if (!has_targets_) {
+      throw InvalidInput("targets is no array");
+    }
     return head_;
   }
 
@@ -168,57 +202,99 @@
     return 0;
   }
   void check(yajl_status status) {
-    if (!fault_.empty()) throw InvalidInput(fault_);
-    if (status != yajl_status_ok) throw InvalidInput("no JSON");
+    if (!fault_.empty()) {
+      throw InvalidInput(fault_);
+    }
+    if (status != yajl_status_ok) {
+      throw InvalidInput("no JSON");
+    }
   }
 
   // Depths: 1 the list, 2 its servers, 3 one of them.
-  bool in_targets() const { return in_targets_ && depth_ >= 2; }
+  [[nodiscard]] bool in_targets() const { return in_targets_ && depth_ >= 2; }
 
   int value(Value value) {
-    if (depth_ == 0) return fail("the list is no object");
-    if (depth_ == 1) return head_value(value);
-    if (in_targets() && depth_ == 2) return fail("targets: an entry is no object");
-    if (in_targets() && depth_ == 3) keep(std::move(value));
+    if (depth_ == 0) {
+      return fail("the list is no object");
+    }
+    if (depth_ == 1) {
+      return head_value(value);
+    }
+    if (in_targets() && depth_ == 2) {
+      return fail("targets: an entry is no object");
+    }
+    if (in_targets() && depth_ == 3) {
+      keep(std::move(value));
+    }
     return 1;
   }
 
   int head_value(const Value& value) {
-    if (key_ == "rev" && !(head_.revision = whole_number(value))) return fail("rev is no whole number");
+    if (key_ == "rev" && !(head_.revision = whole_number(value))) {
+      return fail("rev is no whole number");
+    }
     if (key_ == "all") {
       const bool* whole = std::get_if<bool>(&value);
-      if (!whole) return fail("all is neither true nor false");
+      if (!whole) {
+        return fail("all is neither true nor false");
+      }
       head_.whole = *whole;
     }
-    if (key_ == "targets") return fail("targets is no array");
+    if (key_ == "targets") {
+      return fail("targets is no array");
+    }
     return 1;
   }
 
   void keep(Value value) {
-    if (is_named(key_)) row_[key_] = std::move(value);
+    if (is_named(key_)) {
+      row_[key_] = std::move(value);
+    }
   }
 
   int opens(bool object) {
-    if (depth_ == 0 && !object) return fail("the list is no object");
+    if (depth_ == 0 && !object) {
+      return fail("the list is no object");
+    }
     began_ = true;
     if (depth_ == 1) {
-      if (key_ == "rev") return fail("rev is no whole number");
-      if (key_ == "all") return fail("all is neither true nor false");
+      if (key_ == "rev") {
+        return fail("rev is no whole number");
+      }
+      if (key_ == "all") {
+        return fail("all is neither true nor false");
+      }
       in_targets_ = key_ == "targets";
-      if (in_targets_ && object) return fail("targets is no array");
-      if (in_targets_ && std::exchange(has_targets_, true)) return fail("targets is there twice");
+      if (in_targets_ && object) {
+        return fail("targets is no array");
+      }
+      if (in_targets_ && std::exchange(has_targets_, true)) {
+        return fail("targets is there twice");
+      }
+    }
+    if (in_targets() && depth_ == 2 && !object) {
+      return fail("targets: an entry is no object");
+    }
+    if (in_targets() && depth_ == 3) {
+      keep(Other{});
+    }
+    if (++depth_ > kDeepest) {
+      return fail(fmt::format("nested more than {} deep", kDeepest));
+    }
+    if (in_targets() && depth_ == 3) {
+      row_.clear();
     }
-    if (in_targets() && depth_ == 2 && !object) return fail("targets: an entry is no object");
-    if (in_targets() && depth_ == 3) keep(Other{});
-    if (++depth_ > kDeepest) return fail(fmt::format("nested more than {} deep", kDeepest));
-    if (in_targets() && depth_ == 3) row_.clear();
     return 1;
   }
 
   int closes() {
     const bool row = in_targets() && depth_ == 3;
-    if (--depth_ == 1) in_targets_ = false;
-    if (!row) return 1;
+    if (--depth_ == 1) {
+      in_targets_ = false;
+    }
+    if (!row) {
+      return 1;
+    }
     since_row_ = 0;
     try {
       row_taken_(server_in(row_, catalogue_), head_);
@@ -253,12 +329,16 @@
   std::set<std::string> seen;
   ListReader reader(names, [&](net::ListedEndpoint server, const ListReader::Head&) {
     const std::string& id = server.entry.id.address;
-    if (!seen.insert(id).second) throw InvalidInput("targets: uid is there twice: " + id);
+    if (!seen.insert(id).second) {
+      throw InvalidInput("targets: uid is there twice: " + id);
+    }
     list.servers.push_back(std::move(server));
   });
   // In parts, as it would come: the limit on a row's length is one on what is read between two ends of rows.
   constexpr std::size_t kPart = 16 * 1024;
-  for (std::size_t at = 0; at < json.size(); at += kPart) reader.read(json.substr(at, kPart));
+  for (std::size_t at = 0; at < json.size(); at += kPart) {
+    reader.read(json.substr(at, kPart));
+  }
   const ListReader::Head head = reader.finish();
   list.revision = *head.revision;
   list.kind = *head.whole ? EndpointListKind::complete : EndpointListKind::changes;
--- a/src/discovery/poller.cpp
+++ b/src/discovery/poller.cpp
@@ -19,27 +19,39 @@
 
 std::vector<PollDecision> Poller::settle(Millis now) {
   now_ = now;
-  for (const PollEvent& event : std::exchange(events_, {}))
+  for (const PollEvent& event : std::exchange(events_, {})) {
     std::visit([this](const auto& one) { take(one); }, event);
-  if (state_ == State::calling && now_ >= call_ends_at())
+  }
+  if (state_ == State::calling && now_ >= call_ends_at()) {
     fail(bytes_ > 0 && now_ < *last_byte_ + kSilence ? "the answer comes too slowly" : "no answer in time");
-  if (state_ == State::waiting && now_ >= next_call_) begin_call();
-  if (state_ == State::waiting) decisions_.push_back(RequestWakeup{next_call_});
-  if (state_ == State::calling) decisions_.push_back(RequestWakeup{call_ends_at()});
+  }
+  if (state_ == State::waiting && now_ >= next_call_) {
+    begin_call();
+  }
+  if (state_ == State::waiting) {
+    decisions_.push_back(RequestWakeup{next_call_});
+  }
+  if (state_ == State::calling) {
+    decisions_.push_back(RequestWakeup{call_ends_at()});
+  }
   return std::exchange(decisions_, {});
 }
 
-void Poller::take(const Watch&) {
-  if (state_ == State::stopped) call_at(now_);
+void Poller::take(const Watch& /*unused*/) {
+  if (state_ == State::stopped) {
+    call_at(now_);
+  }
 }
 
-void Poller::take(const Moved&) {
+void Poller::take(const Moved& /*unused*/) {
   failures_ = 0;
   ask_whole_now();
 }
 
-void Poller::take(const Doubted&) {
-  if (state_ != State::stopped) ask_whole_now();
+void Poller::take(const Doubted& /*unused*/) {
+  if (state_ != State::stopped) {
+    ask_whole_now();
+  }
   whole_wanted_ = true;
 }
 
@@ -54,24 +66,32 @@
   call_at(now_);
 }
 
-void Poller::take(const Stopped&) {
+void Poller::take(const Stopped& /*unused*/) {
   state_ = State::stopped;
   decisions_.push_back(GiveUpCall{});
 }
 
 void Poller::take(const BytesCame& came) {
-  if (state_ != State::calling) return;
-  if (!first_byte_) first_byte_ = now_;
+  if (state_ != State::calling) {
+    return;
+  }
+  if (!first_byte_) {
+    first_byte_ = now_;
+  }
   last_byte_ = now_;
   bytes_ += came.bytes;
 }
 
-void Poller::take(const AnswerWhole&) {
-  if (state_ == State::calling) state_ = State::handing_on;
+void Poller::take(const AnswerWhole& /*unused*/) {
+  if (state_ == State::calling) {
+    state_ = State::handing_on;
+  }
 }
 
 void Poller::take(const ListTaken& list) {
-  if (state_ != State::calling && state_ != State::handing_on) return;
+  if (state_ != State::calling && state_ != State::handing_on) {
+    return;
+  }
   const bool news = asks_whole_ || list.whole || list.revision != revision_;
   if (!list.whole && list.revision < revision_) {
     whole_wanted_ = true;  // changes to another list than the one that is held
@@ -85,7 +105,9 @@
 }
 
 void Poller::take(const CallFailed& failure) {
-  if (state_ != State::calling) return;
+  if (state_ != State::calling) {
+    return;
+  }
   whole_wanted_ = whole_wanted_ || failure.spoilt;
   fail(failure.why);
 }
@@ -117,7 +139,9 @@
 
 // Silence ends a call, and so does an answer that falls behind the least rate.
 Millis Poller::call_ends_at() const {
-  if (!first_byte_) return asked_ + wait_ + kSilence;
+  if (!first_byte_) {
+    return asked_ + wait_ + kSilence;
+  }
   const Millis too_slow = *first_byte_ + kRateFrom + 1000 * static_cast<double>(bytes_) / kLeastRate;
   return std::min(*last_byte_ + kSilence, too_slow);
 }
--- a/src/discovery/poller.hpp
+++ b/src/discovery/poller.hpp
@@ -77,25 +77,25 @@
   void note(PollEvent event) { events_.push_back(std::move(event)); }
   std::vector<PollDecision> settle(Millis now);
 
-  bool calling() const { return state_ == State::calling; }
-  long long revision() const { return revision_; }
+  [[nodiscard]] bool calling() const { return state_ == State::calling; }
+  [[nodiscard]] long long revision() const { return revision_; }
 
  private:
   enum class State { stopped, waiting, calling, handing_on };
 
-  void take(const Watch&);
-  void take(const Moved&);
-  void take(const Doubted&);
-  void take(const Stopped&);
+  void take(const Watch& /*unused*/);
+  void take(const Moved& /*unused*/);
+  void take(const Doubted& /*unused*/);
+  void take(const Stopped& /*unused*/);
   void take(const BytesCame& came);
-  void take(const AnswerWhole&);
+  void take(const AnswerWhole& /*unused*/);
   void take(const ListTaken& list);
   void take(const CallFailed& failure);
   void ask_whole_now();
   void call_at(Millis at);
   void begin_call();
   void fail(const std::string& why);
-  Millis call_ends_at() const;
+  [[nodiscard]] Millis call_ends_at() const;
   Millis back_off();
   double draw() { return static_cast<double>(random_() - 1) / static_cast<double>(random_.max()); }
 
--- a/src/discovery/server_table.hpp
+++ b/src/discovery/server_table.hpp
@@ -33,11 +33,11 @@
   // The next of what the last list has changed, so many rows at the most, servers that leave first; empty:
   // that was all.
   std::vector<net::ListedEndpoint> next_part(std::size_t rows);
-  bool has_parts() const { return !changes_.empty(); }
+  [[nodiscard]] bool has_parts() const { return !changes_.empty(); }
 
-  std::size_t size() const { return known_.size(); }
+  [[nodiscard]] std::size_t size() const { return known_.size(); }
   // Servers of the last list for which there was no room.
-  std::size_t left_out() const { return left_out_; }
+  [[nodiscard]] std::size_t left_out() const { return left_out_; }
 
  private:
   struct Known {
--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -19,7 +19,9 @@
 
 std::vector<Endpoint> places_of(int count, const TestEnvironment::Own& own) {
   std::vector<Endpoint> places;
-  for (int store = 0; store < count; ++store) places.push_back(own(kStandIns, store));
+  for (int store = 0; store < count; ++store) {
+    places.push_back(own(kStandIns, store));
+  }
   return places;
 }
 
@@ -27,7 +29,9 @@
 
 // The settings object, in the words of the platform.
 Json settings_of(const Plan& plan, int front) {
-  Json types = Json::array(), needs = Json::array(), bounds = Json::array();
+  Json types = Json::array();
+  Json needs = Json::array();
+  Json bounds = Json::array();
   for (const ClientOp& op : plan.clients.mix) {
     using invariants::Effect, invariants::Needs;
     types.push_back({{"name", op.name},
@@ -88,8 +92,9 @@
       stores_(io, timers, clock, places_of(plan.stores, own), plan.work, plan.seed),
       met_at_([&] {
         std::vector<Endpoint> met;
-        for (int front = 0; front < plan.fronts; ++front)
+        for (int front = 0; front < plan.fronts; ++front) {
           met.push_back(own(kGates, front * each() + plan.stores + 1));
+        }
         return met;
       }()),
       clients_(io, timers, clock, streams_, rules_, met_at_, plan.groups, plan.clients, plan.seed),
@@ -104,7 +109,9 @@
         [this, front](long long) { return list_of(front); },
         [this, front](const Endpoint& to, std::size_t bytes, long long) {
           // What never arrived, for its connection broke, is forgotten with the oldest.
-          if (underway_.size() > kUnderway) underway_.erase(underway_.begin());
+          if (underway_.size() > kUnderway) {
+            underway_.erase(underway_.begin());
+          }
           underway_[to].push_back({bytes, front, listed()});
         }));
     std::vector<Endpoint>& seen = seen_at_.emplace_back();
@@ -119,21 +126,28 @@
   stores_.on([this](const Carried_out& done) { carried_out(done); },
              [this](int store, const std::string& op, const Endpoint& from) {
                ++sends_to_[static_cast<std::size_t>(store)];
-               if (const auto crossing = streams_.crossing(from))
+               if (const auto crossing = streams_.crossing(from)) {
                  rules_.note(invariants::Sent{op, {crossing->gate / each()}, {store}, crossing->to.read});
+               }
              });
   streams_.on([this](const Streams::Passed& passed) {
     clients_.passed(passed);
     const auto answers = passed.back ? underway_.find(passed.target) : underway_.end();
-    if (answers == underway_.end()) return;
+    if (answers == underway_.end()) {
+      return;
+    }
     while (!answers->second.empty() && answers->second.front().bytes <= passed.given) {
       told(answers->second.front().front, answers->second.front().listed, passed.at);
       answers->second.pop_front();
     }
-    if (answers->second.empty()) underway_.erase(answers);
+    if (answers->second.empty()) {
+      underway_.erase(answers);
+    }
   });
   first_ = Json::array();
-  for (int front = 0; front < plan.fronts; ++front) first_.push_back(Json::parse(list_of(front).list));
+  for (int front = 0; front < plan.fronts; ++front) {
+    first_.push_back(Json::parse(list_of(front).list));
+  }
 }
 
 nlohmann::json TestEnvironment::placement_of(int front) const {
@@ -153,15 +167,18 @@
 }
 
 void TestEnvironment::told(int front, const std::vector<Listed>& listed, Millis at) {
-  for (const Listed& one : listed)
+  for (const Listed& one : listed) {
     rules_.note(invariants::Told{{front}, {one.store}, one.wanted, one.booted, at});
+  }
 }
 
 TestDiscovery::Now TestEnvironment::list_of(int front) const {
   Json targets = Json::array();
   for (int store = 0; store < plan_.stores; ++store) {
     const StoreState& state = stores_.state(store);
-    if (!state.listed) continue;
+    if (!state.listed) {
+      continue;
+    }
     targets.push_back(
         {{"uid", fmt::format("s{}", store)},
          {"endpoint",
@@ -175,8 +192,12 @@
 
 void TestEnvironment::carried_out(const Carried_out& done) {
   const bool effect = done.writes && done.deed == Deed::ran;
-  if (effect) clients_.committed(done.request, done.position);
-  if (done.deed != Deed::ran) return;
+  if (effect) {
+    clients_.committed(done.request, done.position);
+  }
+  if (done.deed != Deed::ran) {
+    return;
+  }
   const auto crossing = streams_.crossing(done.from);
   rules_.note(invariants::Ran{done.request,
                               {done.store},
@@ -189,9 +210,15 @@
 std::vector<int> TestEnvironment::gates(const Step& step) const {
   std::vector<int> all;
   for (const int front : step.fronts) {
-    for (const int store : step.stores) all.push_back(gate(front, store));
-    if (step.with.contains("discovery")) all.push_back(gate(front, plan_.stores));
-    if (step.with.contains("clients")) all.push_back(gate(front, plan_.stores + 1));
+    for (const int store : step.stores) {
+      all.push_back(gate(front, store));
+    }
+    if (step.with.contains("discovery")) {
+      all.push_back(gate(front, plan_.stores));
+    }
+    if (step.with.contains("clients")) {
+      all.push_back(gate(front, plan_.stores + 1));
+    }
   }
   return all;
 }
@@ -208,60 +235,101 @@
 }
 
 void TestEnvironment::strike(const Step& step) {
-  if (step.fault.starts_with("cut"))
+  if (step.fault.starts_with("cut")) {
     ways(step, [&](Way& out, Way& in) {
-      if (step.fault != "cut-back") out.cut = true;
-      if (step.fault != "cut-one-way") in.cut = true;
+      if (step.fault != "cut-back") {
+        out.cut = true;
+      }
+      if (step.fault != "cut-one-way") {
+        in.cut = true;
+      }
     });
-  if (step.fault == "slow")
+  }
+  if (step.fault == "slow") {
     ways(step, [&](Way& out, Way& in) { out.by = in.by = step.by, out.jitter = in.jitter = step.jitter; });
-  if (step.fault == "limit") ways(step, [&](Way& out, Way& in) { out.rate = in.rate = step.rate; });
-  if (step.fault == "reset")
-    for (const int gate : gates(step)) streams_.reset(gate);
-  if (step.fault.starts_with("discovery-"))
+  }
+  if (step.fault == "limit") {
+    ways(step, [&](Way& out, Way& in) { out.rate = in.rate = step.rate; });
+  }
+  if (step.fault == "reset") {
+    for (const int gate : gates(step)) {
+      streams_.reset(gate);
+    }
+  }
+  if (step.fault.starts_with("discovery-")) {
     for (const int front : step.fronts) {
       agents_[static_cast<std::size_t>(front)]->be_silent(step.fault == "discovery-silent");
-      if (step.fault == "discovery-speaks") agents_[static_cast<std::size_t>(front)]->changed();
+      if (step.fault == "discovery-speaks") {
+        agents_[static_cast<std::size_t>(front)]->changed();
+      }
     }
-  if (step.fault.starts_with("cut") || step.fault == "slow" || step.fault == "limit" || step.fault == "reset")
+  }
+  if (step.fault.starts_with("cut") || step.fault == "slow" || step.fault == "limit" ||
+      step.fault == "reset") {
     return;
+  }
 
   bool listed = false;
   for (const int store : step.stores) {
     StoreState& state = stores_.state(store);
     state.reached = stores_.position(store);
-    if (step.fault == "fall") stores_.fall(store);
+    if (step.fault == "fall") {
+      stores_.fall(store);
+    }
     if (step.fault == "rise") {
       stores_.rise(store);
       rules_.note(invariants::Started{{store}, state.booted});
       listed = true;
     }
-    if (step.fault == "hang") state.answers = false;
-    if (step.fault == "recover")
+    if (step.fault == "hang") {
+      state.answers = false;
+    }
+    if (step.fault == "recover") {
       state.answers = true, state.errors = 0, state.lag = plan_.lag, state.stalled_at = -1;
-    if (step.fault == "errors") state.errors = step.share;
-    if (step.fault == "lag") state.lag = step.by;
-    if (step.fault == "stall") state.stalled_at = stores_.position(store);
+    }
+    if (step.fault == "errors") {
+      state.errors = step.share;
+    }
+    if (step.fault == "lag") {
+      state.lag = step.by;
+    }
+    if (step.fault == "stall") {
+      state.stalled_at = stores_.position(store);
+    }
     if (step.fault == "promote") {
       for (int other = 0; other < plan_.stores; ++other) {
-        if (stores_.state(other).group != state.group) continue;
+        if (stores_.state(other).group != state.group) {
+          continue;
+        }
         stores_.state(other).reached = stores_.position(other);
         stores_.state(other).primary = other == store;
       }
     }
-    if (step.fault == "drain") state.draining = listed = true;
-    if (step.fault == "unlist") state.listed = false, listed = true;
-    if (step.fault == "enlist") state.listed = listed = true, state.draining = false;
+    if (step.fault == "drain") {
+      state.draining = listed = true;
+    }
+    if (step.fault == "unlist") {
+      state.listed = false, listed = true;
+    }
+    if (step.fault == "enlist") {
+      state.listed = listed = true, state.draining = false;
+    }
+  }
+  if (!listed) {
+    return;
   }
-  if (!listed) return;
   ++revision_;
-  for (const auto& agent : agents_) agent->changed();
+  for (const auto& agent : agents_) {
+    agent->changed();
+  }
 }
 
 void TestEnvironment::heal() { streams_.heal(); }
 
 void TestEnvironment::begin() {
-  if (plan_.clients.rate <= 0 || std::exchange(begun_, true)) return;
+  if (plan_.clients.rate <= 0 || std::exchange(begun_, true)) {
+    return;
+  }
   clients_.begin();
 }
 
@@ -273,14 +341,19 @@
 
 TestEnvironment::Asked TestEnvironment::asked() const {
   Asked asked{stores_.probes(), 0, sends_to_};
-  for (const auto& agent : agents_) asked.calls += agent->calls();
+  for (const auto& agent : agents_) {
+    asked.calls += agent->calls();
+  }
   return asked;
 }
 
 int TestEnvironment::connections(int store, const std::set<int>& without) const {
   int sum = 0;
-  for (int front = 0; front < plan_.fronts; ++front)
-    if (!without.contains(front)) sum += streams_.open_at(gate(front, store));
+  for (int front = 0; front < plan_.fronts; ++front) {
+    if (!without.contains(front)) {
+      sum += streams_.open_at(gate(front, store));
+    }
+  }
   return sum;
 }
 
@@ -288,8 +361,12 @@
   Tally sum;
   sum.at = from;
   for (const Tally& tally : clients_.tallies()) {
-    if (tally.at < from || tally.at + kTallied > to) continue;
-    for (const auto& [came, count] : tally.came) sum.came[came] += count;
+    if (tally.at < from || tally.at + kTallied > to) {
+      continue;
+    }
+    for (const auto& [came, count] : tally.came) {
+      sum.came[came] += count;
+    }
     sum.latencies.insert(sum.latencies.end(), tally.latencies.begin(), tally.latencies.end());
   }
   return sum;
--- a/src/faulttest/environment.hpp
+++ b/src/faulttest/environment.hpp
@@ -30,28 +30,28 @@
                   const std::vector<Endpoint>& fronts, const Own& own);
 
   // What a front's placement says of them: discovery, known, settings.
-  nlohmann::json placement_of(int front) const;
+  [[nodiscard]] nlohmann::json placement_of(int front) const;
   void strike(const Step& step);
   void heal();
   void enqueue(invariants::Event event) { rules_.note(std::move(event)); }
   // Clients begin, once.
   void begin();
   void rest() { clients_.rest(); }
-  bool asking() const { return begun_; }
+  [[nodiscard]] bool asking() const { return begun_; }
   std::vector<invariants::Broken> settle();
-  const std::deque<Tally>& tallies() const { return clients_.tallies(); }
+  [[nodiscard]] const std::deque<Tally>& tallies() const { return clients_.tallies(); }
   // Ops that were meant for a span of time and are over.
-  Tally between(Millis from, Millis to) const;
+  [[nodiscard]] Tally between(Millis from, Millis to) const;
   // Connections that the fronts hold to a store, those left out that stand still.
-  int connections(int store, const std::set<int>& without) const;
+  [[nodiscard]] int connections(int store, const std::set<int>& without) const;
   // By the fronts, since the run began.
   struct Asked {
     std::uint64_t probes = 0, calls = 0;  // stores; discovery
     std::vector<std::uint64_t> sends_to;  // each store
-    std::uint64_t sends() const;
+    [[nodiscard]] std::uint64_t sends() const;
   };
-  Asked asked() const;
-  std::size_t open_requests() const { return clients_.open(); }
+  [[nodiscard]] Asked asked() const;
+  [[nodiscard]] std::size_t open_requests() const { return clients_.open(); }
 
  private:
   struct Listed {
@@ -59,16 +59,16 @@
     bool wanted = true;
     Millis booted = 0;
   };
-  TestDiscovery::Now list_of(int front) const;
-  std::vector<Listed> listed() const;
+  [[nodiscard]] TestDiscovery::Now list_of(int front) const;
+  [[nodiscard]] std::vector<Listed> listed() const;
   void told(int front, const std::vector<Listed>& listed, Millis at);
   void carried_out(const Carried_out& done);
   template <typename Change>
   void ways(const Step& step, Change change);
-  std::vector<int> gates(const Step& step) const;
-  int each() const { return plan_.stores + 2; }  // gates of a front
+  [[nodiscard]] std::vector<int> gates(const Step& step) const;
+  [[nodiscard]] int each() const { return plan_.stores + 2; }  // gates of a front
   // As they were opened: to the stores, to discovery, from clients.
-  int gate(int front, int other) const { return front * each() + other; }
+  [[nodiscard]] int gate(int front, int other) const { return front * each() + other; }
 
   const Plan& plan_;
   const net::Clock& clock_;
--- a/src/faulttest/fault_test.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -32,35 +32,38 @@
   // Clients ask nothing more, what is open comes to its end.
   Outcome finish();
   // All that a report needs, as JSON.
-  nlohmann::json record() const;
-  const Plan& plan() const { return plan_; }
+  [[nodiscard]] nlohmann::json record() const;
+  [[nodiscard]] const Plan& plan() const { return plan_; }
   // Each process' view side by side, a line a process.
-  std::vector<std::string> views() const;
+  [[nodiscard]] std::vector<std::string> views() const;
   // The same of a folder that a run is using or has left.
   static std::vector<std::string> views(const std::string& folder);
   // What the fronts sent one another in the last step, a second and front.
-  std::string load() const;
+  [[nodiscard]] std::string load() const;
 
  private:
   void strike(const Step& step);
   void start(int front, const Step& step);
-  std::string placement_of(int front) const;
+  [[nodiscard]] std::string placement_of(int front) const;
   void run(Millis span);
   // Empty: it is so.
-  std::string missing(const Step& step) const;
-  std::string hold(int front, const std::set<int>& of, const std::string& standing, bool alone) const;
-  std::string consistency(int front, const Step& step) const;
+  [[nodiscard]] std::string missing(const Step& step) const;
+  [[nodiscard]] std::string hold(int front, const std::set<int>& of, const std::string& standing,
+                                 bool alone) const;
+  [[nodiscard]] std::string consistency(int front, const Step& step) const;
   std::string too_often(const Step& step);
-  std::string not_spared(const Step& step) const;
+  [[nodiscard]] std::string not_spared(const Step& step) const;
   std::string mistaken(const Step& step);
   std::string broken();
   std::string too_many();
-  std::string too_little(const Step& step) const;
-  std::string too_few(const Step& step, Millis from) const;
+  [[nodiscard]] std::string too_little(const Step& step) const;
+  [[nodiscard]] std::string too_few(const Step& step, Millis from) const;
   void begin_anew(int front);
-  std::string name_of(int front) const { return names_.at(static_cast<std::size_t>(front)); }
+  [[nodiscard]] std::string name_of(int front) const { return names_.at(static_cast<std::size_t>(front)); }
   Process& process(int front) { return *processes_.at(static_cast<std::size_t>(front)); }
-  const Process& process(int front) const { return *processes_.at(static_cast<std::size_t>(front)); }
+  [[nodiscard]] const Process& process(int front) const {
+    return *processes_.at(static_cast<std::size_t>(front));
+  }
 
   const Plan plan_;
   asio::io_context io_;
--- a/src/faulttest/main.cpp
+++ b/src/faulttest/main.cpp
@@ -24,15 +24,19 @@
       std::filesystem::create_directories(path_);
     } else {
       std::string made = (std::filesystem::temp_directory_path() / "reedspindle-faulttest-XXXXXX").string();
-      if (!mkdtemp(made.data())) throw std::runtime_error("no folder can be made for the run");
+      if (!mkdtemp(made.data())) {
+        throw std::runtime_error("no folder can be made for the run");
+      }
       path_ = made;
     }
   }
   ~Folder() {
     std::error_code none;
-    if (!keep_) std::filesystem::remove_all(path_, none);
+    if (!keep_) {
+      std::filesystem::remove_all(path_, none);
+    }
   }
-  std::string path() const { return path_; }
+  [[nodiscard]] std::string path() const { return path_; }
 
  private:
   const bool keep_;
@@ -47,15 +51,25 @@
     std::cout << faulttest::text_of(step) << std::endl;
     const faulttest::Outcome outcome = rig.carry_out(step);
     std::string text = step.until == "now" ? "" : step.until;
-    for (const int front : step.of) text += fmt::format(" {}", front);
-    if (!step.none_failed.empty()) text += text.empty() ? "nobody is mistaken" : ", nobody is mistaken";
-    if (times) text += fmt::format("  [{:.2f} s, {}]", outcome.took / 1000, rig.load());
+    for (const int front : step.of) {
+      text += fmt::format(" {}", front);
+    }
+    if (!step.none_failed.empty()) {
+      text += text.empty() ? "nobody is mistaken" : ", nobody is mistaken";
+    }
+    if (times) {
+      text += fmt::format("  [{:.2f} s, {}]", outcome.took / 1000, rig.load());
+    }
     if (outcome.held) {
-      if (!text.empty()) std::cout << "  " << text << std::endl;
+      if (!text.empty()) {
+        std::cout << "  " << text << std::endl;
+      }
       continue;
     }
     std::cout << fmt::format("  line {}: not {}: {}", step.line, text, outcome.why) << std::endl;
-    for (const std::string& view : rig.views()) std::cout << "  " << view << '\n';
+    for (const std::string& view : rig.views()) {
+      std::cout << "  " << view << '\n';
+    }
     record();
     return 1;
   }
@@ -65,8 +79,11 @@
     std::cout << "  at the end: " << end.why << std::endl;
     return 1;
   }
-  if (times)
-    for (const std::string& view : rig.views()) std::cout << view << '\n';
+  if (times) {
+    for (const std::string& view : rig.views()) {
+      std::cout << view << '\n';
+    }
+  }
   return 0;
 }
 
@@ -77,7 +94,9 @@
   CLI::App app{"Runs real fronts on loopback and breaks the links between them", "reedspindle-faulttest"};
   app.set_version_flag("--version", std::string("reedspindle-faulttest ") + REEDSPINDLE_VERSION);
   app.require_subcommand(1);
-  std::string path, keep, program = (std::filesystem::path(words[0]).parent_path() / "reedspindle").string();
+  std::string path;
+  std::string keep;
+  std::string program = (std::filesystem::path(words[0]).parent_path() / "reedspindle").string();
   bool times = false;
   const auto command = [&](const char* name, const char* what) {
     CLI::App* added = app.add_subcommand(name, what);
@@ -103,22 +122,36 @@
   }
   try {
     if (*fleet) {
-      for (const std::string& view : faulttest::FaultTest::views(path)) std::cout << view << '\n';
+      for (const std::string& view : faulttest::FaultTest::views(path)) {
+        std::cout << view << '\n';
+      }
       return 0;
     }
     if (*telling) {
       std::ifstream file(path + "/run.json");
       const auto record = nlohmann::json::parse(file, nullptr, false);
-      if (!record.is_object()) throw std::runtime_error(path + "/run.json is missing or does not read");
-      if (times) std::cout << record.dump(2) << '\n';
-      if (!times)
-        for (const std::string& line : faulttest::report(record)) std::cout << line << '\n';
+      if (!record.is_object()) {
+        throw std::runtime_error(path + "/run.json is missing or does not read");
+      }
+      if (times) {
+        std::cout << record.dump(2) << '\n';
+      }
+      if (!times) {
+        for (const std::string& line : faulttest::report(record)) {
+          std::cout << line << '\n';
+        }
+      }
       return 0;
     }
     const faulttest::Plan plan = faulttest::plan_in(operators::read_file(path, faulttest::kPlan), path);
-    if (*check) std::cout << path << ": sound\n";
-    if (*show)
-      for (const faulttest::Step& step : plan.steps) std::cout << faulttest::text_of(step) << '\n';
+    if (*check) {
+      std::cout << path << ": sound\n";
+    }
+    if (*show) {
+      for (const faulttest::Step& step : plan.steps) {
+        std::cout << faulttest::text_of(step) << '\n';
+      }
+    }
     return *running ? run(plan, program, keep, times) : 0;
   } catch (const operators::InvalidFile& faulty) {
     std::cerr << faulty.what() << '\n';
--- a/src/faulttest/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -20,16 +20,20 @@
   std::istringstream parts(text);
   for (std::string part; std::getline(parts, part, ',');) {
     const std::size_t dash = part.find('-');
-    const int from = std::stoi(part),
-              to = dash == std::string::npos ? from : std::stoi(part.substr(dash + 1));
-    for (int front = from; front <= to && front < 1000; ++front) fronts.insert(front);
+    const int from = std::stoi(part);
+    const int to = dash == std::string::npos ? from : std::stoi(part.substr(dash + 1));
+    for (int front = from; front <= to && front < 1000; ++front) {
+      fronts.insert(front);
+    }
   }
   return fronts;
 }
 
 std::set<int> all_of(int fronts) {
   std::set<int> all;
-  for (int front = 0; front < fronts; ++front) all.insert(front);
+  for (int front = 0; front < fronts; ++front) {
+    all.insert(front);
+  }
   return all;
 }
 
@@ -41,7 +45,9 @@
 
 // What stands beside the fronts: stores, discovery, clients, and the terms of the rules.
 void stores_in(const nlohmann::json& values, Plan& plan) {
-  const nlohmann::json &stores = values["stores"], &clients = values["clients"], &terms = values["rules"];
+  const nlohmann::json& stores = values["stores"];
+  const nlohmann::json& clients = values["clients"];
+  const nlohmann::json& terms = values["rules"];
   plan.stores = stores["count"], plan.groups = stores["groups"], plan.lag = stores["lag"];
   plan.work.work = stores["work"], plan.work.workers = stores["workers"], plan.work.queue = stores["queue"];
   plan.work.cold_from = terms["cold-from"], plan.work.warm_within = terms["warm-within"];
@@ -56,7 +62,8 @@
   for (const nlohmann::json& told : values.value("op-type", nlohmann::json::array())) {
     ClientOp op;
     op.name = told["name"], op.weight = told["weight"], op.bound = told["bound"];
-    const std::string needs = told["needs"], effect = told["effect"];
+    const std::string needs = told["needs"];
+    const std::string effect = told["effect"];
     op.needs = needs == "write"     ? Needs::write
                : needs == "session" ? Needs::session
                : needs == "bounded" ? Needs::bounded
@@ -66,15 +73,20 @@
                                             : Effect::retryable;
     plan.clients.mix.push_back(op);
   }
-  if (plan.clients.mix.empty())
+  if (plan.clients.mix.empty()) {
     plan.clients.mix = {{"look", 5, Needs::bounded, Effect::retryable, 1500},
                         {"own", 3, Needs::session, Effect::retryable, 0},
                         {"browse", 1, Needs::any, Effect::retryable, 0},
                         {"save", 2, Needs::write, Effect::tokened, 0},
                         {"book", 0.5, Needs::write, Effect::non_retryable, 0}};
+  }
   double all = 0;
-  for (const ClientOp& op : plan.clients.mix) all += op.weight;
-  for (ClientOp& op : plan.clients.mix) op.weight /= all;
+  for (const ClientOp& op : plan.clients.mix) {
+    all += op.weight;
+  }
+  for (ClientOp& op : plan.clients.mix) {
+    op.weight /= all;
+  }
 }
 
 }  // namespace
@@ -100,9 +112,10 @@
                     told["pace"].get<double>(), told["grace"].get<double>(), told["silence"].get<double>(),
                     told["writes-for"].get<double>(), told["reads-for"].get<double>());
   }
-  if (fleet.contains("resends"))
+  if (fleet.contains("resends")) {
     plan.resends = fmt::format(" (resends (share {}) (burst {}))", fleet["resends"]["share"].get<double>(),
                                fleet["resends"]["burst"].get<double>());
+  }
   stores_in(file.values, plan);
   std::vector<std::string> faults;
   int told_so_far = 0;
@@ -118,8 +131,11 @@
     step.none_failed = fronts_in(told.value("none-failed", ""));
     step.stores = fronts_in(told.value("stores", ""));
     step.spared = fronts_in(told.value("spared", ""));
-    for (const char* with : {"discovery", "clients"})
-      if (told.value("with", "").find(with) != std::string::npos) step.with.insert(with);
+    for (const char* with : {"discovery", "clients"}) {
+      if (told.value("with", "").find(with) != std::string::npos) {
+        step.with.insert(with);
+      }
+    }
     step.rate = told["rate"], step.acked = told["acked"], step.part = told["part-at-least"];
     step.clock = told["clock"], step.by = told["by"], step.jitter = told["jitter"],
     step.share = told["share"];
@@ -127,27 +143,43 @@
     const auto fault = [&](const std::string& text) {
       faults.push_back(fmt::format("{}:{}: {}: {}", path, step.line, key, text));
     };
-    for (const std::set<int>* named : {&step.fronts, &step.to, &step.of, &step.none_failed})
-      if (!named->empty() && *named->rbegin() >= plan.fronts) fault("names a front that is not there");
-    for (const std::set<int>* named : {&step.stores, &step.spared})
-      if (!named->empty() && *named->rbegin() >= plan.stores) fault("names a store that is not there");
-    if (plan.stores == 0 && !step.with.empty()) fault("'with' needs stores in the plan");
+    for (const std::set<int>* named : {&step.fronts, &step.to, &step.of, &step.none_failed}) {
+      if (!named->empty() && *named->rbegin() >= plan.fronts) {
+        fault("names a front that is not there");
+      }
+    }
+    for (const std::set<int>* named : {&step.stores, &step.spared}) {
+      if (!named->empty() && *named->rbegin() >= plan.stores) {
+        fault("names a store that is not there");
+      }
+    }
+    if (plan.stores == 0 && !step.with.empty()) {
+      fault("'with' needs stores in the plan");
+    }
     const bool sends = step.fault == "garbage" || step.fault == "replay";
     const bool streams = step.fault == "reset" || step.fault == "limit";
     const bool links = step.fault.starts_with("cut") || streams || step.fault == "slow";
-    if (step.to.empty() ? sends : !sends && !step.fault.starts_with("cut"))
+    if (step.to.empty() ? sends : !sends && !step.fault.starts_with("cut")) {
       fault("'to' goes with cut, garbage and replay; the last two need it");
-    if (links && step.fault != "slow" && step.to.empty() && step.stores.empty() && step.with.empty())
+    }
+    if (links && step.fault != "slow" && step.to.empty() && step.stores.empty() && step.with.empty()) {
       fault("the other side is missing: 'to', 'stores' or 'with'");
-    if (!step.with.empty() && !links) fault("'with' goes with cut, slow, limit and reset");
-    if (step.stores.empty() ? of_stores(step.fault) : !of_stores(step.fault) && !links)
+    }
+    if (!step.with.empty() && !links) {
+      fault("'with' goes with cut, slow, limit and reset");
+    }
+    if (step.stores.empty() ? of_stores(step.fault) : !of_stores(step.fault) && !links) {
       fault("'stores' goes with what strikes stores, who need it, and with cut, slow, limit and reset");
-    if (step.of.empty() != (step.until == "now" || step.until == "agreed" || step.until == "accord"))
+    }
+    if (step.of.empty() != (step.until == "now" || step.until == "agreed" || step.until == "accord")) {
       fault("'of' goes with until there, failed, left, yielded, differs or cut-off, and they need it");
-    if (plan.consistency.empty() && of_accord(step.until))
+    }
+    if (plan.consistency.empty() && of_accord(step.until)) {
       fault("until accord, differs or cut-off needs (fleet (accord ...))");
-    if (!step.name.empty() && (step.fault != "start" || step.fronts.size() != 1))
+    }
+    if (!step.name.empty() && (step.fault != "start" || step.fronts.size() != 1)) {
       fault("'name' goes with the start of one front");
+    }
     if (step.fault == "drawn") {
       const std::vector<Step> more =
           drawn(plan, step.count, step, plan.seed + static_cast<std::uint64_t>(step.line));
@@ -156,7 +188,9 @@
       plan.steps.push_back(std::move(step));
     }
   }
-  if (!faults.empty()) throw operators::InvalidFile(std::move(faults));
+  if (!faults.empty()) {
+    throw operators::InvalidFile(std::move(faults));
+  }
   return plan;
 }
 
@@ -168,10 +202,11 @@
   plain.fault = "none", plain.until = "now", plain.line = like.line, plain.within = like.within;
   std::vector<const char*> kinds{"kill",        "start", "stop", "wake", "cut",
                                  "cut-one-way", "heal",  "slow", "loss"};
-  if (plan.stores > 0)
+  if (plan.stores > 0) {
     kinds.insert(kinds.end(),
                  {"cut-back", "reset", "end", "fall", "rise", "hang", "recover", "errors", "lag", "stall",
                   "promote", "drain", "enlist", "discovery-silent", "discovery-speaks"});
+  }
   std::vector<Step> steps;
   for (int turn = 0; turn < count; ++turn) {
     Step step = plain;
@@ -179,23 +214,41 @@
     step.fronts = {below(fronts)};
     // A side of a cut is one front or a few; who is on both sides loses nothing by it.
     const bool links = step.fault.starts_with("cut") || step.fault == "reset";
-    if (step.fault.starts_with("cut"))
-      for (int sides = 1 + below(fronts); sides > 0; --sides) step.to.insert(below(fronts));
-    if (of_stores(step.fault) || (links && plan.stores > 0))
-      for (int sides = 1 + below(2); sides > 0; --sides) step.stores.insert(below(plan.stores));
-    if (links && plan.stores > 0 && below(3) == 0) step.with.insert(below(2) == 0 ? "discovery" : "clients");
-    if (step.fault == "slow") step.by = below(300), step.jitter = below(100);
-    if (step.fault == "lag") step.by = below(5000);
-    if (step.fault == "loss" || step.fault == "errors") step.share = below(40) / 100.0;
+    if (step.fault.starts_with("cut")) {
+      for (int sides = 1 + below(fronts); sides > 0; --sides) {
+        step.to.insert(below(fronts));
+      }
+    }
+    if (of_stores(step.fault) || (links && plan.stores > 0)) {
+      for (int sides = 1 + below(2); sides > 0; --sides) {
+        step.stores.insert(below(plan.stores));
+      }
+    }
+    if (links && plan.stores > 0 && below(3) == 0) {
+      step.with.insert(below(2) == 0 ? "discovery" : "clients");
+    }
+    if (step.fault == "slow") {
+      step.by = below(300), step.jitter = below(100);
+    }
+    if (step.fault == "lag") {
+      step.by = below(5000);
+    }
+    if (step.fault == "loss" || step.fault == "errors") {
+      step.share = below(40) / 100.0;
+    }
     step.lasts = 50 + below(1500);
     steps.push_back(std::move(step));
   }
   std::vector<const char*> mends{"heal", "wake", "start"};
-  if (plan.stores > 0) mends = {"heal", "rise", "recover", "enlist", "discovery-speaks", "wake", "start"};
+  if (plan.stores > 0) {
+    mends = {"heal", "rise", "recover", "enlist", "discovery-speaks", "wake", "start"};
+  }
   for (const char* mended : mends) {
     steps.push_back(plain);
     steps.back().fault = mended, steps.back().fronts = all_of(fronts);
-    if (of_stores(mended)) steps.back().stores = all_of(plan.stores);
+    if (of_stores(mended)) {
+      steps.back().stores = all_of(plan.stores);
+    }
   }
   steps.back().until = "agreed";
   return steps;
@@ -204,15 +257,30 @@
 std::string text_of(const Step& step) {
   std::string text = step.fault == "none" ? "nothing" : step.fault;
   if (step.fault != "heal" && step.fault != "none" && !of_stores(step.fault) &&
-      !step.fault.starts_with("discovery"))
+      !step.fault.starts_with("discovery")) {
     text += fmt::format(" {}", fmt::join(step.fronts, ","));
-  if (!step.to.empty()) text += fmt::format(" and {}", fmt::join(step.to, ","));
-  if (!step.stores.empty()) text += fmt::format(" stores {}", fmt::join(step.stores, ","));
-  if (!step.with.empty()) text += fmt::format(" with {}", fmt::join(step.with, ","));
-  if (!step.name.empty()) text += fmt::format(" as {}", step.name);
-  if (step.clock != 0) text += fmt::format(", clock {:+}ms", step.clock);
-  if (step.by > 0 || step.jitter > 0) text += fmt::format(" by {}ms, jitter {}ms", step.by, step.jitter);
-  if (step.share > 0) text += fmt::format(" {:.0f}%", step.share * 100);
+  }
+  if (!step.to.empty()) {
+    text += fmt::format(" and {}", fmt::join(step.to, ","));
+  }
+  if (!step.stores.empty()) {
+    text += fmt::format(" stores {}", fmt::join(step.stores, ","));
+  }
+  if (!step.with.empty()) {
+    text += fmt::format(" with {}", fmt::join(step.with, ","));
+  }
+  if (!step.name.empty()) {
+    text += fmt::format(" as {}", step.name);
+  }
+  if (step.clock != 0) {
+    text += fmt::format(", clock {:+}ms", step.clock);
+  }
+  if (step.by > 0 || step.jitter > 0) {
+    text += fmt::format(" by {}ms, jitter {}ms", step.by, step.jitter);
+  }
+  if (step.share > 0) {
+    text += fmt::format(" {:.0f}%", step.share * 100);
+  }
   return text;
 }
 
--- a/src/faulttest/process.cpp
+++ b/src/faulttest/process.cpp
@@ -20,23 +20,35 @@
 Process::~Process() { signal(SIGKILL); }
 
 void Process::start(const std::string& config, const std::string& orders) {
-  if (up()) return;
-  if (ending_) signal(SIGKILL);  // it was told to end and has not yet
+  if (up()) {
+    return;
+  }
+  if (ending_) {
+    signal(SIGKILL);  // it was told to end and has not yet
+  }
   const std::string base = folder_ + "/" + label_;
   std::ofstream(base + ".json") << config;
   std::ofstream(base + ".sexp") << orders;
   std::error_code none;
   std::filesystem::remove(status_path(), none);
-  const std::string orders_path = base + ".sexp", placement_path = base + ".json", log_path = base + ".log";
+  const std::string orders_path = base + ".sexp";
+  const std::string placement_path = base + ".json";
+  const std::string log_path = base + ".log";
   const pid_t rig = getpid();
   pid_ = fork();
-  if (pid_ != 0) return;
+  if (pid_ != 0) {
+    return;
+  }
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (getppid() != rig) _exit(127);  // the rig has ended in between
+  if (getppid() != rig) {
+    _exit(127);  // the rig has ended in between
+  }
   const int log = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   dup2(log, STDERR_FILENO);
   close_range(3, ~0U, 0);  // the rig's sockets are not its
-  for (const char* variable : {"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"}) unsetenv(variable);
+  for (const char* variable : {"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"}) {
+    unsetenv(variable);
+  }
   setenv("ROUTER_CONFIG", placement_path.c_str(), 1);
   execl(program_.c_str(), program_.c_str(), "run", orders_path.c_str(), nullptr);
   _exit(127);
@@ -44,17 +56,27 @@
 
 void Process::reload(const std::string& config) {
   std::ofstream(folder_ + "/" + label_ + ".json") << config;
-  if (up()) signal(SIGHUP);
+  if (up()) {
+    signal(SIGHUP);
+  }
 }
 
 void Process::signal(int signal) {
-  if (pid_ <= 0) return;
+  if (pid_ <= 0) {
+    return;
+  }
   kill(pid_, signal);
-  if (signal == SIGSTOP) stopped_ = true;
-  if (signal == SIGCONT) stopped_ = false;
+  if (signal == SIGSTOP) {
+    stopped_ = true;
+  }
+  if (signal == SIGCONT) {
+    stopped_ = false;
+  }
   if (signal == SIGTERM) {
     ending_ = true;
-    if (std::exchange(stopped_, false)) kill(pid_, SIGCONT);
+    if (std::exchange(stopped_, false)) {
+      kill(pid_, SIGCONT);
+    }
   }
   if (signal == SIGKILL) {
     waitpid(std::exchange(pid_, 0), nullptr, 0);
@@ -63,7 +85,9 @@
 }
 
 bool Process::crashed() {
-  if (pid_ <= 0 || waitpid(pid_, nullptr, WNOHANG) != pid_) return false;
+  if (pid_ <= 0 || waitpid(pid_, nullptr, WNOHANG) != pid_) {
+    return false;
+  }
   pid_ = 0;
   return !std::exchange(ending_, false);
 }
@@ -82,7 +106,9 @@
   for (std::string line; std::getline(file, line) && !file.eof();) {
     log_read_ += line.size() + 1;
     const nlohmann::json json = nlohmann::json::parse(line, nullptr, false);
-    if (json.is_object()) lines.push_back(json);
+    if (json.is_object()) {
+      lines.push_back(json);
+    }
   }
   return lines;
 }
--- a/src/faulttest/process.hpp
+++ b/src/faulttest/process.hpp
@@ -23,17 +23,17 @@
   // The placement is another from now on, and it is told so.
   void reload(const std::string& config);
   void signal(int signal);  // SIGSTOP, SIGCONT and such as end it
-  bool up() const { return pid_ > 0 && !ending_; }
+  [[nodiscard]] bool up() const { return pid_ > 0 && !ending_; }
   // There is a process, even if it was told to end.
-  bool runs() const { return pid_ > 0; }
-  bool stopped() const { return stopped_; }
+  [[nodiscard]] bool runs() const { return pid_ > 0; }
+  [[nodiscard]] bool stopped() const { return stopped_; }
   // Looks whether it has ended. True: it did by itself, which a front that was not told to must not.
   bool crashed();
-  pid_t pid() const { return pid_; }
+  [[nodiscard]] pid_t pid() const { return pid_; }
 
-  std::string status_path() const { return folder_ + "/" + label_ + ".status"; }
+  [[nodiscard]] std::string status_path() const { return folder_ + "/" + label_ + ".status"; }
   // What it said last of its fellows in this life; null: nothing yet.
-  nlohmann::json status() const;
+  [[nodiscard]] nlohmann::json status() const;
   // Lines of its log that came since the last call, those that read as JSON.
   std::vector<nlohmann::json> log_lines();
 
--- a/src/faulttest/relay.hpp
+++ b/src/faulttest/relay.hpp
@@ -42,7 +42,7 @@
   // Whether somebody listens at a front's place. Where nobody does, who sends there is told so by this
   // machine, as by the front's own; but not while any link to it is cut, for nothing comes through those.
   void listening(int front, bool process);
-  Carried carried(int front) const { return carried_.at(static_cast<std::size_t>(front)); }
+  [[nodiscard]] Carried carried(int front) const { return carried_.at(static_cast<std::size_t>(front)); }
 
   // To one front as if from another, whatever the link between them is like: what does not read, or what that
   // one has sent before.
@@ -52,11 +52,11 @@
  private:
   struct Stand;
   void listen(Stand& stand);
-  bool any_cut(int front) const;
+  [[nodiscard]] bool any_cut(int front) const;
   void came(int from, int to, std::string bytes);
   void carry(int from, int to, const std::string& bytes);
   void pass(int from, int to, const std::string& bytes);
-  std::size_t index(int from, int to) const {
+  [[nodiscard]] std::size_t index(int from, int to) const {
     return static_cast<std::size_t>(from) * fronts_.size() + static_cast<std::size_t>(to);
   }
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
--- a/src/faulttest/report.cpp
+++ b/src/faulttest/report.cpp
@@ -28,14 +28,16 @@
   const auto second = [&](const nlohmann::json& one) -> Second& {
     return seconds[static_cast<int>(std::floor(one["at"].get<double>() / 1000))];
   };
-  for (const nlohmann::json& step : record["steps"])
+  for (const nlohmann::json& step : record["steps"]) {
     second(step).events.push_back(
         fmt::format("{:.2f} s  {}", step["at"].get<double>() / 1000, step["text"].get<std::string>()));
-  for (const nlohmann::json& broken : record["broken"])
+  }
+  for (const nlohmann::json& broken : record["broken"]) {
     second(broken).events.push_back(
         fmt::format("{:.2f} s  BROKEN {}: {}, op {}, front {}, store {}", broken["at"].get<double>() / 1000,
                     broken["rule"].get<std::string>(), broken["why"].get<std::string>(),
                     broken["op"].get<std::string>(), broken["front"].dump(), broken["store"].dump()));
+  }
   int most = 1;
   for (const nlohmann::json& span : record["spans"]) {
     Second& of = second(span);
@@ -44,7 +46,9 @@
       const int ops = span.value(word_of(static_cast<Came>(came)), 0);
       of.came[static_cast<Came>(came)] += ops;
     }
-    for (const auto& [came, ops] : of.came) all += ops;
+    for (const auto& [came, ops] : of.came) {
+      all += ops;
+    }
     of.p99 = std::max(of.p99, span.value("p99", 0.0));
     most = std::max(most, all);
   }
@@ -54,15 +58,22 @@
                   record["fronts"].dump(), record["stores"].dump(), record["seed"].dump(),
                   record["ms"].get<double>() / 1000)};
   for (const auto& [at, of] : seconds) {
-    for (const std::string& event : of.events) lines.push_back("  " + event);
-    if (of.came.empty()) continue;
-    std::string bar, counts;
+    for (const std::string& event : of.events) {
+      lines.push_back("  " + event);
+    }
+    if (of.came.empty()) {
+      continue;
+    }
+    std::string bar;
+    std::string counts;
     for (const auto& [came, ops] : of.came) {
       constexpr char letters[kCames] = {'#', 'l', 'b', 'e', '-', '-'};
       // Whatever happened at all is seen.
       bar += std::string(static_cast<std::size_t>(std::ceil(static_cast<double>(ops) * kBar / most)),
                          letters[static_cast<int>(came)]);
-      if (ops > 0) counts += fmt::format(" {} {}", ops, word_of(came));
+      if (ops > 0) {
+        counts += fmt::format(" {} {}", ops, word_of(came));
+      }
     }
     lines.push_back(fmt::format("{:4d} s {:{}} p99 {:6.1f} ms {}", at, bar, kBar + kCames, of.p99, counts));
   }
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -122,7 +122,7 @@
   };
 
   TestDiscovery::Now list_since(long long since);
-  std::string row_of(int server) const;
+  [[nodiscard]] std::string row_of(int server) const;
   void publish(const std::vector<int>& servers, bool whole);
   void release_step(int step);
   void connect(Client& client);
@@ -171,7 +171,9 @@
 
 std::vector<Tcp::endpoint> endpoints_of(int count) {
   std::vector<Tcp::endpoint> endpoints;
-  for (int server = 0; server < count; ++server) endpoints.push_back(own_endpoint(kServerRole, server));
+  for (int server = 0; server < count; ++server) {
+    endpoints.push_back(own_endpoint(kServerRole, server));
+  }
   return endpoints;
 }
 
@@ -200,7 +202,9 @@
     const int place = server < day.servers ? server : server - day.servers / 2;
     servers_.state(server).group = place % groups_;
     servers_.state(server).primary = server < groups_;
-    if (server < day.servers) listed_[static_cast<std::size_t>(server)] = Listing::active;
+    if (server < day.servers) {
+      listed_[static_cast<std::size_t>(server)] = Listing::active;
+    }
   }
   servers_.on({}, [this](int server, const std::string& request, const Tcp::endpoint&) {
     attempt_came(server, request);
@@ -209,8 +213,12 @@
 
 std::string Day::row_of(int server) const {
   const char* state = "active";
-  if (listed_[static_cast<std::size_t>(server)] == Listing::leaving) state = "leaving";
-  if (listed_[static_cast<std::size_t>(server)] == Listing::left) state = "left";
+  if (listed_[static_cast<std::size_t>(server)] == Listing::leaving) {
+    state = "leaving";
+  }
+  if (listed_[static_cast<std::size_t>(server)] == Listing::left) {
+    state = "left";
+  }
   const char* form =
       day_.indented
           ? "    {{\n      \"uid\": \"s-{:08x}\",\n      \"endpoint\": \"{}\",\n      \"az\": \"a\",\n"
@@ -228,9 +236,15 @@
   for (int server = 0; server < total_; ++server) {
     const auto at = static_cast<std::size_t>(server);
     const bool present = listed_[at] == Listing::active || listed_[at] == Listing::leaving;
-    if (whole ? !present : listed_[at] == Listing::absent || changed_at_[at] <= since) continue;
-    if (!rows.empty()) rows += ',';
-    if (day_.indented) rows += '\n';
+    if (whole ? !present : listed_[at] == Listing::absent || changed_at_[at] <= since) {
+      continue;
+    }
+    if (!rows.empty()) {
+      rows += ',';
+    }
+    if (day_.indented) {
+      rows += '\n';
+    }
     rows += row_of(server);
   }
   TestDiscovery::Now now{revision_,
@@ -240,17 +254,20 @@
   for (int server = 0; server < total_; ++server) {
     const auto at = static_cast<std::size_t>(server);
     const bool wanted = listed_[at] == Listing::active;
-    if (wanted || listed_[at] == Listing::absent)
+    if (wanted || listed_[at] == Listing::absent) {
       unwanted_since_[at].reset();
-    else if (!unwanted_since_[at])
+    } else if (!unwanted_since_[at]) {
       unwanted_since_[at] = clock_.now();
+    }
   }
   return now;
 }
 
 void Day::publish(const std::vector<int>& servers, bool whole) {
   ++revision_;
-  for (const int server : servers) changed_at_[static_cast<std::size_t>(server)] = revision_;
+  for (const int server : servers) {
+    changed_at_[static_cast<std::size_t>(server)] = revision_;
+  }
   whole_next_ = whole;
   discovery_.changed();
 }
@@ -261,12 +278,16 @@
   const int replaced = day_.servers / 2;
   std::vector<int> changed;
   const auto part = [&](int number, auto each) {
-    if (number < 0 || number >= kReleaseSteps) return;
-    for (int at = replaced * number / kReleaseSteps; at < replaced * (number + 1) / kReleaseSteps; ++at)
+    if (number < 0 || number >= kReleaseSteps) {
+      return;
+    }
+    for (int at = replaced * number / kReleaseSteps; at < replaced * (number + 1) / kReleaseSteps; ++at) {
       each(at);
+    }
   };
   part(step, [&](int at) {
-    const int fresh = day_.servers + at, old = replaced + at;
+    const int fresh = day_.servers + at;
+    const int old = replaced + at;
     servers_.state(fresh).booted = clock_.now();
     listed_[static_cast<std::size_t>(fresh)] = Listing::active;
     listed_[static_cast<std::size_t>(old)] = Listing::leaving;
@@ -277,7 +298,7 @@
     listed_[static_cast<std::size_t>(replaced + at)] = Listing::left;
     changed.push_back(replaced + at);
   });
-  if (step == kReleaseSteps / 2)  // hand-overs in an eighth of the groups
+  if (step == kReleaseSteps / 2) {  // hand-overs in an eighth of the groups
     for (int group = 0; group < groups_; group += kReleaseSteps) {
       const int next = group + groups_;
       servers_.state(next).reached = servers_.position(next);
@@ -285,8 +306,13 @@
       servers_.state(group).primary = false;
       servers_.state(next).primary = true;
     }
-  if (step == kOutageFrom) discovery_.be_silent(true);
-  if (step == kOutageTo) discovery_.be_silent(false);
+  }
+  if (step == kOutageFrom) {
+    discovery_.be_silent(true);
+  }
+  if (step == kOutageTo) {
+    discovery_.be_silent(false);
+  }
   publish(changed, step == kOutageTo);
 }
 
@@ -299,7 +325,9 @@
   client.socket.close(ignored);
   client.socket = Tcp::socket(io_);
   client.socket.async_connect(front_at_, [this, &client, life](const asio::error_code& fault) {
-    if (life != client.life) return;
+    if (life != client.life) {
+      return;
+    }
     if (fault) {
       timers_.set(clock_.now() + kPing, [this, &client] { connect(client); });
       return;
@@ -316,8 +344,12 @@
   const std::uint64_t life = client.life;
   client.socket.async_read_some(
       asio::buffer(client.bytes), [this, &client, life](const asio::error_code& fault, std::size_t count) {
-        if (life != client.life) return;
-        if (fault) return connect(client);
+        if (life != client.life) {
+          return;
+        }
+        if (fault) {
+          return connect(client);
+        }
         client.held.append(client.bytes.data(), count);
         while (client.held.size() >= 5) {
           // The front says more kinds than servers do; what counts here is the type and the length.
@@ -325,33 +357,50 @@
             return static_cast<std::size_t>(static_cast<unsigned char>(client.held[at]));
           };
           const std::size_t size = 1 + (byte(1) << 24 | byte(2) << 16 | byte(3) << 8 | byte(4));
-          if (client.held.size() < size) break;
+          if (client.held.size() < size) {
+            break;
+          }
           const std::string whole = client.held.substr(0, size);
           client.held.erase(0, size);
           take(client, {whole[0], std::string_view(whole).substr(5), whole});
-          if (life != client.life) return;
+          if (life != client.life) {
+            return;
+          }
         }
         read(client);
       });
 }
 
 void Day::take(Client& client, const postgres::Message& message) {
-  if (message.type == 'D') client.has_row = true;
-  if (message.type == 'E')
-    if (const auto fields = postgres::read_error(message.body)) client.error_code = fields->code;
-  if (message.type != 'Z') return;
+  if (message.type == 'D') {
+    client.has_row = true;
+  }
+  if (message.type == 'E') {
+    if (const auto fields = postgres::read_error(message.body)) {
+      client.error_code = fields->code;
+    }
+  }
+  if (message.type != 'Z') {
+    return;
+  }
   if (!std::exchange(client.welcomed, true)) {
-    if (&client == pinger_.get()) return ping();
+    if (&client == pinger_.get()) {
+      return ping();
+    }
     return ask_later(client);
   }
-  if (&client == pinger_.get()) return ping_read();
+  if (&client == pinger_.get()) {
+    return ping_read();
+  }
   answered(client);
 }
 
 void Day::ask_later(Client& client) {
   const Millis pause = 1000.0 * kClients / day_.requests_per_second;
   timers_.set(clock_.now() + pause * (0.5 + draw()), [this, &client, life = client.life] {
-    if (life == client.life && !resting_) ask(client);
+    if (life == client.life && !resting_) {
+      ask(client);
+    }
   });
 }
 
@@ -361,20 +410,23 @@
   client.error_code.clear();
   const int group = static_cast<int>(random_() % static_cast<unsigned>(groups_));
   const double kind = draw();
-  if (kind < 0.1)
+  if (kind < 0.1) {
     client.out =
         postgres::query(fmt::format("INSERT INTO records (k, v) VALUES ('k{}', '\\x01') RETURNING v /* "
                                     "id={},c=book,d={:.0f},k={},cluster={} */",
                                     group, client.request, kPatience, client.request, group));
-  else
+  } else {
     client.out = postgres::query(
         fmt::format("SELECT v FROM records WHERE k = 'k{}' /* id={},c={},d={:.0f},cluster={} */", group,
                     client.request, kind < 0.5 ? "look" : "recent", kPatience, group));
+  }
   requests_[client.request] = {clock_.now(), std::nullopt};
   ++cost_.asked;
   asio::async_write(client.socket, asio::buffer(client.out), [](const asio::error_code&, std::size_t) {});
   timers_.set(clock_.now() + kPatience + kLostAfter, [this, &client, request = client.request] {
-    if (client.request != request) return;
+    if (client.request != request) {
+      return;
+    }
     ++cost_.lost;
     broken(fmt::format("lost: request {} got no final answer {:.0f} ms after its time", request, kLostAfter));
     requests_[request].answered = requests_[request].sent + kPatience;
@@ -383,16 +435,19 @@
 }
 
 void Day::answered(Client& client) {
-  if (client.request.empty()) return;
+  if (client.request.empty()) {
+    return;
+  }
   Request& request = requests_[std::exchange(client.request, "")];
   request.answered = clock_.now();
   const bool in_time = clock_.now() <= request.sent + kPatience;
-  if (client.has_row && in_time)
+  if (client.has_row && in_time) {
     ++cost_.served;
-  else if (client.error_code == "53300" || client.error_code == "57P03")
+  } else if (client.error_code == "53300" || client.error_code == "57P03") {
     ++cost_.refused;
-  else
+  } else {
     ++cost_.failed;
+  }
   ask_later(client);
 }
 
@@ -423,7 +478,9 @@
 void Day::ping_read() {
   pings_.push_back(clock_.now() - pinged_);
   timers_.set(clock_.now() + kPing, [this, life = pinger_->life] {
-    if (life == pinger_->life) ping();
+    if (life == pinger_->life) {
+      ping();
+    }
   });
 }
 
@@ -438,18 +495,24 @@
     const auto tell = [&](int server) {
       // The others, too, know of a drain when discovery tells, and keep the pace until then.
       const auto& unwanted = unwanted_since_[static_cast<std::size_t>(server)];
-      if (listed_[static_cast<std::size_t>(server)] == Listing::absent || unwanted) return;
+      if (listed_[static_cast<std::size_t>(server)] == Listing::absent || unwanted) {
+        return;
+      }
       const Role role =
           servers_.state(server).primary ? reedspindle::Role::primary : reedspindle::Role::replica;
       samples.push_back({mark_of({fmt::format("s-{:08x}", server)}), {role, servers_.position(server), 0.3}});
     };
     for (int server = group; server < day_.servers; server += groups_) {
       tell(server);
-      if (server >= day_.servers / 2) tell(server + day_.servers / 2);
+      if (server >= day_.servers / 2) {
+        tell(server + day_.servers / 2);
+      }
     }
     const std::string text = text_of(clock_.now(), samples);
     asio::error_code ignored;
-    if (!samples.empty()) peer_.send_to(asio::buffer(text), to, 0, ignored);
+    if (!samples.empty()) {
+      peer_.send_to(asio::buffer(text), to, 0, ignored);
+    }
   }
   timers_.set(clock_.now() + kWords / kSlices, [this] { speak_of_all(); });
 }
@@ -465,30 +528,46 @@
   std::ifstream stat(folder + "stat");
   std::string field;
   double ticks = 0;
-  for (int number = 1; number <= 15 && stat >> field; ++number)
-    if (number >= 14) ticks += std::stod(field);
-  if (ticks > 0) cost_.processor_seconds = ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
+  for (int number = 1; number <= 15 && stat >> field; ++number) {
+    if (number >= 14) {
+      ticks += std::stod(field);
+    }
+  }
+  if (ticks > 0) {
+    cost_.processor_seconds = ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
+  }
   std::ifstream status(folder + "status");
-  for (std::string line; std::getline(status, line);)
-    if (line.starts_with("VmHWM:")) cost_.peak_memory_mb = std::stod(line.substr(6)) / 1024;
+  for (std::string line; std::getline(status, line);) {
+    if (line.starts_with("VmHWM:")) {
+      cost_.peak_memory_mb = std::stod(line.substr(6)) / 1024;
+    }
+  }
   std::error_code gone;
   const auto descriptors = std::distance(std::filesystem::directory_iterator(folder + "fd", gone), {});
   // Before it is ready it may not have begun yet: a fork still holds what its parent does.
-  if (!gone && ready_) cost_.descriptors = std::max(cost_.descriptors, static_cast<std::size_t>(descriptors));
-  for (const Json& line : front_.log_lines())
-    if (line.value("event", "") == "longest turn")
+  if (!gone && ready_) {
+    cost_.descriptors = std::max(cost_.descriptors, static_cast<std::size_t>(descriptors));
+  }
+  for (const Json& line : front_.log_lines()) {
+    if (line.value("event", "") == "longest turn") {
       cost_.longest_turn_ms = std::max(cost_.longest_turn_ms, line.value("ms", 0.0));
+    }
+  }
   timers_.set(clock_.now() + kLook, [this] { look_at_front(); });
 }
 
 void Day::broken(std::string line) {
-  if (cost_.breaks.size() < kBreaksTold) cost_.breaks.push_back(std::move(line));
+  if (cost_.breaks.size() < kBreaksTold) {
+    cost_.breaks.push_back(std::move(line));
+  }
 }
 
 void Day::run_for(Millis span) {
   bool over = false;
   timers_.set(clock_.now() + span, [&over] { over = true; });
-  while (!over && !cost_.crashed) io_.run_one();
+  while (!over && !cost_.crashed) {
+    io_.run_one();
+  }
 }
 
 ScaleCost Day::play() {
@@ -496,8 +575,9 @@
   peer_.open(asio::ip::udp::v4());
   peer_.bind({asio::ip::make_address(peer_address), kFirstPort});
   Json peers = {fmt::format("{}:{}", peer_address, kFirstPort), config::text_of(front_at_)};
-  for (int other = 2; other < day_.fronts; ++other)
+  for (int other = 2; other < day_.fronts; ++other) {
     peers.push_back(fmt::format("{}:{}", peer_address, kFirstPort + other));
+  }
   const Json config = {{"name", "n0"},
                        {"listen", config::text_of(front_at_)},
                        {"discovery", config::text_of(discovery_.at())},
@@ -515,10 +595,16 @@
   pinger_ = std::make_unique<Client>(io_);
   connect(*pinger_);
   look_at_front();
-  if (day_.fronts > 1) speak_of_all();
+  if (day_.fronts > 1) {
+    speak_of_all();
+  }
   const Millis ready_by = clock_.now() + kReadyWithin;
-  while (pings_.empty() && clock_.now() < ready_by && !cost_.crashed) io_.run_one();
-  if (pings_.empty()) throw std::runtime_error("the front was not ready in time");
+  while (pings_.empty() && clock_.now() < ready_by && !cost_.crashed) {
+    io_.run_one();
+  }
+  if (pings_.empty()) {
+    throw std::runtime_error("the front was not ready in time");
+  }
   pings_.clear();
   ready_ = true;
 
@@ -533,7 +619,9 @@
     hold = timers_.set(clock_.now() + kPeriod * (run ? day_.cores : 1 - day_.cores),
                        [&alternate, run] { alternate(!run); });
   };
-  if (day_.cores < 1) alternate(false);
+  if (day_.cores < 1) {
+    alternate(false);
+  }
   run_for(static_cast<Millis>(day_.rest.count()));
   for (int step = 0; step <= kReleaseSteps; ++step) {
     release_step(step);
--- a/src/faulttest/scale.hpp
+++ b/src/faulttest/scale.hpp
@@ -40,8 +40,8 @@
   bool crashed = false;
   std::vector<std::string> breaks;  // the first few broken rules, a line each
 
-  double served_share() const;
-  bool rules_kept() const { return lost + late_attempts + drained_attempts == 0 && !crashed; }
+  [[nodiscard]] double served_share() const;
+  [[nodiscard]] bool rules_kept() const { return lost + late_attempts + drained_attempts == 0 && !crashed; }
 };
 
 // Plays the day. Files of the front stay in the folder. Throws std::runtime_error where the front does not
--- a/src/faulttest/streams.cpp
+++ b/src/faulttest/streams.cpp
@@ -94,7 +94,9 @@
 
 void Streams::accept(Gate& gate) {
   gate.acceptor.async_accept([this, &gate](const asio::error_code& fault, asio::ip::tcp::socket socket) {
-    if (fault == asio::error::operation_aborted) return;
+    if (fault == asio::error::operation_aborted) {
+      return;
+    }
     if (!fault) {
       const auto connection = std::make_shared<Connection>(gate, std::move(socket), io_);
       asio::error_code gone;
@@ -112,39 +114,54 @@
 }
 
 void Streams::connect(const Connected& connection) {
-  if (connection->connecting || connection->gate.to.cut || connection->gate.back.cut) return;
+  if (connection->connecting || connection->gate.to.cut || connection->gate.back.cut) {
+    return;
+  }
   connection->connecting = true;
   connection->target.async_connect(
       connection->gate.target, [this, connection](const asio::error_code& fault) {
-        if (connection->given_back) return;
-        if (fault) return break_off(connection);
+        if (connection->given_back) {
+          return;
+        }
+        if (fault) {
+          return break_off(connection);
+        }
         connection->connected = true;
         asio::error_code ignored;
         connection->near = connection->target.local_endpoint(ignored);
         ends_[connection->near] = connection;
-        for (asio::ip::tcp::socket* socket : {&connection->opener, &connection->target})
+        for (asio::ip::tcp::socket* socket : {&connection->opener, &connection->target}) {
           socket->set_option(asio::ip::tcp::no_delay(true), ignored);
+        }
         pass(connection, connection->to);
         read(connection, connection->back);
       });
 }
 
 void Streams::read(const Connected& connection, Pipe& pipe) {
-  if (pipe.reading || pipe.over || pipe.bytes_held > kHeld) return;
+  if (pipe.reading || pipe.over || pipe.bytes_held > kHeld) {
+    return;
+  }
   pipe.reading = true;
   pipe.from.async_read_some(
       asio::buffer(pipe.buffer), [this, connection, &pipe](const asio::error_code& fault, std::size_t count) {
         pipe.reading = false;
-        if (connection->given_back) return;
+        if (connection->given_back) {
+          return;
+        }
         const Millis now = clock_.now();
         // In order, whatever the jitter.
         const double drawn = static_cast<double>(random_()) / static_cast<double>(random_.max());
         Millis due = std::max(pipe.last_due, now + pipe.way.by + pipe.way.jitter * drawn);
-        if (pipe.way.rate > 0) due += static_cast<double>(count) * 1000 / pipe.way.rate;
+        if (pipe.way.rate > 0) {
+          due += static_cast<double>(count) * 1000 / pipe.way.rate;
+        }
         pipe.last_due = due;
         if (fault) {
           pipe.passage.ended = now, pipe.over = true;
-          if (&pipe == &connection->to) --connection->gate.open;
+          if (&pipe == &connection->to) {
+            --connection->gate.open;
+          }
           pipe.held.push_back({due, "", fault != asio::error::eof});
         } else {
           pipe.passage.read = now, pipe.passage.taken += count, pipe.bytes_held += count;
@@ -156,32 +173,39 @@
 }
 
 void Streams::pass(const Connected& connection, Pipe& pipe) {
-  if (connection->given_back || !connection->connected || pipe.writing || pipe.held.empty() || pipe.way.cut)
+  if (connection->given_back || !connection->connected || pipe.writing || pipe.held.empty() || pipe.way.cut) {
     return;
+  }
   if (pipe.held.front().due > clock_.now()) {
-    if (!pipe.wake)
+    if (!pipe.wake) {
       pipe.wake = timers_.set(pipe.held.front().due, [this, connection, &pipe] {
         pipe.wake.reset();
         pass(connection, pipe);
       });
+    }
     return;
   }
   if (pipe.held.front().bytes.empty()) {
     const bool reset = pipe.held.front().reset;
     pipe.held.pop_front();
-    if (reset) return break_off(connection);
+    if (reset) {
+      return break_off(connection);
+    }
     asio::error_code ignored;
     pipe.to.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     if (connection->to.over && connection->back.over && connection->to.held.empty() &&
-        connection->back.held.empty())
+        connection->back.held.empty()) {
       give_back(connection);
+    }
     return;
   }
   pipe.writing = true;
   asio::async_write(pipe.to, asio::buffer(pipe.held.front().bytes),
                     [this, connection, &pipe](const asio::error_code& fault, std::size_t count) {
                       pipe.writing = false;
-                      if (connection->given_back) return;
+                      if (connection->given_back) {
+                        return;
+                      }
                       fault ? break_off(connection) : wrote(connection, pipe, count);
                     });
 }
@@ -190,9 +214,10 @@
   pipe.passage.written = clock_.now(), pipe.passage.given += bytes;
   pipe.bytes_held -= bytes;
   pipe.held.pop_front();
-  if (passed_)
+  if (passed_) {
     passed_({connection->gate.number, &pipe == &connection->back, connection->far, connection->near,
              pipe.passage.given, pipe.passage.written});
+  }
   pass(connection, pipe);
   read(connection, pipe);
 }
@@ -204,21 +229,32 @@
 }
 
 void Streams::give_back(const Connected& connection) {
-  if (std::exchange(connection->given_back, true)) return;
-  if (!connection->to.over) --connection->gate.open;
+  if (std::exchange(connection->given_back, true)) {
+    return;
+  }
+  if (!connection->to.over) {
+    --connection->gate.open;
+  }
   asio::error_code ignored;
   connection->opener.close(ignored);
   connection->target.close(ignored);
   timers_.drop(connection->to.wake);
   timers_.drop(connection->back.wake);
   const Millis now = clock_.now();
-  for (const Endpoint& end : {connection->far, connection->near})
-    if (ends_.erase(end) > 0) gone_[end] = {now, connection->crossing}, going_.push_back(end);
+  for (const Endpoint& end : {connection->far, connection->near}) {
+    if (ends_.erase(end) > 0) {
+      gone_[end] = {now, connection->crossing}, going_.push_back(end);
+    }
+  }
   while (!going_.empty()) {
     const auto oldest = gone_.find(going_.front());
     // An end may have come back since, under the same numbers.
-    if (oldest != gone_.end() && now - oldest->second.first < kRemembered) break;
-    if (oldest != gone_.end()) gone_.erase(oldest);
+    if (oldest != gone_.end() && now - oldest->second.first < kRemembered) {
+      break;
+    }
+    if (oldest != gone_.end()) {
+      gone_.erase(oldest);
+    }
     going_.pop_front();
   }
   connections_.remove(connection);
@@ -233,20 +269,28 @@
 }
 
 void Streams::heal() {
-  for (const auto& gate : gates_) gate->to = gate->back = {};
+  for (const auto& gate : gates_) {
+    gate->to = gate->back = {};
+  }
   go_on();
 }
 
 void Streams::reset(int gate) {
-  for (const Connected& connection : std::list<Connected>(connections_))
-    if (connection->gate.number == gate) break_off(connection);
+  for (const Connected& connection : std::list<Connected>(connections_)) {
+    if (connection->gate.number == gate) {
+      break_off(connection);
+    }
+  }
 }
 
 int Streams::open_at(int gate) const { return gates_.at(static_cast<std::size_t>(gate))->open; }
 
 std::shared_ptr<const Crossing> Streams::crossing(const Endpoint& end) const {
-  if (const auto found = ends_.find(end); found != ends_.end())
-    if (const Connected connection = found->second.lock()) return connection->crossing;
+  if (const auto found = ends_.find(end); found != ends_.end()) {
+    if (const Connected connection = found->second.lock()) {
+      return connection->crossing;
+    }
+  }
   const auto gone = gone_.find(end);
   return gone == gone_.end() ? nullptr : gone->second.second;
 }
--- a/src/faulttest/streams.hpp
+++ b/src/faulttest/streams.hpp
@@ -53,10 +53,10 @@
   void heal();
 
   // Connections that who opened them has not ended.
-  int open_at(int gate) const;
+  [[nodiscard]] int open_at(int gate) const;
 
   // By either of its two far ends; stays for a while after both have ended.
-  std::shared_ptr<const Crossing> crossing(const Endpoint& end) const;
+  [[nodiscard]] std::shared_ptr<const Crossing> crossing(const Endpoint& end) const;
   // Bytes have gone out at the far side: to whom a connection was opened, or back to who opened it.
   struct Passed {
     int gate = -1;
--- a/src/faulttest/test_clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -31,7 +31,9 @@
 
 int Tally::ops() const {
   int all = 0;
-  for (const auto& [one, count] : came) all += count;
+  for (const auto& [one, count] : came) {
+    all += count;
+  }
   return all;
 }
 
@@ -110,9 +112,12 @@
     op->id = fmt::format("{:016x}", ++last_);
     op->meant = meant_;
     double drawn = chance();
-    for (const ClientOp& type : work_.mix)
+    for (const ClientOp& type : work_.mix) {
       drawn -= type.weight, op->type = drawn < 0 && !op->type ? &type : op->type;
-    if (!op->type) op->type = &work_.mix.back();
+    }
+    if (!op->type) {
+      op->type = &work_.mix.back();
+    }
     op->session = sessions_[random_() % sessions_.size()].get();
     ask(op);
     meant_ += -std::log(1 - std::min(0.999999, chance())) * 1000 / work_.rate;
@@ -123,11 +128,15 @@
 void TestClients::ask(const std::shared_ptr<Op>& op) {
   Session& session = *op->session;
   const Millis now = clock_.now();
-  if (session.front != session.home && now - session.moved > kHome) session.front = session.home;
+  if (session.front != session.home && now - session.moved > kHome) {
+    session.front = session.home;
+  }
   std::erase_if(session.idle, [&](const Connected& idle) { return idle->given_back; });
   const auto known = std::ranges::find(session.idle, session.front, &Connection::front);
   if (known == session.idle.end() && session.connections >= kOfSession) {
-    if (op->taken) rules_.note(invariants::Gone{op->id});
+    if (op->taken) {
+      rules_.note(invariants::Gone{op->id});
+    }
     return end(op, Came::unsent, now);
   }
   ops_[op->id] = op;
@@ -135,20 +144,24 @@
   const double left = std::max(1.0, op->meant + work_.request_timeout - now);
   const int group = session.number % groups_;
   std::string more;
-  if (op->type->effect == invariants::Effect::tokened) more += fmt::format(",k=t{}", op->id);
+  if (op->type->effect == invariants::Effect::tokened) {
+    more += fmt::format(",k=t{}", op->id);
+  }
   more += fmt::format(",cluster={}", group);
-  if (op->type->needs == invariants::Needs::session && session.token > 0)
+  if (op->type->needs == invariants::Needs::session && session.token > 0) {
     more += fmt::format(",after={:.0f}", op->after = std::ceil(session.token));
+  }
   const std::string comment = fmt::format("/* id={},c={},d={:.0f}{} */", op->id, op->type->name, left, more);
   op->text = op->type->needs == invariants::Needs::write
                  ? fmt::format("INSERT INTO records (k, v) VALUES ('s{}', '\\x9f03') RETURNING v {}",
                                session.number, comment)
                  : fmt::format("SELECT v FROM records WHERE k = 's{}' {}", session.number, comment);
-  if (!op->limit)
+  if (!op->limit) {
     op->limit = timers_.set(op->meant + work_.request_timeout + kGivesUp, [this, op] {
       op->limit.reset();
       give_up(op);
     });
+  }
   if (known != session.idle.end()) {
     const Connected connection = *known;
     session.idle.erase(known);
@@ -165,8 +178,12 @@
 void TestClients::connect(const Connected& connection) {
   connection->socket.async_connect(fronts_[static_cast<std::size_t>(connection->front)],
                                    [this, connection](const asio::error_code& fault) {
-                                     if (connection->given_back) return;
-                                     if (fault) return broken(connection);
+                                     if (connection->given_back) {
+                                       return;
+                                     }
+                                     if (fault) {
+                                       return broken(connection);
+                                     }
                                      asio::error_code ignored;
                                      connection->socket.set_option(Tcp::no_delay(true), ignored);
                                      connection->end = connection->socket.local_endpoint(ignored);
@@ -183,19 +200,27 @@
   connection->code.clear(), connection->value.clear(), connection->has_value = connection->taken = false;
   asio::async_write(connection->socket, asio::buffer(connection->out),
                     [this, connection](const asio::error_code& fault, std::size_t) {
-                      if (connection->given_back) return;
+                      if (connection->given_back) {
+                        return;
+                      }
                       connection->out.clear();
-                      if (fault) broken(connection);
+                      if (fault) {
+                        broken(connection);
+                      }
                     });
 }
 
 void TestClients::passed(const Streams::Passed& passed) {
   const auto found = ends_.find(passed.opener);
   const Connected connection = found == ends_.end() ? nullptr : found->second.lock();
-  if (!connection || !connection->request || passed.back || passed.given < connection->sent) return;
+  if (!connection || !connection->request || passed.back || passed.given < connection->sent) {
+    return;
+  }
   Op& op = *connection->request;
   connection->taken = true;
-  if (std::exchange(op.taken, true)) return;
+  if (std::exchange(op.taken, true)) {
+    return;
+  }
   rules_.note(invariants::Taken{op.id,
                                 {op.front},
                                 op.type->needs,
@@ -209,13 +234,19 @@
 void TestClients::read(const Connected& connection) {
   connection->socket.async_read_some(
       asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
-        if (connection->given_back) return;
-        if (fault) return broken(connection);
+        if (connection->given_back) {
+          return;
+        }
+        if (fault) {
+          return broken(connection);
+        }
         connection->held.append(connection->bytes.data(), count);
         for (;;) {
           const postgres::Read read = postgres::read_from_store(connection->held);
           const auto* message = std::get_if<postgres::Message>(&read);
-          if (!message) break;
+          if (!message) {
+            break;
+          }
           const std::string body(message->body);
           const char type = message->type;
           connection->held.erase(0, message->bytes.size());
@@ -223,11 +254,17 @@
             const auto fields = postgres::read_error(body);
             connection->code = fields ? fields->code : "?";
           }
-          if (type == 'D')
-            if (const auto value = postgres::read_row(body))
+          if (type == 'D') {
+            if (const auto value = postgres::read_row(body)) {
               connection->value = *value, connection->has_value = true;
-          if (type == 'Z' && std::exchange(connection->welcomed, true)) answered(connection);
-          if (connection->given_back) return;
+            }
+          }
+          if (type == 'Z' && std::exchange(connection->welcomed, true)) {
+            answered(connection);
+          }
+          if (connection->given_back) {
+            return;
+          }
         }
         this->read(connection);
       });
@@ -235,7 +272,9 @@
 
 void TestClients::answered(const Connected& connection) {
   const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
-  if (!op) return;
+  if (!op) {
+    return;
+  }
   const auto crossing = streams_.crossing(connection->end);
   const Millis now = clock_.now();
   const bool busy = connection->code == "53300" || connection->code == "57P03";
@@ -244,9 +283,11 @@
                                                              : invariants::Answer::errored;
   rules_.note(invariants::Answered{op->id, answer, crossing ? crossing->back.read : now,
                                    connection->has_value && connection->value == "\x9f" + op->id});
-  if (answer == invariants::Answer::acked && op->type->needs == invariants::Needs::write)
-    if (const auto commit = commits_.find(op->id); commit != commits_.end())
+  if (answer == invariants::Answer::acked && op->type->needs == invariants::Needs::write) {
+    if (const auto commit = commits_.find(op->id); commit != commits_.end()) {
       op->session->token = std::max(op->session->token, commit->second);
+    }
+  }
   const bool in_time = now - op->meant <= work_.latency_target;
   end(op,
       answer == invariants::Answer::acked ? (in_time ? Came::in_time : Came::late)
@@ -259,12 +300,17 @@
 
 void TestClients::broken(const Connected& connection) {
   // A fatal error is an answer, and needs no ReadyForQuery behind it.
-  if (connection->request && !connection->code.empty()) answered(connection);
+  if (connection->request && !connection->code.empty()) {
+    answered(connection);
+  }
   const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
   const auto crossing = streams_.crossing(connection->end);
   give_back(connection);
-  if (!op) return;
-  const Millis ended = crossing ? crossing->back.ended : -1, came = crossing ? crossing->to.written : -1;
+  if (!op) {
+    return;
+  }
+  const Millis ended = crossing ? crossing->back.ended : -1;
+  const Millis came = crossing ? crossing->to.written : -1;
   Session& session = *op->session;
   // The first op on a connection that is closed at once was turned away with it.
   if (connection->taken && connection->used && ended >= 0 && ended - came > kCrosses) {
@@ -279,9 +325,14 @@
 }
 
 void TestClients::give_up(const std::shared_ptr<Op>& op) {
-  if (op->taken) rules_.note(invariants::Gone{op->id});
-  for (const Connected& connection : std::list<Connected>(connections_))
-    if (connection->request == op) give_back(connection);
+  if (op->taken) {
+    rules_.note(invariants::Gone{op->id});
+  }
+  for (const Connected& connection : std::list<Connected>(connections_)) {
+    if (connection->request == op) {
+      give_back(connection);
+    }
+  }
   move_on(*op->session);
   end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
 }
@@ -297,15 +348,25 @@
   const Millis span = std::floor(op->meant / kTallied) * kTallied;
   // Ops end out of order, but none is far behind.
   auto tally = tallies_.end();
-  while (tally != tallies_.begin() && std::prev(tally)->at >= span) --tally;
-  if (tally == tallies_.end() || tally->at != span) tally = tallies_.insert(tally, Tally{span, {}, {}});
+  while (tally != tallies_.begin() && std::prev(tally)->at >= span) {
+    --tally;
+  }
+  if (tally == tallies_.end() || tally->at != span) {
+    tally = tallies_.insert(tally, Tally{span, {}, {}});
+  }
   ++tally->came[came];
-  if (came == Came::in_time || came == Came::late) tally->latencies.push_back(at - op->meant);
-  if (tallies_.size() > kTallies) tallies_.pop_front();
+  if (came == Came::in_time || came == Came::late) {
+    tally->latencies.push_back(at - op->meant);
+  }
+  if (tallies_.size() > kTallies) {
+    tallies_.pop_front();
+  }
 }
 
 void TestClients::give_back(const Connected& connection) {
-  if (std::exchange(connection->given_back, true)) return;
+  if (std::exchange(connection->given_back, true)) {
+    return;
+  }
   asio::error_code ignored;
   connection->socket.close(ignored);
   ends_.erase(connection->end);
--- a/src/faulttest/test_clients.hpp
+++ b/src/faulttest/test_clients.hpp
@@ -45,8 +45,8 @@
   Millis at = 0;
   std::map<Came, int> came;
   std::vector<Millis> latencies;  // of those acked
-  int ops() const;
-  double share(Came one) const;
+  [[nodiscard]] int ops() const;
+  [[nodiscard]] double share(Came one) const;
 };
 constexpr Millis kTallied = 100;  // the span of a tally
 
@@ -61,14 +61,16 @@
   void begin();
   // No new ops from now on.
   void rest();
-  std::size_t open() const { return ops_.size(); }
+  [[nodiscard]] std::size_t open() const { return ops_.size(); }
   // A write has been committed.
   void committed(const std::string& op, Millis position) {
-    if (ops_.contains(op)) commits_[op] = position;
+    if (ops_.contains(op)) {
+      commits_[op] = position;
+    }
   }
   void passed(const Streams::Passed& passed);
 
-  const std::deque<Tally>& tallies() const { return tallies_; }
+  [[nodiscard]] const std::deque<Tally>& tallies() const { return tallies_; }
 
  private:
   struct Session;
