--- a/src/faulttest/test_discovery.cpp
+++ b/src/faulttest/test_discovery.cpp
@@ -31,7 +31,9 @@
 
 void TestDiscovery::accept() {
   acceptor_.async_accept([this](const asio::error_code& fault, Tcp::socket socket) {
-    if (fault) return;
+    if (fault) {
+      return;
+    }
     const auto link = std::make_shared<Link>(std::move(socket));
     asio::error_code ignored;
     link->from = link->socket.remote_endpoint(ignored);
@@ -43,7 +45,9 @@
 void TestDiscovery::read(const Linked& link) {
   link->socket.async_read_some(asio::buffer(link->bytes),
                                [this, link](const asio::error_code& fault, std::size_t count) {
-                                 if (fault) return timers_.drop(link->until);
+                                 if (fault) {
+                                   return timers_.drop(link->until);
+                                 }
                                  link->held.append(link->bytes.data(), count);
                                  const std::size_t end = link->held.find("\r\n\r\n");
                                  if (end != std::string::npos) {
@@ -63,24 +67,34 @@
   timers_.drop(link->until);
   ++calls_;
   link->since = number("since=", -1);
-  if (silent_) return;
+  if (silent_) {
+    return;
+  }
   const Now now = ask_(link->since);
-  if (link->since < 0 || link->since < now.revision) return answer(link, now.list, now.revision);
+  if (link->since < 0 || link->since < now.revision) {
+    return answer(link, now.list, now.revision);
+  }
   watching_.push_back(link);
   // A watch whose time is over hears that nothing has changed.
   link->until = timers_.set(clock_.now() + static_cast<double>(number("timeout_ms=", 60000)), [this, link] {
     link->until.reset();
-    if (silent_ || link->since < 0) return;
+    if (silent_ || link->since < 0) {
+      return;
+    }
     answer(link, fmt::format(R"({{"rev":{},"all":false,"targets":[]}})", link->since), link->since);
   });
 }
 
 void TestDiscovery::changed() {
   std::erase_if(watching_, [](const auto& weak) { return weak.expired() || weak.lock()->since < 0; });
-  if (silent_) return;
+  if (silent_) {
+    return;
+  }
   for (const auto& weak : std::exchange(watching_, {})) {
     const Linked link = weak.lock();
-    if (!link || link->since < 0) continue;
+    if (!link || link->since < 0) {
+      continue;
+    }
     const Now now = ask_(link->since);
     answer(link, now.list, now.revision);
   }
@@ -91,7 +105,9 @@
   timers_.drop(link->until);
   link->out = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
   link->sent += link->out.size();
-  if (written_) written_(link->from, link->sent, revision);
+  if (written_) {
+    written_(link->from, link->sent, revision);
+  }
   asio::async_write(link->socket, asio::buffer(link->out), [link](const asio::error_code&, std::size_t) {});
 }
 
--- a/src/faulttest/test_discovery.hpp
+++ b/src/faulttest/test_discovery.hpp
@@ -29,12 +29,12 @@
                 const asio::ip::tcp::endpoint& at, Ask ask, Written written = {});
   ~TestDiscovery();
 
-  asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
+  [[nodiscard]] asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
   // Those who watch are told.
   void changed();
   // It takes what is asked and says nothing.
   void be_silent(bool silent) { silent_ = silent; }
-  std::uint64_t calls() const { return calls_; }
+  [[nodiscard]] std::uint64_t calls() const { return calls_; }
 
  private:
   struct Link;
--- a/src/faulttest/test_stores.cpp
+++ b/src/faulttest/test_stores.cpp
@@ -18,7 +18,9 @@
 
 std::string big_endian(std::uint32_t number) {
   std::string bytes;
-  for (const int shift : {24, 16, 8, 0}) bytes += static_cast<char>(number >> shift & 0xff);
+  for (const int shift : {24, 16, 8, 0}) {
+    bytes += static_cast<char>(number >> shift & 0xff);
+  }
   return bytes;
 }
 
@@ -106,34 +108,43 @@
 
 Millis TestStores::position(int store) const {
   const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
-  if (state.primary) return clock_.now();
+  if (state.primary) {
+    return clock_.now();
+  }
   return state.stalled_at >= 0 ? state.stalled_at : std::max(state.reached, clock_.now() - state.lag);
 }
 
 double TestStores::slow_start_fraction(int store) const {
   const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
-  if (state.booted <= 0) return 1;
+  if (state.booted <= 0) {
+    return 1;
+  }
   const double run = std::min(1.0, (clock_.now() - state.booted) / work_.warm_within);
   return work_.cold_from + (1 - work_.cold_from) * run;
 }
 
 void TestStores::fall(int store) {
   Place& place = this->place(store);
-  if (!std::exchange(place.state.up, false)) return;
+  if (!std::exchange(place.state.up, false)) {
+    return;
+  }
   ++place.life, place.utilization = 0;
   place.queue.clear();
   asio::error_code ignored;
   place.acceptor.close(ignored);
-  for (const auto& weak : std::exchange(place.connections, {}))
+  for (const auto& weak : std::exchange(place.connections, {})) {
     if (const Connected connection = weak.lock()) {
       connection->socket.set_option(asio::socket_base::linger(true, 0), ignored);
       connection->socket.close(ignored);
     }
+  }
 }
 
 void TestStores::rise(int store) {
   Place& place = this->place(store);
-  if (std::exchange(place.state.up, true)) return;
+  if (std::exchange(place.state.up, true)) {
+    return;
+  }
   place.state.booted = clock_.now();
   place.listen();
   accept(place);
@@ -141,7 +152,9 @@
 
 void TestStores::accept(Place& place) {
   place.acceptor.async_accept([this, &place](const asio::error_code& fault, Tcp::socket socket) {
-    if (fault || !place.state.up) return;
+    if (fault || !place.state.up) {
+      return;
+    }
     ++accepted_;
     asio::error_code ignored;
     socket.set_option(Tcp::no_delay(true), ignored);
@@ -157,25 +170,31 @@
 void TestStores::read(const Connected& connection) {
   connection->socket.async_read_some(
       asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
-        if (fault) return;
+        if (fault) {
+          return;
+        }
         connection->held.append(connection->bytes.data(), count);
         if (!connection->started && connection->held.starts_with("PRI")) {
-          if (const auto port = http2_.find(connection->place.store); port != http2_.end())
+          if (const auto port = http2_.find(connection->place.store); port != http2_.end()) {
             pass_on(connection, port->second);
+          }
           return;
         }
         for (;;) {
           const postgres::Read read = connection->started ? postgres::read_from_client(connection->held)
                                                           : postgres::read_startup(connection->held);
           const auto* asked = std::get_if<postgres::Message>(&read);
-          if (!asked) break;
+          if (!asked) {
+            break;
+          }
           const std::string text(asked->body.substr(0, asked->body.empty() ? 0 : asked->body.size() - 1));
           const bool asks = asked->type == 'Q';
           connection->held.erase(0, asked->bytes.size());
-          if (!std::exchange(connection->started, true))
+          if (!std::exchange(connection->started, true)) {
             answer(connection, postgres::welcome());
-          else if (asks)
+          } else if (asks) {
             take(connection, text);
+          }
         }
         this->read(connection);
       });
@@ -183,7 +202,9 @@
 
 void TestStores::take(const Connected& connection, const std::string& text) {
   Place& place = connection->place;
-  if (!place.state.answers) return;
+  if (!place.state.answers) {
+    return;
+  }
   if (text == "SHOW vitals") {
     ++probes_;
     const double load = static_cast<double>(place.utilization) / work_.workers;
@@ -196,7 +217,9 @@
   const auto* statement = std::get_if<postgres::Statement>(&read);
   if (!statement) {
     // Blanks are answered and do nothing; a store closes on anything else.
-    if (postgres::first_word(text).empty()) return answer(connection, postgres::empty_answer());
+    if (postgres::first_word(text).empty()) {
+      return answer(connection, postgres::empty_answer());
+    }
     asio::error_code ignored;
     connection->socket.close(ignored);
     return;
@@ -204,17 +227,26 @@
   const Millis now = clock_.now();
   const Job job{connection, std::string(statement->id), std::string(statement->token), statement->writes, now,
                 place.life};
-  if (came_) came_(place.store, job.request, connection->from);
+  if (came_) {
+    came_(place.store, job.request, connection->from);
+  }
   const auto refuse = [&](Deed deed, const char* code, const char* why) {
-    if (told_)
+    if (told_) {
       told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
              now, now, position(place.store)});
+    }
     answer(connection, failed(code, why));
   };
   const double drawn = static_cast<double>(random_()) / static_cast<double>(random_.max());
-  if (drawn < place.state.errors) return refuse(Deed::errored, "XX000", "it went wrong");
-  if (job.writes && !place.state.primary) return refuse(Deed::not_primary, "25006", "no primary");
-  if (std::ssize(place.queue) >= work_.queue) return refuse(Deed::full, "53300", "the queue is full");
+  if (drawn < place.state.errors) {
+    return refuse(Deed::errored, "XX000", "it went wrong");
+  }
+  if (job.writes && !place.state.primary) {
+    return refuse(Deed::not_primary, "25006", "no primary");
+  }
+  if (std::ssize(place.queue) >= work_.queue) {
+    return refuse(Deed::full, "53300", "the queue is full");
+  }
   place.queue.push_back(job);
   work(place);
 }
@@ -227,7 +259,9 @@
     place.queue.pop_front();
     ++place.utilization;
     timers_.set(clock_.now() + work_.work, [this, &place, job] {
-      if (job.life != place.life) return;
+      if (job.life != place.life) {
+        return;
+      }
       --place.utilization;
       done(job.connection, job);
       work(place);
@@ -237,25 +271,34 @@
 
 void TestStores::done(const Connected& connection, const Job& job) {
   Place& place = connection->place;
-  const Millis now = clock_.now(), position = this->position(place.store);
+  const Millis now = clock_.now();
+  const Millis position = this->position(place.store);
   while (!by_age_.empty() && now - by_age_.front().first > work_.token_memory) {
     tokens_.erase(by_age_.front().second);
     by_age_.pop_front();
   }
   Deed deed = Deed::ran;
-  if (job.writes && !place.state.primary) deed = Deed::not_primary;  // it was one when the op came
+  if (job.writes && !place.state.primary) {
+    deed = Deed::not_primary;  // it was one when the op came
+  }
   if (deed == Deed::ran && job.writes && !job.token.empty()) {
     const std::pair key(place.state.group, job.token);
-    if (tokens_.emplace(key, now).second)
+    if (tokens_.emplace(key, now).second) {
       by_age_.emplace_back(now, key);
-    else
+    } else {
       deed = Deed::repeated;
+    }
   }
-  if (told_)
+  if (told_) {
     told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
            job.came, now, position});
-  if (!place.state.answers) return;
-  if (deed == Deed::not_primary) return answer(connection, failed("25006", "no primary"));
+  }
+  if (!place.state.answers) {
+    return;
+  }
+  if (deed == Deed::not_primary) {
+    return answer(connection, failed("25006", "no primary"));
+  }
   answer(connection, row("\x9f" + job.request, job.writes ? "INSERT 0 1" : "SELECT 1") +
                          parameter("rank", place.state.primary ? "source" : "copy") +
                          parameter("as_of", fmt::format("{:.0f}", std::floor(position))) + postgres::ready());
@@ -263,12 +306,16 @@
 
 void TestStores::answer(const Connected& connection, const std::string& bytes) {
   connection->out += bytes;
-  if (!connection->writing.empty()) return;
+  if (!connection->writing.empty()) {
+    return;
+  }
   connection->writing = std::exchange(connection->out, "");
   asio::async_write(connection->socket, asio::buffer(connection->writing),
                     [this, connection](const asio::error_code& fault, std::size_t) {
                       connection->writing.clear();
-                      if (!fault && !connection->out.empty()) answer(connection, "");
+                      if (!fault && !connection->out.empty()) {
+                        answer(connection, "");
+                      }
                     });
 }
 
@@ -277,10 +324,14 @@
   other->writing = std::exchange(connection->held, "");
   const Tcp::endpoint to(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port));
   other->socket.async_connect(to, [this, connection, other](const asio::error_code& fault) {
-    if (fault) return;
+    if (fault) {
+      return;
+    }
     asio::async_write(other->socket, asio::buffer(other->writing),
                       [this, connection, other](const asio::error_code& broken, std::size_t) {
-                        if (broken) return;
+                        if (broken) {
+                          return;
+                        }
                         relay(connection, other);
                         relay(other, connection);
                       });
@@ -298,7 +349,9 @@
         }
         asio::async_write(to->socket, asio::buffer(from->bytes, count),
                           [this, from, to](const asio::error_code& broken, std::size_t) {
-                            if (!broken) relay(from, to);
+                            if (!broken) {
+                              relay(from, to);
+                            }
                           });
       });
 }
--- a/src/faulttest/test_stores.hpp
+++ b/src/faulttest/test_stores.hpp
@@ -67,18 +67,18 @@
   // What begins as HTTP/2 at a store is handed to this port.
   void pass_http2(int store, int port) { http2_[store] = port; }
 
-  int size() const { return static_cast<int>(places_.size()); }
-  asio::ip::tcp::endpoint at(int store) const;
+  [[nodiscard]] int size() const { return static_cast<int>(places_.size()); }
+  [[nodiscard]] asio::ip::tcp::endpoint at(int store) const;
   StoreState& state(int store);
-  const StoreState& state(int store) const;
-  Millis position(int store) const;
-  double slow_start_fraction(int store) const;
+  [[nodiscard]] const StoreState& state(int store) const;
+  [[nodiscard]] Millis position(int store) const;
+  [[nodiscard]] double slow_start_fraction(int store) const;
   // Nobody listens any more, all connections are reset; or it listens again, what it had done kept, cold.
   void fall(int store);
   void rise(int store);
-  std::uint64_t probes() const { return probes_; }
+  [[nodiscard]] std::uint64_t probes() const { return probes_; }
   // Connections that were taken, in all.
-  std::uint64_t accepted() const { return accepted_; }
+  [[nodiscard]] std::uint64_t accepted() const { return accepted_; }
 
  private:
   struct Place;
--- a/src/faulttest/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -15,7 +15,9 @@
       maker_(std::move(maker)),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       processes_(at(fronts)) {
-  for (int front = 0; front < fronts; ++front) processes_[at(front)].name = fmt::format("n{}", front);
+  for (int front = 0; front < fronts; ++front) {
+    processes_[at(front)].name = fmt::format("n{}", front);
+  }
 }
 
 void VirtualFleet::start(int front) {
@@ -50,21 +52,27 @@
 
 void VirtualFleet::want(int front, const quota::Demand& demand) {
   Process& process = processes_.at(at(front));
-  if (!process.quota || process.stopped) return;
+  if (!process.quota || process.stopped) {
+    return;
+  }
   process.quota->enqueue(demand);
   settle(front, Of::quota);
 }
 
 void VirtualFleet::act(int front, const consistency::Acts& acts) {
   Process& process = processes_.at(at(front));
-  if (!process.consistency || process.stopped) return;
+  if (!process.consistency || process.stopped) {
+    return;
+  }
   process.consistency->enqueue(acts);
   settle(front, Of::consistency);
 }
 
 void VirtualFleet::confirm(int front) {
   Process& process = processes_.at(at(front));
-  if (!process.consistency || process.stopped) return;
+  if (!process.consistency || process.stopped) {
+    return;
+  }
   process.consistency->enqueue(consistency::Confirmed{});
   settle(front, Of::consistency);
 }
@@ -78,7 +86,9 @@
   Process& process = processes_.at(at(front));
   process.core->enqueue(membership::Leaving{});
   settle(front);
-  if (!process.quota) return;
+  if (!process.quota) {
+    return;
+  }
   process.quota->enqueue(quota::Leaving{});
   settle(front, Of::quota);
 }
@@ -87,9 +97,12 @@
 
 void VirtualFleet::wake(int front) {
   Process& process = processes_.at(at(front));
-  if (!std::exchange(process.stopped, false) || !process.core) return;
-  for (const Process::Datagram& waited : std::exchange(process.waiting, {}))
+  if (!std::exchange(process.stopped, false) || !process.core) {
+    return;
+  }
+  for (const Process::Datagram& waited : std::exchange(process.waiting, {})) {
     note(front, waited.of, waited.from, waited.bytes);
+  }
   settle(front);
   settle(front, Of::quota);
   settle(front, Of::consistency);
@@ -97,10 +110,15 @@
 
 void VirtualFleet::note(int front, Of of, int from, const std::string& bytes) {
   Process& process = processes_[at(front)];
-  if (of == Of::membership) process.core->enqueue(DatagramReceived{{from}, bytes});
-  if (of == Of::quota && process.quota) process.quota->enqueue(DatagramReceived{{from}, bytes});
-  if (of == Of::consistency && process.consistency)
+  if (of == Of::membership) {
+    process.core->enqueue(DatagramReceived{{from}, bytes});
+  }
+  if (of == Of::quota && process.quota) {
+    process.quota->enqueue(DatagramReceived{{from}, bytes});
+  }
+  if (of == Of::consistency && process.consistency) {
     process.consistency->enqueue(DatagramReceived{{from}, bytes});
+  }
 }
 
 void VirtualFleet::hear(int front, int from, const std::string& bytes) {
@@ -111,16 +129,21 @@
   Process& process = processes_.at(at(front));
   if (!process.core) {
     // The machine says that nobody listens, where that gets back.
-    if (of == Of::quota && (!passes || passes(front, from)))
+    if (of == Of::quota && (!passes || passes(front, from))) {
       due_.push({now_ + network.delay + network.jitter * chance(), ++order_, from,
                  processes_.at(at(from)).life, front, Of::refusal, bytes});
+    }
     return;
   }
   if (process.stopped) {
-    if (process.waiting.size() < kSocket) process.waiting.push_back({of, from, bytes});
+    if (process.waiting.size() < kSocket) {
+      process.waiting.push_back({of, from, bytes});
+    }
     return;
   }
-  if (of == Of::membership) process.last = bytes;
+  if (of == Of::membership) {
+    process.last = bytes;
+  }
   note(front, of, from, bytes);
   settle(front, of);
 }
@@ -146,7 +169,9 @@
     } else if (awake && due.at == wakes) {
       settle(due.front, due.of);
     }
-    if (stepped) stepped(now_);
+    if (stepped) {
+      stepped(now_);
+    }
   }
   now_ = until;
 }
@@ -154,7 +179,7 @@
 template <typename Core, typename Took>
 void VirtualFleet::decide(int front, Core& core, Of of, Millis& wakes, Load& load, Took took) {
   Process& process = processes_[at(front)];
-  for (const auto& decision : core.process(own(process, now_)))
+  for (const auto& decision : core.process(own(process, now_))) {
     std::visit(
         [&](const auto& taken) {
           if constexpr (requires { taken.to, taken.bytes; }) {
@@ -163,7 +188,9 @@
           } else if constexpr (requires { taken.at; }) {
             // Time goes on between two wake-ups, whatever rounding makes of a clock that stands apart.
             const Millis when = std::max(now_ + 0.001, VirtualFleet::when(process, taken.at));
-            if (when == wakes) return;
+            if (when == wakes) {
+              return;
+            }
             wakes = when;
             due_.push({when, ++order_, front, process.life, -1, of, ""});
           } else {
@@ -171,16 +198,21 @@
           }
         },
         decision);
+  }
 }
 
 void VirtualFleet::settle(int front, Of of) {
   Process& process = processes_[at(front)];
   const auto nothing = [](const auto&) {};
-  if (of == Of::membership) settle(front);
-  if (of == Of::quota && process.quota)
+  if (of == Of::membership) {
+    settle(front);
+  }
+  if (of == Of::quota && process.quota) {
     decide(front, *process.quota, of, process.quota_wake, process.quota_load, nothing);
-  if (of == Of::consistency && process.consistency)
+  }
+  if (of == Of::consistency && process.consistency) {
     decide(front, *process.consistency, of, process.consistency_wake, process.consistency_load, nothing);
+  }
 }
 
 // The membership's turn, and where its view has changed, the others'.
@@ -190,25 +222,43 @@
   decide(front, *process.core, Of::membership, process.wakes, process.load, [&](const auto& taken) {
     if constexpr (requires { taken.happening; }) {
       changed = true;
-      if (seen_) seen_(now_, front, taken);
+      if (seen_) {
+        seen_(now_, front, taken);
+      }
     } else if (found_) {
       found_(now_, front, taken);
     }
   });
-  if (!process.quota && !process.consistency) return;
+  if (!process.quota && !process.consistency) {
+    return;
+  }
   std::set<SlotId> there;
-  if (changed) there = membership::there_in(process.core->view());
-  if (changed && process.quota) process.quota->enqueue(quota::PeersChanged{there});
-  if (changed && process.consistency) process.consistency->enqueue(consistency::PeersChanged{there, size()});
-  if (changed || process.quota_wake == 0) settle(front, Of::quota);
-  if (changed || process.consistency_wake == 0) settle(front, Of::consistency);
+  if (changed) {
+    there = membership::there_in(process.core->view());
+  }
+  if (changed && process.quota) {
+    process.quota->enqueue(quota::PeersChanged{there});
+  }
+  if (changed && process.consistency) {
+    process.consistency->enqueue(consistency::PeersChanged{there, size()});
+  }
+  if (changed || process.quota_wake == 0) {
+    settle(front, Of::quota);
+  }
+  if (changed || process.consistency_wake == 0) {
+    settle(front, Of::consistency);
+  }
 }
 
 void VirtualFleet::send(int from, int to, Of of, const std::string& bytes) {
-  if (to < 0 || to >= size() || (passes && !passes(from, to))) return;
+  if (to < 0 || to >= size() || (passes && !passes(from, to))) {
+    return;
+  }
   const int copies = network.doubled > 0 && chance() < network.doubled ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    if (network.loss > 0 && chance() < network.loss) continue;
+    if (network.loss > 0 && chance() < network.loss) {
+      continue;
+    }
     const Millis extra = extra_delay ? extra_delay(from, to) : 0;
     due_.push({now_ + network.delay + extra + network.jitter * chance(), ++order_, to, 0, from, of, bytes});
   }
@@ -216,18 +266,28 @@
 
 bool VirtualFleet::agreed() const {
   std::set<std::string> up;
-  for (const Process& process : processes_)
-    if (process.core) up.insert(process.name);
   for (const Process& process : processes_) {
-    if (!process.core) continue;
+    if (process.core) {
+      up.insert(process.name);
+    }
+  }
+  for (const Process& process : processes_) {
+    if (!process.core) {
+      continue;
+    }
     std::size_t there = 0;
     for (const membership::PeerView& fellow : process.core->view().fellows) {
-      if (fellow.standing == membership::Standing::failed || fellow.standing == membership::Standing::left)
+      if (fellow.standing == membership::Standing::failed || fellow.standing == membership::Standing::left) {
         continue;
-      if (fellow.standing != membership::Standing::there || !up.contains(fellow.name)) return false;
+      }
+      if (fellow.standing != membership::Standing::there || !up.contains(fellow.name)) {
+        return false;
+      }
       ++there;
     }
-    if (there + 1 != up.size()) return false;
+    if (there + 1 != up.size()) {
+      return false;
+    }
   }
   return true;
 }
--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -54,13 +54,15 @@
   void share(const quota::Options& charge) { sharing_ = charge; }
   void want(int front, const quota::Demand& demand);
   // What a process may use now, by its own clock; nothing where it does not run or is stopped.
-  quota::Part part(int front) const;
-  const quota::QuotaManager* quota(int front) const { return processes_.at(at(front)).quota.get(); }
+  [[nodiscard]] quota::Part part(int front) const;
+  [[nodiscard]] const quota::QuotaManager* quota(int front) const {
+    return processes_.at(at(front)).quota.get();
+  }
   // From their next start on the processes compare what they act on, too.
   void compare(const consistency::Options& charge) { comparing_ = charge; }
   void act(int front, const consistency::Acts& acts);
   void confirm(int front);  // discovery speaks to it
-  const consistency::ConsistencyMonitor* consistency(int front) const {
+  [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int front) const {
     return processes_.at(at(front)).consistency.get();
   }
   // Called after each step with the time.
@@ -72,19 +74,19 @@
   void stop(int front);   // the process is paused
   void wake(int front);
   void hear(int front, int from, const std::string& bytes);  // a datagram that nobody sent
-  std::string last_heard(int front) const { return processes_.at(at(front)).last; }
+  [[nodiscard]] std::string last_heard(int front) const { return processes_.at(at(front)).last; }
 
   void run(Millis span);
-  Millis now() const { return now_; }
-  int size() const { return static_cast<int>(processes_.size()); }
-  bool up(int front) const { return processes_.at(at(front)).core != nullptr; }
-  membership::View view(int front) const { return processes_.at(at(front)).core->view(); }
-  std::string name_of(int front) const { return processes_.at(at(front)).name; }
-  Load load(int front) const { return processes_.at(at(front)).load; }
-  Load quota_load(int front) const { return processes_.at(at(front)).quota_load; }
-  Load consistency_load(int front) const { return processes_.at(at(front)).consistency_load; }
+  [[nodiscard]] Millis now() const { return now_; }
+  [[nodiscard]] int size() const { return static_cast<int>(processes_.size()); }
+  [[nodiscard]] bool up(int front) const { return processes_.at(at(front)).core != nullptr; }
+  [[nodiscard]] membership::View view(int front) const { return processes_.at(at(front)).core->view(); }
+  [[nodiscard]] std::string name_of(int front) const { return processes_.at(at(front)).name; }
+  [[nodiscard]] Load load(int front) const { return processes_.at(at(front)).load; }
+  [[nodiscard]] Load quota_load(int front) const { return processes_.at(at(front)).quota_load; }
+  [[nodiscard]] Load consistency_load(int front) const { return processes_.at(at(front)).consistency_load; }
   // Whether each front that is up holds each other that is up for there, and nobody else for here.
-  bool agreed() const;
+  [[nodiscard]] bool agreed() const;
 
  private:
   enum class Of { membership, quota, consistency, refusal };
--- a/src/faulttest/virtual_routers.cpp
+++ b/src/faulttest/virtual_routers.cpp
@@ -41,13 +41,14 @@
 
 EndpointListReceived VirtualRouters::list() const {
   EndpointListReceived read{EndpointListKind::complete, {}};
-  for (int group = 0; group < stage_.groups; ++group)
+  for (int group = 0; group < stage_.groups; ++group) {
     for (int member = 0; member < stage_.members; ++member) {
       ServerEntry entry;
       entry.id = {fmt::format("g{}m{}", group, member)};
       entry.group = {group};
       read.servers.push_back(entry);
     }
+  }
   return read;
 }
 
@@ -84,12 +85,15 @@
   const Millis now = fleet_.now();
   if (std::exchange(front.changed, false) && stage_.by_view) {
     FleetViewChanged among;
-    for (const SlotId place : membership::there_in(fleet_.view(number)))
+    for (const SlotId place : membership::there_in(fleet_.view(number))) {
       among.alive_peers.insert(place.number);
+    }
     const Event event(std::in_place_type<FleetViewChanged>, std::move(among));
     front.router->enqueue(event);
   }
-  for (Event& event : std::exchange(front.waiting, {})) front.router->enqueue(event);
+  for (Event& event : std::exchange(front.waiting, {})) {
+    front.router->enqueue(event);
+  }
   for (const Decision& decision : front.router->process(now)) {
     if (const auto* probe = std::get_if<reedspindle::StartProbe>(&decision)) {
       ++probes_;
@@ -103,8 +107,12 @@
     } else if (const auto* words = std::get_if<BroadcastToPeers>(&decision)) {
       ++words_;
       for (int other = 0; other < stage_.fronts; ++other) {
-        if (other == number || !this->front(other).router || cut_.contains({number, other})) continue;
-        if (fleet_.network.loss > 0 && chance() < fleet_.network.loss) continue;
+        if (other == number || !this->front(other).router || cut_.contains({number, other})) {
+          continue;
+        }
+        if (fleet_.network.loss > 0 && chance() < fleet_.network.loss) {
+          continue;
+        }
         due(now + fleet_.network.delay + fleet_.network.jitter * chance(), other,
             PeerMessageReceived{number, words->text});
       }
@@ -114,7 +122,8 @@
 
 Probing VirtualRouters::run(Millis span) {
   const Millis from = fleet_.now();
-  const std::uint64_t probes = probes_, words = words_;
+  const std::uint64_t probes = probes_;
+  const std::uint64_t words = words_;
   Millis next_look = from + kLook;
   std::vector<Millis> ages;
   while (fleet_.now() < from + span) {
@@ -124,26 +133,39 @@
       const Due due = due_.top();
       due_.pop();
       Front& front = this->front(due.front);
-      if (!front.router || front.life != due.life) continue;
-      if (!front.stopped || front.waiting.size() < kSocket) front.waiting.push_back(due.event);
+      if (!front.router || front.life != due.life) {
+        continue;
+      }
+      if (!front.stopped || front.waiting.size() < kSocket) {
+        front.waiting.push_back(due.event);
+      }
     }
     for (int number = 0; number < stage_.fronts; ++number) {
       Front& front = this->front(number);
-      if (front.router && !front.stopped && (front.changed || !front.waiting.empty())) settle(number);
+      if (front.router && !front.stopped && (front.changed || !front.waiting.empty())) {
+        settle(number);
+      }
+    }
+    if (now < next_look) {
+      continue;
     }
-    if (now < next_look) continue;
     next_look += kLook;
-    for (Front& front : fronts_)
-      if (front.router && !front.stopped)
-        for (const ServerView& member : front.router->view())
+    for (Front& front : fronts_) {
+      if (front.router && !front.stopped) {
+        for (const ServerView& member : front.router->view()) {
           ages.push_back(member.sampled_at < 0 ? span : now - member.sampled_at);
+        }
+      }
+    }
   }
   const double seconds = span / 1000;
   Probing probing;
   probing.probes = static_cast<double>(probes_ - probes) / seconds / (stage_.groups * stage_.members);
   probing.words = static_cast<double>(words_ - words) / seconds;
   std::ranges::sort(ages);
-  if (ages.empty()) return probing;
+  if (ages.empty()) {
+    return probing;
+  }
   probing.median = ages[ages.size() / 2], probing.p99 = ages[ages.size() * 99 / 100];
   probing.longest = ages.back();
   probing.unusable = static_cast<double>(std::ranges::count_if(ages, [](Millis age) { return age > 1000; })) /
--- a/src/faulttest/virtual_routers.hpp
+++ b/src/faulttest/virtual_routers.hpp
@@ -59,7 +59,7 @@
   };
   Front& front(int number) { return fronts_.at(static_cast<std::size_t>(number)); }
   double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
-  EndpointListReceived list() const;
+  [[nodiscard]] EndpointListReceived list() const;
   void settle(int number);
   void due(Millis at, int number, Event event);
 
--- a/src/invariants/invariants.hpp
+++ b/src/invariants/invariants.hpp
@@ -119,7 +119,7 @@
   void note(Event event) { events_.push_back(std::move(event)); }
   std::vector<Broken> settle(Millis now);
   // Held and not yet over.
-  std::size_t open() const { return open_.size(); }
+  [[nodiscard]] std::size_t open() const { return open_.size(); }
 
  private:
   struct Op {
@@ -148,7 +148,7 @@
 
   void end(Op& op, Millis at);
   void weigh_cold(StoreNumber store, Millis now);
-  double slow_start_fraction(Millis since, Millis at) const;
+  [[nodiscard]] double slow_start_fraction(Millis since, Millis at) const;
   void broken(Rule rule, const std::string& op, FrontNumber front, StoreNumber store, Millis at,
               std::string why);
 
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -23,10 +23,14 @@
 std::string plain(std::string_view value) {
   std::string text(value);
   std::ranges::replace_if(text, is_control, ' ');
-  if (text.find_first_of(" \"=") == std::string::npos && !text.empty()) return text;
+  if (text.find_first_of(" \"=") == std::string::npos && !text.empty()) {
+    return text;
+  }
   std::string quoted = "\"";
   for (const char letter : text) {
-    if (letter == '"' || letter == '\\') quoted += '\\';
+    if (letter == '"' || letter == '\\') {
+      quoted += '\\';
+    }
     quoted += letter;
   }
   return quoted + '"';
@@ -35,9 +39,14 @@
 // As a JSON text. What is no UTF-8 is told byte by byte as the letters of Latin-1.
 std::string in_json(std::string_view value) {
   const auto follows = [&value](std::size_t at, std::size_t count) {
-    if (at + count >= value.size()) return false;
-    for (std::size_t i = 1; i <= count; ++i)
-      if ((static_cast<unsigned char>(value[at + i]) & 0xc0) != 0x80) return false;
+    if (at + count >= value.size()) {
+      return false;
+    }
+    for (std::size_t i = 1; i <= count; ++i) {
+      if ((static_cast<unsigned char>(value[at + i]) & 0xc0) != 0x80) {
+        return false;
+      }
+    }
     return true;
   };
   std::string quoted = "\"";
@@ -47,12 +56,13 @@
                              : letter >= 0xe0 && letter < 0xf0 ? 2
                              : letter >= 0xc2 && letter < 0xe0 ? 1
                                                                : 0;
-    if (letter == '"' || letter == '\\')
+    if (letter == '"' || letter == '\\') {
       quoted += '\\', quoted += value[at];
-    else if (is_control(value[at]) || (letter >= 0x80 && (more == 0 || !follows(at, more))))
+    } else if (is_control(value[at]) || (letter >= 0x80 && (more == 0 || !follows(at, more)))) {
       quoted += fmt::format("\\u{:04x}", letter);
-    else
+    } else {
       quoted.append(value.substr(at, more + 1)), at += more;
+    }
   }
   return quoted + '"';
 }
@@ -70,9 +80,13 @@
   void write() {
     while (!text_.empty()) {
       pollfd out{STDERR_FILENO, POLLOUT, 0};
-      if (poll(&out, 1, 0) != 1 || !(out.revents & POLLOUT)) return;
+      if (poll(&out, 1, 0) != 1 || !(out.revents & POLLOUT)) {
+        return;
+      }
       const ssize_t written = ::write(STDERR_FILENO, text_.data(), std::min(text_.size(), kAtomic));
-      if (written <= 0) return;
+      if (written <= 0) {
+        return;
+      }
       text_.erase(0, static_cast<std::size_t>(written));
     }
   }
@@ -83,7 +97,9 @@
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (text_.size() + line.size() > kWaiting) return void(++lost_);
+    if (text_.size() + line.size() > kWaiting) {
+      return void(++lost_);
+    }
     text_.append(line.data(), line.size());
   }
   void flush_() override { write(); }
@@ -119,16 +135,22 @@
 }
 
 void Log::line(LogLevel level, std::string_view kind, std::string_view event, Fields fields) {
-  if (level < manner_.level) return;
+  if (level < manner_.level) {
+    return;
+  }
   const Millis now = clock_.now();
   auto of = kinds_.find(kind);
-  if (of == kinds_.end()) of = kinds_.emplace(kind, Kind{}).first;
+  if (of == kinds_.end()) {
+    of = kinds_.emplace(kind, Kind{}).first;
+  }
   int left_out = 0;
   if (now - of->second.since > kSpan) {
     left_out = of->second.dropped;
     of->second = {now, 0, 0};
   }
-  if (++of->second.written > manner_.lines_of_a_kind) return void(++of->second.dropped);
+  if (++of->second.written > manner_.lines_of_a_kind) {
+    return void(++of->second.dropped);
+  }
   const auto write = [this](LogLevel at, const std::string& text) {
     logger_->log(level_of(at), spdlog::string_view_t(text));
   };
@@ -136,15 +158,20 @@
     write(at, manner_.form == LogForm::json ? json_of(part, what, told, missing)
                                             : text_of(part, what, told, missing));
   };
-  if (const int lost = waiting_->lost(); lost > 0)
+  if (const int lost = waiting_->lost(); lost > 0) {
     put(LogLevel::warn, "log", "lines lost", {{"lines", lost}}, 0);
+  }
   put(level, kind, event, fields, left_out);
 }
 
 std::string Log::text_of(std::string_view kind, std::string_view event, Fields fields, int left_out) const {
   std::string text = fmt::format("{}: {}", kind, event);
-  for (const Field& field : fields) text += fmt::format(" {}={}", field.name, plain(field.value));
-  if (left_out > 0) text += fmt::format(" left_out={}", left_out);
+  for (const Field& field : fields) {
+    text += fmt::format(" {}={}", field.name, plain(field.value));
+  }
+  if (left_out > 0) {
+    text += fmt::format(" left_out={}", left_out);
+  }
   return text;
 }
 
@@ -154,7 +181,9 @@
     const bool bare = field.number && field.value.find_first_not_of("+-.0123456789e") == std::string::npos;
     text += fmt::format(",{}:{}", in_json(field.name), bare ? field.value : in_json(field.value));
   }
-  if (left_out > 0) text += fmt::format(",\"left_out\":{}", left_out);
+  if (left_out > 0) {
+    text += fmt::format(",\"left_out\":{}", left_out);
+  }
   return text;
 }
 
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -67,7 +67,7 @@
   }
 
   // Whether lines of this level are written: for those whose fields cost something to make.
-  bool writes(LogLevel level) const { return level >= manner_.level; }
+  [[nodiscard]] bool writes(LogLevel level) const { return level >= manner_.level; }
 
   // Writes what standard error takes now.
   void flush();
@@ -76,8 +76,10 @@
   class Waiting;  // spdlog's sink
 
   void line(LogLevel level, std::string_view kind, std::string_view event, Fields fields);
-  std::string text_of(std::string_view kind, std::string_view event, Fields fields, int left_out) const;
-  std::string json_of(std::string_view kind, std::string_view event, Fields fields, int left_out) const;
+  [[nodiscard]] std::string text_of(std::string_view kind, std::string_view event, Fields fields,
+                                    int left_out) const;
+  [[nodiscard]] std::string json_of(std::string_view kind, std::string_view event, Fields fields,
+                                    int left_out) const;
 
   struct Kind {
     Millis since = 0;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -48,30 +48,38 @@
 
   std::vector<Decision> process(Millis now) override {
     decisions_.clear();
-    if (born_ == 0) begin(now);
+    if (born_ == 0) {
+      begin(now);
+    }
     mind_the_gap(now);
     now_ = std::max(now_, now);
     if (now_ >= next_count_) {
       std::ranges::fill(heard_of_, 0);
       spare_ = kSpare, next_count_ = now_ + charge_.pace;
-      for (const Word& word : fellows_.forget(now_ - charge_.forget)) change(word, Happening::forgotten);
+      for (const Word& word : fellows_.forget(now_ - charge_.forget)) {
+        change(word, Happening::forgotten);
+      }
     }
-    for (Event& event : std::exchange(events_, {}))
+    for (Event& event : std::exchange(events_, {})) {
       std::visit([this](const auto& happened) { take(happened); }, event);
+    }
     if (!leaving_) {
       contend();
-      if (!yielded_) run_errands(), probe(), seek(), compare();
+      if (!yielded_) {
+        run_errands(), probe(), seek(), compare();
+      }
     }
     judge();
     wake();
     return std::move(decisions_);
   }
 
-  View view() const override {
+  [[nodiscard]] View view() const override {
     View view{version_, incarnation_, health_, yielded_, {}, dropped_};
-    for (const auto& [name, fellow] : fellows_.all())
+    for (const auto& [name, fellow] : fellows_.all()) {
       view.fellows.push_back(
           {name, fellow.word.place, fellow.word.standing, fellow.word.incarnation, fellow.since});
+    }
     return view;
   }
 
@@ -116,13 +124,17 @@
   // others. It doubts itself as much as it can, and suspicions get the time that they have missed.
   void mind_the_gap(Millis now) {
     const Millis gap = now - wake_;
-    if (gap <= charge_.pace) return;
+    if (gap <= charge_.pace) {
+      return;
+    }
     found(Finding::stopped, {}, gap);
     health_ = kWorst;
     probe_.reset();
     errands_.clear();
     next_probe_ = now;
-    for (const std::string& name : fellows_.suspects()) fellows_.find(name)->suspected += gap;
+    for (const std::string& name : fellows_.suspects()) {
+      fellows_.find(name)->suspected += gap;
+    }
   }
 
   // What was heard.
@@ -132,34 +144,50 @@
     heard_of_.resize(static_cast<std::size_t>(listed.places));
   }
 
-  void take(const Leaving&) {
-    if (std::exchange(leaving_, true) || yielded_) return;
+  void take(const Leaving& /*unused*/) {
+    if (std::exchange(leaving_, true) || yielded_) {
+      return;
+    }
     Word word = self();
     word.standing = Standing::left;
     spread(word);
-    for (const SlotId place : some(kFarewells, place_))
+    for (const SlotId place : some(kFarewells, place_)) {
       tell(place, Kind::words, 0, [](Message& message) { message.answer = true; });
+    }
   }
 
   void take(const DatagramReceived& heard) {
     const auto from = static_cast<std::size_t>(heard.from.number);
-    if (from >= heard_of_.size()) return void(++dropped_.strange);
+    if (from >= heard_of_.size()) {
+      return void(++dropped_.strange);
+    }
     // Guards against a flood from one address: beyond this its datagrams are not even read.
-    if (++heard_of_[from] > kOfPlace) return void(++dropped_.flood);
+    if (++heard_of_[from] > kOfPlace) {
+      return void(++dropped_.flood);
+    }
     const auto message = message_in(heard.bytes);
-    if (!message) return void(++dropped_.unread);
-    if (message->place != heard.from || message->place == place_ || !likely(message->incarnation))
+    if (!message) {
+      return void(++dropped_.unread);
+    }
+    if (message->place != heard.from || message->place == place_ || !likely(message->incarnation)) {
       return void(++dropped_.strange);
-    if (message->name == charge_.name) return meet_rival(*message);
-    if (yielded_) return;
+    }
+    if (message->name == charge_.name) {
+      return meet_rival(*message);
+    }
+    if (yielded_) {
+      return;
+    }
     const std::optional<Word> mistaken = meet(*message);
-    for (const Word& word : message->words) learn(word);
+    for (const Word& word : message->words) {
+      learn(word);
+    }
     answer(*message, mistaken);
   }
 
   // Guards against an incarnation from which nobody could rise any more, and against one that outlives its
   // front.
-  bool likely(Incarnation incarnation) const {
+  [[nodiscard]] bool likely(Incarnation incarnation) const {
     return static_cast<double>(incarnation.number) < now_ + kAhead;
   }
 
@@ -181,10 +209,14 @@
     if (fellows_.weigh(word) == PeerTable::Weight::news) {
       accept(word);
       // Met for the first time, or again: both find out what the other knows.
-      if (new_here && !message.leaving) differ_with_ = message.place;
+      if (new_here && !message.leaving) {
+        differ_with_ = message.place;
+      }
+      return std::nullopt;
+    }
+    if (message.leaving || !held || held->word == word) {
       return std::nullopt;
     }
-    if (message.leaving || !held || held->word == word) return std::nullopt;
     return held->word;
   }
 
@@ -192,7 +224,9 @@
     switch (message.kind) {
       case Kind::ping:
         return tell(message.place, Kind::ack, message.number, [&](Message& ack) {
-          if (mistaken) ack.words.push_back(*mistaken);
+          if (mistaken) {
+            ack.words.push_back(*mistaken);
+          }
         });
       case Kind::ack:
         acked(message);
@@ -202,26 +236,32 @@
         break;
       case Kind::vouch:
         if (!probe_ || message.number != probe_->number || message.words.empty() ||
-            message.words.front().name != probe_->name)
+            message.words.front().name != probe_->name) {
           return void(++dropped_.late);
+        }
         probe_.reset();  // it lives; the way there does not, which says nothing good of ourselves
         break;
       case Kind::nack:
-        if (probe_ && message.number == probe_->number) ++probe_->nacks;
+        if (probe_ && message.number == probe_->number) {
+          ++probe_->nacks;
+        }
         break;
       case Kind::digest:
         return answer_digest(message);
       case Kind::words:
-        if (!message.answer) answer_words(message);
+        if (!message.answer) {
+          answer_words(message);
+        }
         break;
     }
     // Guards against two halves that were cut off from one another and each hold the other failed: who is
     // mistaken for gone hears so and refutes it.
-    if (mistaken && (!is_here(mistaken->standing) || mistaken->incarnation > message.incarnation))
+    if (mistaken && (!is_here(mistaken->standing) || mistaken->incarnation > message.incarnation)) {
       tell(message.place, Kind::words, 0, [&](Message& words) {
         words.answer = true;
         words.words.push_back(*mistaken);
       });
+    }
   }
 
   void acked(const Message& message) {
@@ -232,12 +272,15 @@
     }
     const auto errand = std::ranges::find(errands_, message.number, &Errand::number);
     if (errand == errands_.end()) {
-      if (!std::ranges::count(asked_, std::pair(message.number, message.place))) ++dropped_.late;
+      if (!std::ranges::count(asked_, std::pair(message.number, message.place))) {
+        ++dropped_.late;
+      }
       return;
     }
-    if (const Peer* there = fellows_.find(message.name))
+    if (const Peer* there = fellows_.find(message.name)) {
       tell(errand->of, Kind::vouch, errand->number_of,
            [&](Message& vouch) { vouch.words.push_back(there->word); });
+    }
     errands_.erase(errand);
   }
 
@@ -245,8 +288,12 @@
 
   void learn(const Word& word) {
     // Only places of the list are believed.
-    if (word.place.number >= charge_.places || !likely(word.incarnation)) return void(++dropped_.strange);
-    if (word.name == charge_.name) return hear_of_self(word);
+    if (word.place.number >= charge_.places || !likely(word.incarnation)) {
+      return void(++dropped_.strange);
+    }
+    if (word.name == charge_.name) {
+      return hear_of_self(word);
+    }
     switch (fellows_.weigh(word)) {
       case PeerTable::Weight::news:
         return accept(word);
@@ -260,7 +307,9 @@
   // One more that suspects it, as far as that still counts; told on, for it shortens the others' patience
   // too.
   void doubt(Peer& fellow, SlotId by) {
-    if (by.number < 0 || fellow.doubters.size() > kSure || std::ranges::count(fellow.doubters, by)) return;
+    if (by.number < 0 || fellow.doubters.size() > kSure || std::ranges::count(fellow.doubters, by)) {
+      return;
+    }
     fellow.doubters.push_back(by);
     Word word = fellow.word;
     word.by = by;
@@ -270,46 +319,67 @@
   // A word that outweighs what is held.
   void accept(Word word) {
     const Peer* held = fellows_.find(word.name);
-    if (!held && !is_here(word.standing)) return fellows_.bury(word.name, word.incarnation);
+    if (!held && !is_here(word.standing)) {
+      return fellows_.bury(word.name, word.incarnation);
+    }
     const std::optional<Word> before = held ? std::optional(held->word) : std::nullopt;
     // Who is there in our eyes gets the time to refute it: guards against one half's belief about the other
     // coming in at once when they meet again. Where it has been suspected for a while, a failure is taken as
     // told, so that all hear of a death soon after the first.
     if (before && word.standing == Standing::failed && word.by != place_) {
-      if (before->standing == Standing::there) word.standing = Standing::suspected;
-      if (before->standing == Standing::suspected && now_ - held->suspected < least() / 2)
+      if (before->standing == Standing::there) {
+        word.standing = Standing::suspected;
+      }
+      if (before->standing == Standing::suspected && now_ - held->suspected < least() / 2) {
         return doubt(*fellows_.find(word.name), word.by);
+      }
     }
     Peer& fellow = fellows_.take(word, now_);
-    if (word.standing == Standing::suspected && word.by.number >= 0) fellow.doubters.push_back(word.by);
+    if (word.standing == Standing::suspected && word.by.number >= 0) {
+      fellow.doubters.push_back(word.by);
+    }
     spread(word);
-    const bool was_here = before && is_here(before->standing), here = is_here(word.standing);
+    const bool was_here = before && is_here(before->standing);
+    const bool here = is_here(word.standing);
     if (!was_here && here) {
       ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(random_() % (ring_.size() + 1)), word.name);
       change(word, before ? Happening::back : Happening::joined);
     }
-    if (was_here && here && before->place != word.place) change(word, Happening::moved);
-    if (word.standing == Standing::suspected && (!before || before->standing != Standing::suspected))
+    if (was_here && here && before->place != word.place) {
+      change(word, Happening::moved);
+    }
+    if (word.standing == Standing::suspected && (!before || before->standing != Standing::suspected)) {
       change(word, Happening::suspected);
-    if (word.standing == Standing::there && before && before->standing == Standing::suspected)
+    }
+    if (word.standing == Standing::there && before && before->standing == Standing::suspected) {
       change(word, Happening::cleared);
-    if (was_here && !here)
+    }
+    if (was_here && !here) {
       change(word, word.standing == Standing::left ? Happening::left : Happening::failed);
+    }
   }
 
   void hear_of_self(const Word& word) {
-    if (leaving_ || word.incarnation < incarnation_) return;
+    if (leaving_ || word.incarnation < incarnation_) {
+      return;
+    }
     if (word.place != place_) {
-      if (is_here(word.standing)) return contest(word.place, word.incarnation);
+      if (is_here(word.standing)) {
+        return contest(word.place, word.incarnation);
+      }
       return rise(word.incarnation);
     }
     if (word.standing == Standing::there) {
       // Of a former life, whose clock was ahead of ours.
-      if (word.incarnation > incarnation_) rise(word.incarnation);
+      if (word.incarnation > incarnation_) {
+        rise(word.incarnation);
+      }
       return;
     }
     rise(word.incarnation);
-    if (word.standing == Standing::left) return;  // the former life's farewell
+    if (word.standing == Standing::left) {
+      return;  // the former life's farewell
+    }
     health_ = std::min(kWorst, health_ + 1);
     found(Finding::refuted, word.by);
   }
@@ -333,19 +403,29 @@
   // Of two live processes with one name the one that was started later yields; with the same start, the one
   // that stands further back in the list. Both go by what the other says of itself, so one yields, not both.
   void meet_rival(const Message& message) {
-    if (leaving_) return;
+    if (leaving_) {
+      return;
+    }
     if (std::pair(message.born, message.place) < std::pair(born_, place_)) {
-      if (!std::exchange(yielded_, true)) found(Finding::yields, message.place);
+      if (!std::exchange(yielded_, true)) {
+        found(Finding::yields, message.place);
+      }
       rival_ = Rival{message.place, message.incarnation, 0, now_ + kPacesOfYield * charge_.pace};
       return;
     }
     rival_.reset();
-    if (message.incarnation >= incarnation_) rise(message.incarnation);
-    if (message.kind == Kind::ping) tell(message.place, Kind::ack, message.number);
+    if (message.incarnation >= incarnation_) {
+      rise(message.incarnation);
+    }
+    if (message.kind == Kind::ping) {
+      tell(message.place, Kind::ack, message.number);
+    }
   }
 
   void contend() {
-    if (!rival_ || now_ < rival_->next) return;
+    if (!rival_ || now_ < rival_->next) {
+      return;
+    }
     if (rival_->tries++ < kTries) {
       rival_->next = now_ + charge_.pace;
       return tell(rival_->place, Kind::ping, ++number_);
@@ -359,7 +439,7 @@
 
   // Probes.
 
-  Millis stretched(Millis span) const { return span * (1 + health_); }
+  [[nodiscard]] Millis stretched(Millis span) const { return span * (1 + health_); }
 
   void probe() {
     if (probe_ && !probe_->asked && now_ >= probe_->sent + stretched(charge_.timeout)) {
@@ -369,11 +449,17 @@
         tell(helper, Kind::ask, probe_->number, [this](Message& ask) { ask.about = probe_->place; });
       }
     }
-    if (now_ < next_probe_) return;
-    if (probe_) unanswered(*std::exchange(probe_, std::nullopt));
+    if (now_ < next_probe_) {
+      return;
+    }
+    if (probe_) {
+      unanswered(*std::exchange(probe_, std::nullopt));
+    }
     next_probe_ = now_ + stretched(charge_.pace);
     const Peer* next = next_in_turn();
-    if (!next) return;
+    if (!next) {
+      return;
+    }
     const Word word = next->word;
     ask(word.place, word.standing == Standing::suspected ? &word : nullptr);
     probe_ = Probe{word.name, word.place, number_, now_};
@@ -383,7 +469,9 @@
   void ask(SlotId place, const Word* word = nullptr) {
     asked_[++asked_last_ % asked_.size()] = {++number_, place};
     tell(place, Kind::ping, number_, [&](Message& ping) {
-      if (word) ping.words.push_back(*word);
+      if (word) {
+        ping.words.push_back(*word);
+      }
     });
   }
 
@@ -392,7 +480,9 @@
     const int silent = probe.helpers > 0 ? probe.helpers - probe.nacks : 1;
     health_ = std::clamp(health_ + silent, 0, kWorst);
     const Peer* fellow = fellows_.find(probe.name);
-    if (!fellow || !is_here(fellow->word.standing)) return;
+    if (!fellow || !is_here(fellow->word.standing)) {
+      return;
+    }
     Word word = fellow->word;
     word.standing = Standing::suspected, word.by = place_;
     learn(word);
@@ -404,14 +494,22 @@
       if (turn_ >= ring_.size()) {
         turn_ = 0;
         ring_.clear();
-        for (const auto& [name, fellow] : fellows_.all())
-          if (is_here(fellow.word.standing)) ring_.push_back(name);
-        for (std::size_t left = ring_.size(); left > 1; --left)
+        for (const auto& [name, fellow] : fellows_.all()) {
+          if (is_here(fellow.word.standing)) {
+            ring_.push_back(name);
+          }
+        }
+        for (std::size_t left = ring_.size(); left > 1; --left) {
           std::swap(ring_[left - 1], ring_[random_() % left]);
+        }
+      }
+      if (ring_.empty()) {
+        return nullptr;
       }
-      if (ring_.empty()) return nullptr;
       const Peer* next = fellows_.find(ring_[turn_++]);
-      if (next && is_here(next->word.standing)) return next;
+      if (next && is_here(next->word.standing)) {
+        return next;
+      }
     }
     return nullptr;
   }
@@ -422,15 +520,17 @@
     for (int tries = 0; tries < 4 * count && !ring_.empty() && std::ssize(places) < count; ++tries) {
       const Peer* drawn = fellows_.find(ring_[random_() % ring_.size()]);
       if (drawn && is_here(drawn->word.standing) && drawn->word.place != without &&
-          !std::ranges::count(places, drawn->word.place))
+          !std::ranges::count(places, drawn->word.place)) {
         places.push_back(drawn->word.place);
+      }
     }
     return places;
   }
 
   void take_errand(const Message& message) {
-    if (message.about.number >= charge_.places || message.about == place_ || errands_.size() >= kErrands)
+    if (message.about.number >= charge_.places || message.about == place_ || errands_.size() >= kErrands) {
       return;
+    }
     errands_.push_back(
         {message.place, message.about, message.number, ++number_, now_ + charge_.timeout * kNackAfter});
     tell(message.about, Kind::ping, number_);
@@ -438,7 +538,9 @@
 
   void run_errands() {
     std::erase_if(errands_, [this](const Errand& errand) {
-      if (now_ < errand.until) return false;
+      if (now_ < errand.until) {
+        return false;
+      }
       tell(errand.of, Kind::nack, errand.number_of);
       return true;
     });
@@ -447,23 +549,28 @@
   // Ends suspicions. The fewer others share one, the longer it lasts: then it may be ourselves.
   void judge() {
     std::vector<Word> failed;
-    for (const std::string& name : fellows_.suspects())
-      if (const Peer& fellow = *fellows_.find(name); now_ >= ends(fellow)) failed.push_back(fellow.word);
+    for (const std::string& name : fellows_.suspects()) {
+      if (const Peer& fellow = *fellows_.find(name); now_ >= ends(fellow)) {
+        failed.push_back(fellow.word);
+      }
+    }
     for (Word& word : failed) {
       word.standing = Standing::failed, word.by = place_;
       accept(word);
     }
   }
 
-  Millis least() const {
+  [[nodiscard]] Millis least() const {
     return charge_.suspicion_multiplier * std::max(1.0, std::log10(fellows_.here() + 1)) * charge_.pace;
   }
 
-  Millis ends(const Peer& fellow) const {
+  [[nodiscard]] Millis ends(const Peer& fellow) const {
     const double here = fellows_.here() + 1;
     const Millis least = this->least();
     const double others = std::min<double>(kSure, here - 3);
-    if (others < 1) return fellow.suspected + least;
+    if (others < 1) {
+      return fellow.suspected + least;
+    }
     const double shared =
         std::log(std::max<double>(1, static_cast<double>(fellow.doubters.size()))) / std::log(others + 1);
     return fellow.suspected + std::max(least, kLongest * least - (kLongest - 1) * least * shared);
@@ -472,14 +579,18 @@
   // Asks at places where nobody is held to be: at the start, and so that those who were cut off, or have come
   // to the list anew, are found.
   void seek() {
-    if (now_ < next_seek_) return;
+    if (now_ < next_seek_) {
+      return;
+    }
     const bool alone = fellows_.here() == 0;
     next_seek_ = now_ + charge_.pace * (alone ? 1 : kPacesOfSeek);
     int asks = alone ? kHelpers : 1;
     const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, charge_.places)));
     for (int step = 0; step < charge_.places && asks > 0; ++step) {
       const SlotId place{(first + step) % charge_.places};
-      if (place == place_ || fellows_.at(place)) continue;
+      if (place == place_ || fellows_.at(place)) {
+        continue;
+      }
       --asks;
       ask(place);
     }
@@ -491,9 +602,13 @@
   void compare() {
     if (now_ >= next_compare_) {
       next_compare_ = now_ + charge_.pace * kPacesOfCompare;
-      if (const auto with = some(1, place_); !with.empty()) send_digest(with.front(), {});
+      if (const auto with = some(1, place_); !with.empty()) {
+        send_digest(with.front(), {});
+      }
+    }
+    if (const auto with = std::exchange(differ_with_, std::nullopt)) {
+      send_digest(*with, {});
     }
-    if (const auto with = std::exchange(differ_with_, std::nullopt)) send_digest(*with, {});
   }
 
   void send_digest(SlotId to, Range range) {
@@ -508,14 +623,18 @@
     const unsigned first = random_() % kFan;
     for (unsigned step = 0; step < kFan && spare_ > 0; ++step) {
       const unsigned part = (first + step) % kFan;
-      if (sums[part] == message.sums[part]) continue;
+      if (sums[part] == message.sums[part]) {
+        continue;
+      }
       --spare_;
       send_range(message.place, {message.range.depth + 1, message.range.prefix << 4 | part}, false);
     }
   }
 
   void answer_words(const Message& message) {
-    if (spare_ <= 0) return;
+    if (spare_ <= 0) {
+      return;
+    }
     --spare_;
     send_range(message.place, message.range, true, &message.words);
   }
@@ -523,16 +642,23 @@
   // Words on all in the range but those that the other has told the same; sums where they are too many.
   void send_range(SlotId to, Range range, bool answer, const std::vector<Word>* told = nullptr) {
     auto words = fellows_.words(range, self(), kOfRange);
-    if (!words && range.depth < kDeepest) return send_digest(to, range);
-    if (!words) return;
-    if (told)
+    if (!words && range.depth < kDeepest) {
+      return send_digest(to, range);
+    }
+    if (!words) {
+      return;
+    }
+    if (told) {
       std::erase_if(*words, [&](const Word& word) {
         return std::ranges::any_of(*told, [&](const Word& other) {
           return other.name == word.name && other.incarnation == word.incarnation &&
                  other.standing == word.standing;
         });
       });
-    if (answer && words->empty()) return;
+    }
+    if (answer && words->empty()) {
+      return;
+    }
     tell(to, Kind::words, 0, [&](Message& message) {
       message.range = range, message.answer = answer;
       message.words = std::move(*words);
@@ -541,7 +667,7 @@
 
   // What goes out.
 
-  Word self() const { return {charge_.name, place_, Standing::there, incarnation_, {}}; }
+  [[nodiscard]] Word self() const { return {charge_.name, place_, Standing::there, incarnation_, {}}; }
 
   void spread(const Word& word) { news_[word.name] = {word, 0}; }
 
@@ -554,15 +680,24 @@
     fill(message);
     const std::size_t own = message.words.size();
     std::vector<News*> news;
-    for (auto& [name, one] : news_) news.push_back(&one);
+    for (auto& [name, one] : news_) {
+      news.push_back(&one);
+    }
     std::ranges::stable_sort(news, {}, &News::sent);
-    if (news.size() > kMostWords) news.resize(kMostWords);
-    for (const News* one : news) message.words.push_back(one->word);
+    if (news.size() > kMostWords) {
+      news.resize(kMostWords);
+    }
+    for (const News* one : news) {
+      message.words.push_back(one->word);
+    }
     std::size_t told = 0;
     decisions_.push_back(SendDatagram{to, bytes_of(message, told)});
     const int most = static_cast<int>(std::ceil(kSentOn * std::log10(fellows_.here() + 2)));
-    for (std::size_t at = own; at < told; ++at)
-      if (News* one = news[at - own]; ++one->sent >= most) news_.erase(std::string(one->word.name));
+    for (std::size_t at = own; at < told; ++at) {
+      if (News* one = news[at - own]; ++one->sent >= most) {
+        news_.erase(std::string(one->word.name));
+      }
+    }
   }
   void tell(SlotId to, Kind kind, std::uint32_t number) {
     tell(to, kind, number, [](Message&) {});
@@ -580,14 +715,22 @@
     Millis next = kNever;
     const auto at = [&next](Millis when) { next = std::min(next, when); };
     if (!leaving_) {
-      if (rival_) at(rival_->next);
+      if (rival_) {
+        at(rival_->next);
+      }
       if (!yielded_) {
         at(next_probe_), at(next_seek_), at(next_compare_);
-        if (probe_ && !probe_->asked) at(probe_->sent + stretched(charge_.timeout));
-        for (const Errand& errand : errands_) at(errand.until);
+        if (probe_ && !probe_->asked) {
+          at(probe_->sent + stretched(charge_.timeout));
+        }
+        for (const Errand& errand : errands_) {
+          at(errand.until);
+        }
       }
     }
-    for (const std::string& name : fellows_.suspects()) at(ends(*fellows_.find(name)));
+    for (const std::string& name : fellows_.suspects()) {
+      at(ends(*fellows_.find(name)));
+    }
     // Alone with its farewell it still minds its clock, so that a gap can be told from quiet.
     wake_ = std::max(now_, std::min(next, now_ + charge_.pace));
     decisions_.push_back(RequestWakeup{wake_});
@@ -636,8 +779,11 @@
 
 std::set<SlotId> there_in(const View& view) {
   std::set<SlotId> there;
-  for (const PeerView& fellow : view.fellows)
-    if (fellow.standing == Standing::there) there.insert(fellow.place);
+  for (const PeerView& fellow : view.fellows) {
+    if (fellow.standing == Standing::there) {
+      there.insert(fellow.place);
+    }
+  }
   return there;
 }
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -83,7 +83,7 @@
 
 class Membership : public EventCore<Event, Decision> {
  public:
-  virtual View view() const = 0;
+  [[nodiscard]] virtual View view() const = 0;
 };
 
 std::unique_ptr<Membership> make_membership(const Options& charge, std::uint64_t seed);
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -9,7 +9,9 @@
 using Json = nlohmann::json;
 
 std::optional<std::uint64_t> whole(const Json& json, std::uint64_t most) {
-  if (!json.is_number_unsigned() || json.get<std::uint64_t>() > most) return std::nullopt;
+  if (!json.is_number_unsigned() || json.get<std::uint64_t>() > most) {
+    return std::nullopt;
+  }
   return json.get<std::uint64_t>();
 }
 
@@ -21,56 +23,80 @@
 
 std::optional<SlotId> place_in(const Json& json) {
   const auto number = whole(json, kMostPlaces - 1);
-  if (!number) return std::nullopt;
+  if (!number) {
+    return std::nullopt;
+  }
   return SlotId{static_cast<int>(*number)};
 }
 
 std::optional<std::string> name_in(const Json& json) {
-  if (!json.is_string() || !is_name(json.get_ref<const std::string&>())) return std::nullopt;
+  if (!json.is_string() || !is_name(json.get_ref<const std::string&>())) {
+    return std::nullopt;
+  }
   return json.get<std::string>();
 }
 
 Json json_of(const Word& word) {
   Json json = {word.name, word.place.number, static_cast<int>(word.standing), word.incarnation.number};
-  if (word.by.number >= 0) json.push_back(word.by.number);
+  if (word.by.number >= 0) {
+    json.push_back(word.by.number);
+  }
   return json;
 }
 
 std::optional<Word> word_in(const Json& json) {
-  if (!json.is_array() || json.size() < 4 || json.size() > 5) return std::nullopt;
+  if (!json.is_array() || json.size() < 4 || json.size() > 5) {
+    return std::nullopt;
+  }
   const auto name = name_in(json[0]);
   const auto place = place_in(json[1]);
   const auto standing = whole(json[2], static_cast<int>(Standing::left));
   const auto incarnation = whole(json[3], std::numeric_limits<std::uint64_t>::max() >> 1);
   const auto by = json.size() == 5 ? place_in(json[4]) : std::optional<SlotId>(SlotId{});
-  if (!name || !place || !standing || !incarnation || !by) return std::nullopt;
+  if (!name || !place || !standing || !incarnation || !by) {
+    return std::nullopt;
+  }
   return Word{*name, *place, static_cast<Standing>(*standing), {*incarnation}, *by};
 }
 
 // A range as [depth, prefix, sums]; the sums as one text of bytes, four to each.
 Json range_of(const Message& message) {
   Json json = {message.range.depth, message.range.prefix};
-  if (message.kind != Kind::digest) return json;
+  if (message.kind != Kind::digest) {
+    return json;
+  }
   std::vector<std::uint8_t> bytes;
-  for (const std::uint32_t sum : message.sums)
-    for (const int shift : {24, 16, 8, 0}) bytes.push_back(static_cast<std::uint8_t>(sum >> shift));
+  for (const std::uint32_t sum : message.sums) {
+    for (const int shift : {24, 16, 8, 0}) {
+      bytes.push_back(static_cast<std::uint8_t>(sum >> shift));
+    }
+  }
   json.push_back(Json::binary(std::move(bytes)));
   return json;
 }
 
 bool read_range(const Json& json, Message& into) {
   const bool digest = into.kind == Kind::digest;
-  if (!json.is_array() || json.size() != (digest ? 3 : 2)) return false;
+  if (!json.is_array() || json.size() != (digest ? 3 : 2)) {
+    return false;
+  }
   const auto depth = whole(json[0], kDeepest);
   const auto prefix = whole(json[1], std::numeric_limits<std::uint64_t>::max());
-  if (!depth || !prefix || (*prefix >> (4 * *depth)) != 0) return false;
+  if (!depth || !prefix || (*prefix >> (4 * *depth)) != 0) {
+    return false;
+  }
   into.range = {static_cast<int>(*depth), *prefix};
-  if (!digest) return true;
-  if (!json[2].is_binary() || json[2].get_binary().size() != 4 * kFan) return false;
+  if (!digest) {
+    return true;
+  }
+  if (!json[2].is_binary() || json[2].get_binary().size() != 4 * kFan) {
+    return false;
+  }
   const auto& bytes = json[2].get_binary();
-  for (std::size_t at = 0; at < bytes.size(); at += 4)
+  for (std::size_t at = 0; at < bytes.size(); at += 4) {
     into.sums.push_back(std::uint32_t{bytes[at]} << 24 | std::uint32_t{bytes[at + 1]} << 16 |
                         std::uint32_t{bytes[at + 2]} << 8 | bytes[at + 3]);
+  }
   return true;
 }
 
@@ -104,7 +130,9 @@
   for (const Word& word : message.words) {
     Json one = json_of(word);
     size += Json::to_cbor(one).size();
-    if (size > kLongest || told == kMostWords) break;
+    if (size > kLongest || told == kMostWords) {
+      break;
+    }
     json.back().push_back(std::move(one));
     ++told;
   }
@@ -113,17 +141,25 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) try {
-  if (!is_membership_message(bytes) || bytes.size() > kLongest) return std::nullopt;
+  if (!is_membership_message(bytes) || bytes.size() > kLongest) {
+    return std::nullopt;
+  }
   const Json head = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
-  if (!head.is_array() || head.size() != 10 || head[0] != kForm || !head[9].is_array()) return std::nullopt;
+  if (!head.is_array() || head.size() != 10 || head[0] != kForm || !head[9].is_array()) {
+    return std::nullopt;
+  }
   Message message;
   const auto kind = whole(head[1], static_cast<int>(Kind::words));
   const auto number = whole(head[2], std::numeric_limits<std::uint32_t>::max());
   const auto name = name_in(head[3]);
   const auto place = place_in(head[4]);
   constexpr std::uint64_t kMost = std::numeric_limits<std::uint64_t>::max() >> 1;
-  const auto incarnation = whole(head[5], kMost), born = whole(head[6], kMost), flags = whole(head[7], 3);
-  if (!kind || !number || !name || !place || !incarnation || !born || !flags) return std::nullopt;
+  const auto incarnation = whole(head[5], kMost);
+  const auto born = whole(head[6], kMost);
+  const auto flags = whole(head[7], 3);
+  if (!kind || !number || !name || !place || !incarnation || !born || !flags) {
+    return std::nullopt;
+  }
   message.kind = static_cast<Kind>(*kind);
   message.number = static_cast<std::uint32_t>(*number);
   message.name = *name, message.place = *place;
@@ -131,14 +167,18 @@
   message.leaving = *flags & 1, message.answer = *flags & 2;
   if (message.kind == Kind::ask) {
     const auto about = place_in(head[8]);
-    if (!about) return std::nullopt;
+    if (!about) {
+      return std::nullopt;
+    }
     message.about = *about;
   } else if (has_range(message.kind) ? !read_range(head[8], message) : !head[8].is_null()) {
     return std::nullopt;
   }
   for (const Json& one : head[9]) {
     const auto word = word_in(one);
-    if (!word) return std::nullopt;
+    if (!word) {
+      return std::nullopt;
+    }
     message.words.push_back(*word);
   }
   return message;
--- a/src/membership/peer_table.hpp
+++ b/src/membership/peer_table.hpp
@@ -29,25 +29,25 @@
 
   // Whether a word outweighs what is held. Of equal incarnations the graver word does.
   enum class Weight { news, confirmation, known, old };
-  Weight weigh(const Word& word) const;
+  [[nodiscard]] Weight weigh(const Word& word) const;
   // Takes it as what is held from now on.
   Peer& take(const Word& word, Millis now);
 
   Peer* find(const std::string& name);
-  const Peer* find(const std::string& name) const;
+  [[nodiscard]] const Peer* find(const std::string& name) const;
   // Who is here at a place, if anybody.
-  const Peer* at(SlotId place) const;
-  const std::map<std::string, Peer>& all() const { return fellows_; }
-  int here() const { return here_; }
-  const std::set<std::string>& suspects() const { return suspects_; }
+  [[nodiscard]] const Peer* at(SlotId place) const;
+  [[nodiscard]] const std::map<std::string, Peer>& all() const { return fellows_; }
+  [[nodiscard]] int here() const { return here_; }
+  [[nodiscard]] const std::set<std::string>& suspects() const { return suspects_; }
   // Who has been gone for as long is held no longer, but what is said of that life stays known.
   std::vector<Word> forget(Millis since);
   // Nothing said of the name under this incarnation or a lower one is news any more.
   void bury(const std::string& name, Incarnation last);
 
-  std::vector<std::uint32_t> sums(Range range, const Word& self) const;
+  [[nodiscard]] std::vector<std::uint32_t> sums(Range range, const Word& self) const;
   // Words on all in the range; nothing where they are more than so many.
-  std::optional<std::vector<Word>> words(Range range, const Word& self, std::size_t most) const;
+  [[nodiscard]] std::optional<std::vector<Word>> words(Range range, const Word& self, std::size_t most) const;
 
  private:
   const int most_;
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -15,7 +15,9 @@
  public:
   explicit Allowance(std::size_t bytes) : left_(bytes) {}
   bool take(std::size_t bytes) {
-    if (bytes > left_) return false;
+    if (bytes > left_) {
+      return false;
+    }
     left_ -= bytes;
     return true;
   }
@@ -32,12 +34,14 @@
   Buffer(const Buffer&) = delete;
 
   // What has been read and not yet consumed.
-  std::string_view held() const { return {bytes_.data() + begin_, end_ - begin_}; }
+  [[nodiscard]] std::string_view held() const { return {bytes_.data() + begin_, end_ - begin_}; }
 
   // Room for the next read: at least so many bytes, or none where the allowance is used up. It stays where it
   // is until the next call. What has grown is given back once it is empty.
   std::span<char> room(std::size_t least) {
-    if (begin_ == end_) begin_ = end_ = 0;
+    if (begin_ == end_) {
+      begin_ = end_ = 0;
+    }
     if (end_ == 0 && bytes_.size() > kUsual) {
       allowance_.give(bytes_.size());
       std::vector<char>().swap(bytes_);
@@ -48,7 +52,9 @@
     }
     if (bytes_.size() - end_ < least) {
       const std::size_t wanted = std::max(2 * bytes_.size(), end_ + least);
-      if (!allowance_.take(wanted - bytes_.size())) return {};
+      if (!allowance_.take(wanted - bytes_.size())) {
+        return {};
+      }
       bytes_.resize(wanted);
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -17,7 +17,7 @@
   // Set apart from the machine's by as much, for trials.
   explicit Clock(Millis apart = 0) : apart_(apart) {}
 
-  Millis now() const {
+  [[nodiscard]] Millis now() const {
     using Fraction = std::chrono::duration<double, std::milli>;
     return start_.unix + apart_ + Fraction(std::chrono::steady_clock::now() - start_.steady).count();
   }
@@ -37,7 +37,9 @@
       const Steady before = std::chrono::steady_clock::now();
       const auto unix = std::chrono::system_clock::now().time_since_epoch();
       const auto took = std::chrono::steady_clock::now() - before;
-      if (took >= least) continue;
+      if (took >= least) {
+        continue;
+      }
       least = took;
       best = {before + took / 2, std::chrono::duration<double, std::milli>(unix).count()};
     }
@@ -59,28 +61,38 @@
   Handle set(Millis at, std::function<void()> due) {
     const Handle handle{at, ++last_};
     due_.emplace(handle, std::move(due));
-    if (due_.begin()->first == handle) arm();
+    if (due_.begin()->first == handle) {
+      arm();
+    }
     return handle;
   }
   // When the next one is due; none is set: never.
-  std::optional<Millis> next_due() const {
-    if (due_.empty()) return std::nullopt;
+  [[nodiscard]] std::optional<Millis> next_due() const {
+    if (due_.empty()) {
+      return std::nullopt;
+    }
     return due_.begin()->first.first;
   }
   void drop(const Handle& handle) { due_.erase(handle); }
   // The same for one that may be set; it is set no more.
   void drop(std::optional<Handle>& handle) {
-    if (handle) due_.erase(*handle);
+    if (handle) {
+      due_.erase(*handle);
+    }
     handle.reset();
   }
 
  private:
   void arm() {
-    if (due_.empty()) return;
+    if (due_.empty()) {
+      return;
+    }
     const Millis left = std::max(0.0, due_.begin()->first.first - clock_.now());
     next_.expires_after(std::chrono::nanoseconds(static_cast<long long>(left * 1e6)));
     next_.async_wait([this](const asio::error_code& fault) {
-      if (fault) return;
+      if (fault) {
+        return;
+      }
       while (!due_.empty() && due_.begin()->first.first <= clock_.now()) {
         const auto due = std::move(due_.begin()->second);
         due_.erase(due_.begin());
--- a/src/operators/check.cpp
+++ b/src/operators/check.cpp
@@ -13,8 +13,9 @@
   valijson::ValidationResults results;
   valijson::Validator().validate(compiled, valijson::adapters::NlohmannJsonAdapter(values), &results);
   std::vector<Mismatch> found;
-  for (valijson::ValidationResults::Error error; results.popError(error);)
+  for (valijson::ValidationResults::Error error; results.popError(error);) {
     found.push_back({error.context, error.description});
+  }
   return found;
 }
 
--- a/src/operators/command.cpp
+++ b/src/operators/command.cpp
@@ -27,10 +27,17 @@
   try {
     const File file = read_file(path);
     program.check(file, path);
-    if (*show)
-      for (const std::string& line : operators::show(file)) std::cout << line << '\n';
-    if (*check) std::cout << path << ": sound\n";
-    if (*run) program.run(file, path);
+    if (*show) {
+      for (const std::string& line : operators::show(file)) {
+        std::cout << line << '\n';
+      }
+    }
+    if (*check) {
+      std::cout << path << ": sound\n";
+    }
+    if (*run) {
+      program.run(file, path);
+    }
     return 0;
   } catch (const InvalidFile& faulty) {
     std::cerr << faulty.what() << '\n';
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -33,7 +33,9 @@
 [[noreturn]] void give_up(const std::string& name, std::vector<Fault> faults) {
   std::ranges::stable_sort(faults, {}, &Fault::line);
   std::vector<std::string> lines;
-  for (const Fault& fault : faults) lines.push_back(fmt::format("{}:{}: {}", name, fault.line, fault.text));
+  for (const Fault& fault : faults) {
+    lines.push_back(fmt::format("{}:{}: {}", name, fault.line, fault.text));
+  }
   throw InvalidFile(std::move(lines));
 }
 
@@ -46,24 +48,39 @@
   bool ended = false;
   for (std::size_t at = 0; at < text.size(); ++at) {
     const char letter = text[at];
-    if (letter == '\n') ++line;
-    if (letter == ';')
-      while (at + 1 < text.size() && text[at + 1] != '\n') ++at;
-    else if (letter == '"') {
+    if (letter == '\n') {
+      ++line;
+    }
+    if (letter == ';') {
+      while (at + 1 < text.size() && text[at + 1] != '\n') {
+        ++at;
+      }
+    } else if (letter == '"') {
       const int from = line;
       for (++at; at < text.size() && text[at] != '"'; ++at) {
-        if (text[at] == '\n') ++line;
-        if (text[at] == '\\') ++at;
+        if (text[at] == '\n') {
+          ++line;
+        }
+        if (text[at] == '\\') {
+          ++at;
+        }
+      }
+      if (at >= text.size()) {
+        give_up(name, {{from, "a text that begins here is not closed"}});
       }
-      if (at >= text.size()) give_up(name, {{from, "a text that begins here is not closed"}});
     } else if (letter == '(') {
-      if (ended)
+      if (ended) {
         give_up(name, {{line, fmt::format("more than one list; all stands inside ({} ...)", form.head)}});
+      }
       lines.push_back(line);
       open.push_back(line);
-      if (open.size() > kDeepest) give_up(name, {{line, "lists stand too deep in lists"}});
+      if (open.size() > kDeepest) {
+        give_up(name, {{line, "lists stand too deep in lists"}});
+      }
     } else if (letter == ')') {
-      if (open.empty()) give_up(name, {{line, "a list is closed here that was not opened"}});
+      if (open.empty()) {
+        give_up(name, {{line, "a list is closed here that was not opened"}});
+      }
       open.pop_back();
       ended = open.empty();
     } else if (letter == '\'' || letter == '#' || letter == '\0') {
@@ -72,14 +89,18 @@
       give_up(name, {{line, fmt::format("a list was expected: ({} ...)", form.head)}});
     }
   }
-  if (!open.empty()) give_up(name, {{open.back(), "the list that begins here is not closed"}});
+  if (!open.empty()) {
+    give_up(name, {{open.back(), "the list that begins here is not closed"}});
+  }
   return lines;
 }
 
 std::optional<double> number(std::string_view text) {
   double value = 0;
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
+  if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
+    return std::nullopt;
+  }
   return value;
 }
 
@@ -92,17 +113,22 @@
 
 template <std::size_t N>
 std::optional<double> with_unit(std::string_view text, const Unit (&units)[N]) {
-  for (const Unit& unit : units)
-    if (text.ends_with(unit.word))
-      if (const auto value = number(text.substr(0, text.size() - unit.word.size())))
+  for (const Unit& unit : units) {
+    if (text.ends_with(unit.word)) {
+      if (const auto value = number(text.substr(0, text.size() - unit.word.size()))) {
         return *value * unit.factor;
+      }
+    }
+  }
   return std::nullopt;
 }
 
 // An address and a port.
 bool is_address(std::string_view text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos || colon == 0) return false;
+  if (colon == std::string_view::npos || colon == 0) {
+    return false;
+  }
   const auto port = number(text.substr(colon + 1));
   return port && *port >= 0 && *port <= 65535 && *port == std::floor(*port);
 }
@@ -115,11 +141,15 @@
   File read(const sexp_t* top) {
     const Json schema = Json::parse(form_.schema);
     const int line = next_line();
-    if (head(top) != form_.head) give_up(name_, {{line, fmt::format("({} ...) was expected", form_.head)}});
+    if (head(top) != form_.head) {
+      give_up(name_, {{line, fmt::format("({} ...) was expected", form_.head)}});
+    }
     file_.values = Json::object();
     entries(top->list->next, schema, file_.values, "");
     check(schema);
-    if (!faults_.empty()) give_up(name_, std::move(faults_));
+    if (!faults_.empty()) {
+      give_up(name_, std::move(faults_));
+    }
     complete(schema, file_.values);
     return std::move(file_);
   }
@@ -153,7 +183,9 @@
     }
     std::string full = path.empty() ? key : fmt::format("{}.{}", path, key);
     const Json* of = nullptr;
-    if (schema.contains("properties") && schema["properties"].contains(key)) of = &schema["properties"][key];
+    if (schema.contains("properties") && schema["properties"].contains(key)) {
+      of = &schema["properties"][key];
+    }
     if (!of) {
       faults_.push_back({line, fmt::format("{}: there is no such key", full)});
       return skip(list->list->next);
@@ -162,7 +194,9 @@
     if ((*of)["type"] == "array") {
       of = &(*of)["items"];
       Json& rows = into[key];
-      if (rows.is_null()) rows = Json::array();
+      if (rows.is_null()) {
+        rows = Json::array();
+      }
       file_.lines.emplace(full, line);
       full = fmt::format("{}[{}]", full, rows.size());
       place = &rows.emplace_back();
@@ -190,33 +224,42 @@
 
   // Counts the lists of what is not read, so that those behind it keep their lines.
   void skip(const sexp_t* first) {
-    for (const sexp_t* at = first; at; at = at->next)
-      if (at->ty == SEXP_LIST) next_line(), skip(at->list);
+    for (const sexp_t* at = first; at; at = at->next) {
+      if (at->ty == SEXP_LIST) {
+        next_line(), skip(at->list);
+      }
+    }
   }
 
   Json scalar(const std::string& text, const Json& schema, const std::string& path, int line) {
-    const std::string type = schema["type"], unit = schema.value("unit", "");
+    const std::string type = schema["type"];
+    const std::string unit = schema.value("unit", "");
     const auto wrong = [&](const char* expected) {
       faults_.push_back({line, fmt::format("{}: {} was expected, not {}", path, expected, text)});
       faulty_.insert(path);
       return Json();
     };
-    if (type == "boolean")
+    if (type == "boolean") {
       return text == "yes" ? Json(true) : text == "no" ? Json(false) : wrong("yes or no");
+    }
     if (type == "string") {
-      if (schema.value("format", "") == "address" && !is_address(text))
+      if (schema.value("format", "") == "address" && !is_address(text)) {
         return wrong("an address and a port such as 127.0.0.1:18000");
+      }
       return text;
     }
     const auto value = unit == "time"   ? with_unit(text, kTimes)
                        : unit == "size" ? with_unit(text, kSizes)
                                         : number(text);
-    if (!value)
+    if (!value) {
       return wrong(unit == "time"   ? "a time such as 500ms or 2s"
                    : unit == "size" ? "a size such as 64KiB or 32MiB"
                                     : "a number");
+    }
     if (type == "integer") {
-      if (*value != std::floor(*value) || std::abs(*value) > 9e15) return wrong("a whole number");
+      if (*value != std::floor(*value) || std::abs(*value) > 9e15) {
+        return wrong("a whole number");
+      }
       return static_cast<long long>(*value);
     }
     return *value;
@@ -226,12 +269,16 @@
     faults_.push_back({line_of(path), fmt::format("{}: {}", path.empty() ? "file" : path, text)});
   }
   // The line of a key, or of what it stands in.
-  int line_of(std::string path) const {
+  [[nodiscard]] int line_of(std::string path) const {
     for (;;) {
       const auto found = file_.lines.find(path);
-      if (found != file_.lines.end()) return found->second;
+      if (found != file_.lines.end()) {
+        return found->second;
+      }
       const std::size_t dot = path.find_last_of(".[");
-      if (dot == std::string::npos) return 1;
+      if (dot == std::string::npos) {
+        return 1;
+      }
       path.resize(dot);
     }
   }
@@ -240,12 +287,15 @@
   static std::string path_of(const std::vector<std::string>& context) {
     std::string path;
     for (const std::string& part : context) {
-      if (part.size() < 3 || part.front() != '[') continue;
+      if (part.size() < 3 || part.front() != '[') {
+        continue;
+      }
       const std::string inner = part.substr(1, part.size() - 2);
-      if (inner.find_first_not_of("0123456789") == std::string::npos)
+      if (inner.find_first_not_of("0123456789") == std::string::npos) {
         path += part;
-      else
+      } else {
         path += path.empty() ? inner : fmt::format(".{}", inner);
+      }
     }
     return path;
   }
@@ -257,8 +307,9 @@
       // Of the messages on one key the first, innermost one says it; outer ones repeat it.
       if (error.description.starts_with("Failed to validate against schema associated with property") ||
           error.description.starts_with("Failed to validate item") ||
-          told.contains(path + error.description) || faulty_.contains(path))
+          told.contains(path + error.description) || faulty_.contains(path)) {
         continue;
+      }
       told.insert(path + error.description);
       std::string text = error.description;
       if (const auto at = text.find("Missing required property '"); at == 0) {
@@ -275,19 +326,23 @@
   static std::optional<std::string> expected(const Json& schema, const std::vector<std::string>& context) {
     const Json* of = &schema;
     for (const std::string& part : context) {
-      if (part.size() < 3 || part.front() != '[') continue;
+      if (part.size() < 3 || part.front() != '[') {
+        continue;
+      }
       const std::string inner = part.substr(1, part.size() - 2);
-      if (of->contains("items"))
+      if (of->contains("items")) {
         of = &(*of)["items"];
-      else if (of->contains("properties") && (*of)["properties"].contains(inner))
+      } else if (of->contains("properties") && (*of)["properties"].contains(inner)) {
         of = &(*of)["properties"][inner];
-      else
+      } else {
         return std::nullopt;
+      }
     }
     if (of->contains("enum")) {
       std::string words;
-      for (const Json& word : (*of)["enum"])
+      for (const Json& word : (*of)["enum"]) {
         words += fmt::format("{}{}", words.empty() ? "" : ", ", word.get<std::string>());
+      }
       return "one of " + words + " was expected";
     }
     if (of->contains("minimum")) {
@@ -297,23 +352,33 @@
       return fmt::format("from {}{} to {}{} was expected", (*of)["minimum"].dump(), unit,
                          (*of)["maximum"].dump(), unit);
     }
-    if (of->contains("pattern"))
+    if (of->contains("pattern")) {
       return "a text of the form " + (*of)["pattern"].get<std::string>() + " was expected";
+    }
     return std::nullopt;
   }
 
   static void complete(const Json& schema, Json& values) {
     if (schema["type"] == "array") {
-      for (Json& row : values) complete(schema["items"], row);
+      for (Json& row : values) {
+        complete(schema["items"], row);
+      }
+      return;
+    }
+    if (schema["type"] != "object") {
       return;
     }
-    if (schema["type"] != "object") return;
     for (const auto& [key, of] : schema["properties"].items()) {
       // A part with needed keys stays away where the file does not have it.
-      if (!values.contains(key) && of["type"] == "object" && !of.contains("required"))
+      if (!values.contains(key) && of["type"] == "object" && !of.contains("required")) {
         values[key] = Json::object();
-      if (!values.contains(key) && of.contains("default")) values[key] = of["default"];
-      if (values.contains(key)) complete(of, values[key]);
+      }
+      if (!values.contains(key) && of.contains("default")) {
+        values[key] = of["default"];
+      }
+      if (values.contains(key)) {
+        complete(of, values[key]);
+      }
     }
   }
 
@@ -327,24 +392,34 @@
 };
 
 std::string in_units(const Json& value, const std::string& unit) {
-  if (value.is_boolean()) return value.get<bool>() ? "yes" : "no";
-  if (value.is_string()) return value.dump();
-  if (unit == "time") return fmt::format("{}ms", value.get<double>());
-  if (unit == "size") return fmt::format("{}B", value.get<double>());
+  if (value.is_boolean()) {
+    return value.get<bool>() ? "yes" : "no";
+  }
+  if (value.is_string()) {
+    return value.dump();
+  }
+  if (unit == "time") {
+    return fmt::format("{}ms", value.get<double>());
+  }
+  if (unit == "size") {
+    return fmt::format("{}B", value.get<double>());
+  }
   return value.dump();
 }
 
 void show_into(const Json& schema, const Json& values, const std::string& path, const File& file,
                std::vector<std::string>& lines) {
   if (values.is_array()) {
-    for (std::size_t at = 0; at < values.size(); ++at)
+    for (std::size_t at = 0; at < values.size(); ++at) {
       show_into(schema["items"], values[at], fmt::format("{}[{}]", path, at), file, lines);
+    }
     return;
   }
   if (values.is_object()) {
-    for (const auto& [key, inner] : values.items())
+    for (const auto& [key, inner] : values.items()) {
       show_into(schema["properties"][key], inner, path.empty() ? key : fmt::format("{}.{}", path, key), file,
                 lines);
+    }
     return;
   }
   const auto line = file.lines.find(path);
@@ -357,18 +432,26 @@
 InvalidFile::InvalidFile(std::vector<std::string> of)
     : std::runtime_error([&of] {
         std::string text;
-        for (const std::string& line : of) text += fmt::format("{}{}", text.empty() ? "" : "\n", line);
+        for (const std::string& line : of) {
+          text += fmt::format("{}{}", text.empty() ? "" : "\n", line);
+        }
         return text;
       }()),
       lines(std::move(of)) {}
 
 File read_text(std::string_view text, const std::string& name, const Form& form) {
-  if (text.size() > kLongestFile) give_up(name, {{1, "the file is longer than 1 MiB"}});
+  if (text.size() > kLongestFile) {
+    give_up(name, {{1, "the file is longer than 1 MiB"}});
+  }
   std::vector<int> lines = lines_of_lists(text, name, form);
-  if (lines.empty()) give_up(name, {{1, fmt::format("a list was expected: ({} ...)", form.head)}});
+  if (lines.empty()) {
+    give_up(name, {{1, fmt::format("a list was expected: ({} ...)", form.head)}});
+  }
   std::string copy(text);
   const std::unique_ptr<sexp_t, void (*)(sexp_t*)> tree(parse_sexp(copy.data(), copy.size()), destroy_sexp);
-  if (!tree) give_up(name, {{1, "it does not read as S-expressions"}});
+  if (!tree) {
+    give_up(name, {{1, "it does not read as S-expressions"}});
+  }
   return Reader(name, std::move(lines), form).read(tree.get());
 }
 
@@ -380,8 +463,9 @@
     stream.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(stream.gcount()));
   }
-  if (stream.bad() || (!stream.eof() && !stream) || !stream.is_open())
+  if (stream.bad() || (!stream.eof() && !stream) || !stream.is_open()) {
     throw InvalidFile({fmt::format("{}: can't be read", path)});
+  }
   return read_text(text, path, form);
 }
 
--- a/src/proxy/arrival_bound.hpp
+++ b/src/proxy/arrival_bound.hpp
@@ -27,7 +27,7 @@
   static constexpr Millis kLate = 3;
 
   // True: a marker is to be sent now.
-  bool marker_wanted() const { return !marker_out_; }
+  [[nodiscard]] bool marker_wanted() const { return !marker_out_; }
   void marker_sent(Millis now) {
     marker_out_ = true;
     sent_ = {now, sent_[0], sent_[1]};
@@ -45,12 +45,14 @@
   // has waited since the last looks. What wakes it has just come, unless a late timer shows a hold-up: then
   // it may have come since that timer was due.
   void wakes(Millis now) {
-    if (marker_out_ || slept_from_ - none_ready_ > kNotCharged) return;
+    if (marker_out_ || slept_from_ - none_ready_ > kNotCharged) {
+      return;
+    }
     sent_.fill(now > next_timer_ + kLate ? next_timer_ : now);
   }
 
   // When a request that is read now came at the earliest, or now, where that is not worth charging.
-  Millis earliest(Millis now) const { return now - sent_[2] > kNotCharged ? sent_[2] : now; }
+  [[nodiscard]] Millis earliest(Millis now) const { return now - sent_[2] > kNotCharged ? sent_[2] : now; }
 
  private:
   bool marker_out_ = false;
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -91,14 +91,23 @@
   const Millis long_ago = clock_.now() - (staying() > config_.sockets / 4 ? kKeptWhenCrowded : kKept);
   for (const Connected& connection : connections_) {
     const bool rested = connection->commanded && connection->since < long_ago;
-    if (staying() > kept && rested && gives_way(*connection)) idle.push_back(connection);
+    if (staying() > kept && rested && gives_way(*connection)) {
+      idle.push_back(connection);
+    }
     const bool unread = !connection->reading && connection->state != Connection::State::leaving;
-    if (unread && hung_up(*connection)) gone.push_back(connection);
+    if (unread && hung_up(*connection)) {
+      gone.push_back(connection);
+    }
   }
   std::ranges::sort(idle, {}, [](const Connected& connection) { return connection->since; });
-  for (const Connected& connection : idle)
-    if (staying() > kept) leave(*connection);
-  for (const Connected& connection : gone) left(*connection);
+  for (const Connected& connection : idle) {
+    if (staying() > kept) {
+      leave(*connection);
+    }
+  }
+  for (const Connected& connection : gone) {
+    left(*connection);
+  }
   end_leaving();
   look_ = timers_.set(clock_.now() + kLookRound, [this] { look_round(); });
 }
@@ -123,7 +132,9 @@
 }
 
 void ClientConnections::be_ready() {
-  if (std::exchange(ready_, true)) return;
+  if (std::exchange(ready_, true)) {
+    return;
+  }
   for (const Connected& connection : std::list(connections_)) {
     connection->owed.complete_readiness(postgres::empty_answer());
     flush(*connection);
@@ -132,9 +143,15 @@
 
 void ClientConnections::accept() {
   acceptor_.async_accept([this](const asio::error_code& fault, Tcp::socket socket) {
-    if (!fault) accepted(std::move(socket));  // also one that came just before a drain stopped listening
-    if (!acceptor_.is_open()) return;
-    if (!fault) return accept();
+    if (!fault) {
+      accepted(std::move(socket));  // also one that came just before a drain stopped listening
+    }
+    if (!acceptor_.is_open()) {
+      return;
+    }
+    if (!fault) {
+      return accept();
+    }
     log_.warn("clients", "no connection can be taken", {{"why", fault.message()}});
     pause_ = timers_.set(clock_.now() + kLookAgain, [this] {
       pause_.reset();
@@ -164,9 +181,12 @@
 // Those that are being ended have a share of their own; the first of them has had the most time to read.
 // Once the front takes no more connections, nobody needs their descriptors.
 void ClientConnections::end_leaving() {
-  if (drained_) return;
-  while (leaving_ > config_.leaving_connections())
+  if (drained_) {
+    return;
+  }
+  while (leaving_ > config_.leaving_connections()) {
     give_back(**std::ranges::find(connections_, Connection::State::leaving, &Connection::state_of));
+  }
 }
 
 // Near the limit the connections go first that no usual client misses: one that has never sent anything, one
@@ -176,9 +196,13 @@
   Connection* silent = nullptr;
   Connection* idle = nullptr;
   for (const Connected& connection : connections_) {
-    if (!gives_way(*connection)) continue;
+    if (!gives_way(*connection)) {
+      continue;
+    }
     if (!connection->commanded && connection->buffer.held().empty()) {
-      if (!silent) silent = connection.get();
+      if (!silent) {
+        silent = connection.get();
+      }
     } else if (!idle || connection->since < idle->since) {
       idle = connection.get();
     }
@@ -198,14 +222,22 @@
 // request was not read.
 void ClientConnections::read(const Connected& connection) {
   using State = Connection::State;
-  if (connection->reading || connection->state == State::given_back) return;
+  if (connection->reading || connection->state == State::given_back) {
+    return;
+  }
   const bool reads_out = !listens(*connection);
-  if (reads_out ? connection->read_out > kAhead : connection->buffer.held().size() >= kAhead) return;
+  if (reads_out ? connection->read_out > kAhead : connection->buffer.held().size() >= kAhead) {
+    return;
+  }
   connection->reading = true;
   connection->socket.async_wait(Tcp::socket::wait_read, [this, connection](const asio::error_code& fault) {
     connection->reading = false;
-    if (connection->state == State::given_back) return;
-    if (fault) return left(*connection);
+    if (connection->state == State::given_back) {
+      return;
+    }
+    if (fault) {
+      return left(*connection);
+    }
     read_now(connection);
   });
 }
@@ -218,8 +250,12 @@
   }
   asio::error_code fault;
   const std::size_t count = connection->socket.read_some(asio::buffer(room.data(), room.size()), fault);
-  if (fault == asio::error::would_block || fault == asio::error::interrupted) return read(connection);
-  if (fault) return left(*connection);
+  if (fault == asio::error::would_block || fault == asio::error::interrupted) {
+    return read(connection);
+  }
+  if (fault) {
+    return left(*connection);
+  }
   if (!listens(*connection)) {  // read out, unheard
     connection->read_out += count;
     return read(connection);
@@ -234,11 +270,17 @@
 // without an end or do not read.
 void ClientConnections::judge(Connection& connection) {
   using State = Connection::State;
-  if (connection.state == State::leaving || connection.state == State::given_back) return;
+  if (connection.state == State::leaving || connection.state == State::given_back) {
+    return;
+  }
   const bool mid_message = !connection.buffer.held().empty() && connection.owed.size() < kPipelined;
   const bool owes = connection.writing || (listens(connection) && (!connection.commanded || mid_message));
-  if (!owes) timers_.drop(connection.limit);
-  if (!owes || connection.limit) return;
+  if (!owes) {
+    timers_.drop(connection.limit);
+  }
+  if (!owes || connection.limit) {
+    return;
+  }
   connection.limit =
       timers_.set(clock_.now() + (connection.commanded ? kOwed : kFirst), [this, held = *connection.place] {
         held->limit.reset();
@@ -247,7 +289,9 @@
 }
 
 void ClientConnections::limit_passed(Connection& connection) {
-  if (connection.writing) return cut_off(connection);
+  if (connection.writing) {
+    return cut_off(connection);
+  }
   log_.warn("clients", "connection ended", {{"why", "no whole command in time"}});
   end_with(connection, "57P05", "no whole command in time");
 }
@@ -258,12 +302,15 @@
 void ClientConnections::take_commands(Connection& connection) {
   using State = Connection::State;
   while (listens(connection) && connection.owed.size() < kPipelined) {
-    if (!connection.reading && connection.buffer.held().size() >= kAhead && hung_up(connection))
+    if (!connection.reading && connection.buffer.held().size() >= kAhead && hung_up(connection)) {
       return left(connection);
+    }
     const std::string_view held = connection.buffer.held();
     const bool starting = connection.state == State::starting;
     const postgres::Read next = starting ? postgres::read_startup(held) : postgres::read_from_client(held);
-    if (std::holds_alternative<postgres::Partial>(next)) break;
+    if (std::holds_alternative<postgres::Partial>(next)) {
+      break;
+    }
     if (const auto* fault = std::get_if<postgres::Fault>(&next)) {
       log_.warn("clients", "connection ended", {{"why", fault->text}});
       return end_with(connection, fault->code, fault->text);
@@ -272,19 +319,26 @@
     const std::size_t size = message.bytes.size();
     connection.commanded = connection.commanded || !starting;
     const Taken taken = take(connection, message);
-    if (!listens(connection)) return;
+    if (!listens(connection)) {
+      return;
+    }
     connection.buffer.consume(size);
     timers_.drop(connection.limit);
-    if (taken == Taken::answered && connection.writing) break;
+    if (taken == Taken::answered && connection.writing) {
+      break;
+    }
   }
   const bool at_rest = connection.buffer.held().empty() || refusing_;  // half a command has not been read
-  if (connection.state == State::open && drained_ && at_rest && gives_way(connection))
+  if (connection.state == State::open && drained_ && at_rest && gives_way(connection)) {
     return leave(connection);
+  }
   judge(connection);
 }
 
 ClientConnections::Taken ClientConnections::take(Connection& connection, const postgres::Message& message) {
-  if (connection.state == Connection::State::starting) return take_startup(connection, message);
+  if (connection.state == Connection::State::starting) {
+    return take_startup(connection, message);
+  }
   if (message.type == 'X') {
     close_after_replies(connection);
     return Taken::answered;
@@ -293,10 +347,14 @@
     connection.skipping = false;
     return reply(connection, postgres::ready());
   }
-  if (connection.skipping) return Taken::pending;
+  if (connection.skipping) {
+    return Taken::pending;
+  }
   if (message.type == 'Q') {
     const std::size_t end = message.body.find('\0');
-    if (end + 1 == message.body.size()) return take_query(connection, message.body.substr(0, end));
+    if (end + 1 == message.body.size()) {
+      return take_query(connection, message.body.substr(0, end));
+    }
     end_with(connection, "08P01", "a query does not end with its text");
     return Taken::answered;
   }
@@ -317,7 +375,9 @@
       keys_[*connection.key] = &connection;
       return reply(connection, postgres::welcome(*connection.key));
     case postgres::Startup::cancel:
-      if (const auto key = postgres::cancel_key(message)) cancel(*key);
+      if (const auto key = postgres::cancel_key(message)) {
+        cancel(*key);
+      }
       close_after_replies(connection);
       break;
     case postgres::Startup::unknown:
@@ -330,12 +390,17 @@
 ClientConnections::Taken ClientConnections::take_query(Connection& connection, std::string_view text) {
   const std::string word = postgres::first_word(text);
   if (word.empty()) {
-    if (ready_) return reply(connection, postgres::empty_answer());
+    if (ready_) {
+      return reply(connection, postgres::empty_answer());
+    }
     connection.owed.add_readiness();
     return Taken::answered;
   }
-  for (const char* harmless : {"SET", "RESET", "DISCARD"})
-    if (word == harmless) return reply(connection, postgres::completed(harmless) + postgres::ready());
+  for (const char* harmless : {"SET", "RESET", "DISCARD"}) {
+    if (word == harmless) {
+      return reply(connection, postgres::completed(harmless) + postgres::ready());
+    }
+  }
   return take_statement(connection, text);
 }
 
@@ -343,11 +408,12 @@
   const auto read = postgres::read_statement(text);
   std::optional<postgres::Fault> fault;
   const RequestId request{++last_request_};
-  if (const auto* statement = std::get_if<postgres::Statement>(&read))
+  if (const auto* statement = std::get_if<postgres::Statement>(&read)) {
     fault = refusing_ ? postgres::Fault{"57P03", "the front is stopping"}
                       : owner_.request_arrived(request, text, *statement);
-  else
+  } else {
     fault = std::get<postgres::Fault>(read);
+  }
   if (!fault) {
     connection.faults = 0;
     connection.owed.add_request(request);
@@ -365,7 +431,9 @@
 
 void ClientConnections::answer(RequestId request, std::string bytes) {
   const auto found = asking_.find(request);
-  if (found == asking_.end()) return;
+  if (found == asking_.end()) {
+    return;
+  }
   Connection& connection = *found->second;
   asking_.erase(found);
   connection.since = clock_.now();
@@ -380,9 +448,13 @@
 // Answered at once, as the protocol has it; a key that is nobody's does nothing.
 void ClientConnections::cancel(const postgres::CancelKey& key) {
   const auto found = keys_.find(key);
-  if (found == keys_.end()) return;
+  if (found == keys_.end()) {
+    return;
+  }
   const std::vector<RequestId> open = found->second->owed.open_requests();
-  if (open.empty()) return;
+  if (open.empty()) {
+    return;
+  }
   owner_.request_abandoned(open.front());
   answer(open.front(), postgres::error(postgres::Severity::error, "57014", "canceled on user request"));
 }
@@ -395,16 +467,24 @@
 
 // Writes the replies that are next, unless some are being written.
 void ClientConnections::flush(Connection& connection) {
-  if (connection.writing || connection.state == Connection::State::given_back) return;
+  if (connection.writing || connection.state == Connection::State::given_back) {
+    return;
+  }
   connection.out = connection.owed.take_complete();
-  if (connection.out.empty()) return;
+  if (connection.out.empty()) {
+    return;
+  }
   connection.writing = true;
   asio::async_write(connection.socket, asio::buffer(connection.out),
                     [this, held = *connection.place](const asio::error_code& fault, std::size_t) {
                       held->writing = false;
                       held->out = {};
-                      if (held->state == Connection::State::given_back) return;
-                      if (fault) return left(*held);
+                      if (held->state == Connection::State::given_back) {
+                        return;
+                      }
+                      if (fault) {
+                        return left(*held);
+                      }
                       written(*held);
                     });
   judge(connection);
@@ -412,11 +492,15 @@
 
 void ClientConnections::written(Connection& connection) {
   const Connected held = *connection.place;
-  if (connection.state == Connection::State::leaving) return leave(connection);
+  if (connection.state == Connection::State::leaving) {
+    return leave(connection);
+  }
   timers_.drop(connection.limit);
   flush(connection);
   if (connection.state == Connection::State::closing) {
-    if (connection.owed.empty() && !connection.writing) leave(connection);
+    if (connection.owed.empty() && !connection.writing) {
+      leave(connection);
+    }
     return;
   }
   take_commands(connection);
@@ -435,7 +519,9 @@
   connection.buffer.consume(connection.buffer.held().size());
   timers_.drop(connection.limit);
   flush(connection);
-  if (connection.owed.empty() && !connection.writing) return leave(connection);
+  if (connection.owed.empty() && !connection.writing) {
+    return leave(connection);
+  }
   judge(connection);
   read(held);
 }
@@ -455,7 +541,9 @@
       give_back(*held);
     });
   }
-  if (connection.writing) return;
+  if (connection.writing) {
+    return;
+  }
   if (!std::exchange(connection.ended, true)) {
     asio::error_code ignored;
     connection.socket.shutdown(Tcp::socket::shutdown_send, ignored);
@@ -465,7 +553,9 @@
 
 // The client does not take what is written to it, or makes the front hold too much.
 void ClientConnections::cut_off(Connection& connection) {
-  if (connection.owed.open_requests().empty()) return give_back(connection);
+  if (connection.owed.open_requests().empty()) {
+    return give_back(connection);
+  }
   judge(connection);  // its requests are answered first
 }
 
@@ -480,10 +570,16 @@
 
 // Connections are given back here and nowhere else.
 void ClientConnections::give_back(Connection& connection) {
-  if (connection.state == Connection::State::given_back) return;
-  if (connection.state == Connection::State::leaving) --leaving_;
+  if (connection.state == Connection::State::given_back) {
+    return;
+  }
+  if (connection.state == Connection::State::leaving) {
+    --leaving_;
+  }
   connection.state = Connection::State::given_back;
-  if (connection.key) keys_.erase(*connection.key);
+  if (connection.key) {
+    keys_.erase(*connection.key);
+  }
   timers_.drop(connection.limit);
   asio::error_code ignored;
   connection.socket.close(ignored);
@@ -492,7 +588,9 @@
 }
 
 void ClientConnections::drain() {
-  if (std::exchange(draining_, true)) return;
+  if (std::exchange(draining_, true)) {
+    return;
+  }
   // Between the two figures, so that what comes last is both taken and spared.
   drain_ = timers_.set(clock_.now() + (kStillComing + kSpared) / 2, [this] { stop_listening(); });
 }
@@ -503,10 +601,14 @@
   while (acceptor_.is_open() && !fault) {
     Tcp::socket socket(io_);
     acceptor_.accept(socket, fault);
-    if (!fault) accepted(std::move(socket));
+    if (!fault) {
+      accepted(std::move(socket));
+    }
   }
   acceptor_.close(fault);
-  for (const Connected& connection : std::list(connections_)) take_commands(*connection);
+  for (const Connected& connection : std::list(connections_)) {
+    take_commands(*connection);
+  }
   drain_ = timers_.set(clock_.now() + (kSpared - kStillComing) / 2, [this] { refuse_requests(); });
 }
 
@@ -516,10 +618,11 @@
   drain_.reset();
   refusing_ = true;
   for (const Connected& connection : std::list(connections_)) {
-    if (connection->state == Connection::State::starting || !ready_)
+    if (connection->state == Connection::State::starting || !ready_) {
       leave(*connection);
-    else
+    } else {
       take_commands(*connection);
+    }
   }
 }
 
@@ -529,7 +632,9 @@
   timers_.drop(drain_);
   asio::error_code ignored;
   acceptor_.close(ignored);
-  while (!connections_.empty()) left(*connections_.front());
+  while (!connections_.empty()) {
+    left(*connections_.front());
+  }
 }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/client_connections.hpp
+++ b/src/proxy/client_connections.hpp
@@ -41,7 +41,7 @@
   // between requests.
   void drain();
 
-  bool finished() const { return drained_ && connections_.empty(); }
+  [[nodiscard]] bool finished() const { return drained_ && connections_.empty(); }
   void stop();
 
  private:
@@ -55,7 +55,7 @@
   void refuse_requests();
   void look_round();
   void end_leaving();
-  std::size_t staying() const { return connections_.size() - leaving_; }
+  [[nodiscard]] std::size_t staying() const { return connections_.size() - leaving_; }
   static bool listens(const Connection& connection);
   static bool gives_way(Connection& connection);
   static bool hung_up(Connection& connection);
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -72,20 +72,31 @@
 
 // A list that comes in parts is compared once the last of them is there.
 void FleetCoordinator::list_read(const net::EndpointList& list) {
-  if (!consistency_.core || list.kind == EndpointListKind::failed) return;
-  for (const net::ListedEndpoint& server : list.servers) parts_.push_back(server.entry);
-  if (!list.last) return;
+  if (!consistency_.core || list.kind == EndpointListKind::failed) {
+    return;
+  }
+  for (const net::ListedEndpoint& server : list.servers) {
+    parts_.push_back(server.entry);
+  }
+  if (!list.last) {
+    return;
+  }
   list_.learn(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
-  if (list.kind != EndpointListKind::saved) compare(consistency::Confirmed{});
+  if (list.kind != EndpointListKind::saved) {
+    compare(consistency::Confirmed{});
+  }
 }
 
 void FleetCoordinator::leave() { settle(membership::Leaving{}); }
 
 void FleetCoordinator::stop() {
   // Its connections to stores are closed by now.
-  if (quota_.core) share(quota::Leaving{});
-  for (auto* timer : {&quota_.wake, &need_, &membership_.wake, &consistency_.wake, &acts_, &write_})
+  if (quota_.core) {
+    share(quota::Leaving{});
+  }
+  for (auto* timer : {&quota_.wake, &need_, &membership_.wake, &consistency_.wake, &acts_, &write_}) {
     timers_.drop(*timer);
+  }
   write_status();
   timers_.drop(write_);
 }
@@ -93,7 +104,7 @@
 // What one has decided: datagrams and its next turn are alike for all of them.
 template <typename Core>
 void FleetCoordinator::turn(Driven<Core>& driven) {
-  for (const auto& decision : driven.core->process(clock_.now()))
+  for (const auto& decision : driven.core->process(clock_.now())) {
     std::visit(
         [&](const auto& taken) {
           if constexpr (requires { taken.to, taken.bytes; }) {
@@ -106,18 +117,25 @@
           }
         },
         decision);
-  if (!std::exchange(changed_, false)) return;
+  }
+  if (!std::exchange(changed_, false)) {
+    return;
+  }
   write_later();
   tell_fellows();
 }
 
 void FleetCoordinator::settle(std::optional<membership::Event> event) {
-  if (event) membership_.core->enqueue(std::move(*event));
+  if (event) {
+    membership_.core->enqueue(std::move(*event));
+  }
   turn(membership_);
 }
 
 void FleetCoordinator::share(std::optional<quota::Event> event) {
-  if (event) quota_.core->enqueue(std::move(*event));
+  if (event) {
+    quota_.core->enqueue(std::move(*event));
+  }
   turn(quota_);
 }
 
@@ -130,26 +148,34 @@
 
 // The membership's view has changed.
 void FleetCoordinator::tell_fellows() {
-  if (quota_.core) share(quota::PeersChanged{there()});
+  if (quota_.core) {
+    share(quota::PeersChanged{there()});
+  }
   tell_who_counts();
 }
 
 // That, or how many count.
 void FleetCoordinator::tell_who_counts() {
-  if (!consistency_.core) return;
+  if (!consistency_.core) {
+    return;
+  }
   compare(consistency::PeersChanged{there(), quota_.core ? part_.among : places_});
   tell_module();
 }
 
 // What this front acts on, looked at once a pace.
 void FleetCoordinator::tell_acts() {
-  if (!consistency_.core) return;
+  if (!consistency_.core) {
+    return;
+  }
   consistency::Account account;
   account.revision = list_.revision();
   account.sums = {list_.sum(), consistency::sum_of_primaries(steered_()),
                   consistency::sum_of_view(there(), charge_.place)};
   std::set<std::uint32_t> ready;
-  for (const auto& [mark, entry] : list_.ready()) ready.insert(mark);
+  for (const auto& [mark, entry] : list_.ready()) {
+    ready.insert(mark);
+  }
   compare(consistency::Acts{account, std::move(ready)});
   write_later();
   acts_ = timers_.set(clock_.now() + acts_pace_, [this] { acts_.reset(), tell_acts(); });
@@ -157,19 +183,29 @@
 
 // Without an accord the module goes by what it hears, as ever.
 void FleetCoordinator::tell_module() {
-  if (!consistency_.core) return;
+  if (!consistency_.core) {
+    return;
+  }
   FleetViewChanged among;
-  for (const SlotId place : there()) among.alive_peers.insert(place.number);
-  if (quota_.core) among.fleet_share = static_cast<double>(part_.among) / sharing_->fleet;
+  for (const SlotId place : there()) {
+    among.alive_peers.insert(place.number);
+  }
+  if (quota_.core) {
+    among.fleet_share = static_cast<double>(part_.among) / sharing_->fleet;
+  }
   const consistency::Allowed allowed = consistency_.core->view().allowed;
   among.primary_only_allowed = allowed.writes, among.reads_allowed = allowed.reads;
-  if (among == told_) return;
+  if (among == told_) {
+    return;
+  }
   told_ = among;
   among_(std::move(among));
 }
 
 void FleetCoordinator::write_later() {
-  if (path_.empty()) return;
+  if (path_.empty()) {
+    return;
+  }
   timers_.drop(write_);
   write_ =
       timers_.set(std::max(clock_.now(), written_ + kWriteAfter), [this] { write_.reset(), write_status(); });
@@ -177,8 +213,9 @@
 
 void FleetCoordinator::look() {
   if (quota_.core &&
-      quota::connections_of(quota_.core->part(clock_.now()), *sharing_, connections_) != limit_)
+      quota::connections_of(quota_.core->part(clock_.now()), *sharing_, connections_) != limit_) {
     share(std::nullopt);
+  }
 }
 
 void FleetCoordinator::tell_need() {
@@ -201,7 +238,9 @@
   limit_ = quota::connections_of(decision.part, *sharing_, connections_);
   members_.limit(limit_.open, limit_.hold);
   log_.debug("shares", "part", {{"open", decision.part.open}, {"hold", decision.part.hold}});
-  if (counts) tell_who_counts();
+  if (counts) {
+    tell_who_counts();
+  }
   write_later();
 }
 
@@ -229,21 +268,27 @@
   }
 }
 
-void FleetCoordinator::carry_out(const consistency::Allowed&) { tell_module(); }
+void FleetCoordinator::carry_out(const consistency::Allowed& /*unused*/) { tell_module(); }
 
 // To the module it is as if the list said that these drain, and that the others do as it says itself.
 void FleetCoordinator::carry_out(const consistency::Doubted& decision) {
   EndpointListReceived read{EndpointListKind::changes, {}};
   for (auto& [mark, entry] : list_.ready()) {
     const bool doubted = decision.marks.contains(mark);
-    if (doubted == doubted_.contains(mark)) continue;
+    if (doubted == doubted_.contains(mark)) {
+      continue;
+    }
     read.servers.push_back(entry);
-    if (doubted) read.servers.back().state = ServerState::draining;
+    if (doubted) {
+      read.servers.back().state = ServerState::draining;
+    }
     log_.warn("accord", doubted ? "a later list has it no more" : "its own list counts again",
               {{"member", entry.id.address}});
   }
   doubted_ = decision.marks;
-  if (!read.servers.empty()) listed_(std::move(read));
+  if (!read.servers.empty()) {
+    listed_(std::move(read));
+  }
 }
 
 void FleetCoordinator::carry_out(const membership::Change& decision) {
@@ -275,12 +320,13 @@
 std::string FleetCoordinator::status() const {
   const membership::View view = membership_.core->view();
   nlohmann::json fellows = nlohmann::json::array();
-  for (const membership::PeerView& fellow : view.fellows)
+  for (const membership::PeerView& fellow : view.fellows) {
     fellows.push_back({{"name", fellow.name},
                        {"place", fellow.place.number},
                        {"standing", word_of(fellow.standing)},
                        {"incarnation", fellow.incarnation.number},
                        {"since", std::llround(fellow.since)}});
+  }
   nlohmann::json quota;
   if (quota_.core) {
     const quota::View shared = quota_.core->view();
@@ -328,14 +374,17 @@
 
 // Whoever reads it finds a whole one: it is written beside and then takes the old one's name.
 void FleetCoordinator::write_status() {
-  if (path_.empty()) return;
+  if (path_.empty()) {
+    return;
+  }
   written_ = clock_.now();
   const std::string beside = path_ + ".new";
   std::ofstream file(beside, std::ios::trunc);
   file << status() << '\n';
   file.close();
-  if (!file || std::rename(beside.c_str(), path_.c_str()) != 0)
+  if (!file || std::rename(beside.c_str(), path_.c_str()) != 0) {
     log_.warn("fleet", "status file can't be written", {{"path", path_}});
+  }
   write_ = timers_.set(written_ + kWriteAtLeast, [this] { write_.reset(), write_status(); });
 }
 
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -58,7 +58,7 @@
   void carry_out(const consistency::Found& decision);
   void carry_out(const consistency::Allowed& decision);
   void carry_out(const consistency::Doubted& decision);
-  std::set<SlotId> there() const;
+  [[nodiscard]] std::set<SlotId> there() const;
   void tell_need();
   void tell_acts();
   void tell_fellows();
@@ -66,7 +66,7 @@
   void tell_module();
   void write_later();
   void write_status();
-  std::string status() const;
+  [[nodiscard]] std::string status() const;
 
   net::Timers& timers_;
   const net::Clock& clock_;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -12,7 +12,9 @@
   ProxyOptions orders;
   orders.log = logging::log_options_in(file.values["log"]);
   orders.clock_offset = file.values["clock"]["offset"];
-  if (!file.values.contains("fleet")) return orders;
+  if (!file.values.contains("fleet")) {
+    return orders;
+  }
   const nlohmann::json& told = file.values["fleet"];
   FleetOptions fleet;
   fleet.options.pace = told["pace"], fleet.options.timeout = told["time-out"];
@@ -35,10 +37,13 @@
       throw operators::InvalidFile({fmt::format("{}:{}: fleet.shares.{}: {} was expected", path,
                                                 line == file.lines.end() ? 1 : line->second, key, expected)});
     };
-    if (charge.notice * 2 > charge.lease) faulty("notice", "at most half of fleet.shares.lease");
+    if (charge.notice * 2 > charge.lease) {
+      faulty("notice", "at most half of fleet.shares.lease");
+    }
     // A front that has just started would have none.
-    if (quota::connections_of({charge.kept, charge.kept}, charge, fleet.connections).open < 1)
+    if (quota::connections_of({charge.kept, charge.kept}, charge, fleet.connections).open < 1) {
       faulty("connections", "enough that each front keeps one at least (connections x kept / fleet)");
+    }
   }
   if (told.contains("accord")) {
     const nlohmann::json& of = told["accord"];
@@ -51,7 +56,9 @@
     orders.values["resends.share"] = told["resends"]["share"].get<double>();
     orders.values["resends.burst"] = told["resends"]["burst"].get<double>();
   }
-  if (told.contains("place")) fleet.place = told["place"].get<int>();
+  if (told.contains("place")) {
+    fleet.place = told["place"].get<int>();
+  }
   fleet.status = told.value("status", "");
   orders.fleet = std::move(fleet);
   return orders;
@@ -59,16 +66,20 @@
 
 membership::Options membership_options(const FleetOptions& fleet, const config::InstanceConfig& config) {
   membership::Options charge = fleet.options;
-  if (!membership::is_name(config.name))
+  if (!membership::is_name(config.name)) {
     throw InvalidInput(
         "name: up to 32 letters, digits, dots, dashes or underlines were expected, for the fleet");
-  if (!config.hears_peers) throw InvalidInput("peer_listen: an address was expected, for the fleet");
+  }
+  if (!config.hears_peers) {
+    throw InvalidInput("peer_listen: an address was expected, for the fleet");
+  }
   charge.name = config.name;
   charge.places = static_cast<int>(config.peers.size());
   const auto own = std::ranges::find(config.peers, config.peer_listen);
   charge.place = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
-  if (charge.place.number >= charge.places)
+  if (charge.place.number >= charge.places) {
     throw InvalidInput("fleet.place: a place in peers was expected, or peer_listen among peers");
+  }
   return charge;
 }
 
--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -17,7 +17,9 @@
                        DatagramHandler heard)
     : log_(log), config_(config), heard_(std::move(heard)), socket_(io) {
   learn(config.peers);
-  if (!config_.hears_peers) return;
+  if (!config_.hears_peers) {
+    return;
+  }
   socket_.open(config_.peer_listen.protocol());
   socket_.bind(config_.peer_listen);
   socket_.non_blocking(true);
@@ -27,19 +29,26 @@
 void PeerSocket::learn(std::vector<asio::ip::udp::endpoint> peers) {
   peers_ = std::move(peers);
   numbers_.clear();
-  for (std::size_t number = 0; number < peers_.size(); ++number)
+  for (std::size_t number = 0; number < peers_.size(); ++number) {
     numbers_.emplace(peers_[number], static_cast<int>(number));
+  }
 }
 
 void PeerSocket::tell(const std::string& text) {
-  if (!socket_.is_open()) return;
-  if (text.size() > kLongest) return log_.warn("peers", "text too long", {{"bytes", text.size()}});
+  if (!socket_.is_open()) {
+    return;
+  }
+  if (text.size() > kLongest) {
+    return log_.warn("peers", "text too long", {{"bytes", text.size()}});
+  }
   asio::error_code lost;  // datagrams may be lost anyway
   socket_.send_to(asio::buffer(text), config_.peers_all, 0, lost);
 }
 
 void PeerSocket::tell(int peer, const std::string& bytes) {
-  if (!socket_.is_open() || static_cast<std::size_t>(peer) >= peers_.size()) return;
+  if (!socket_.is_open() || static_cast<std::size_t>(peer) >= peers_.size()) {
+    return;
+  }
   asio::error_code lost;
   socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, lost);
   // An error of an earlier datagram stops this one, once.
@@ -51,7 +60,9 @@
 
 void PeerSocket::on_refusals(DatagramHandler refused) {
   refused_ = std::move(refused);
-  if (!socket_.is_open()) return;
+  if (!socket_.is_open()) {
+    return;
+  }
   const int on = 1;
   setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &on, sizeof on);
 }
@@ -70,19 +81,25 @@
     message.msg_iov = &part, message.msg_iovlen = 1;
     message.msg_control = more.data(), message.msg_controllen = more.size();
     const ssize_t count = recvmsg(socket_.native_handle(), &message, MSG_ERRQUEUE | MSG_DONTWAIT);
-    if (count < 0) return;
+    if (count < 0) {
+      return;
+    }
     for (cmsghdr* head = CMSG_FIRSTHDR(&message); head; head = CMSG_NXTHDR(&message, head)) {
-      if (head->cmsg_level != IPPROTO_IP || head->cmsg_type != IP_RECVERR) continue;
+      if (head->cmsg_level != IPPROTO_IP || head->cmsg_type != IP_RECVERR) {
+        continue;
+      }
       sock_extended_err fault;
       std::copy_n(CMSG_DATA(head), sizeof fault, reinterpret_cast<unsigned char*>(&fault));
       if (fault.ee_origin != SO_EE_ORIGIN_ICMP || fault.ee_type != ICMP_DEST_UNREACH ||
-          fault.ee_code != ICMP_PORT_UNREACH)
+          fault.ee_code != ICMP_PORT_UNREACH) {
         continue;
+      }
       const asio::ip::udp::endpoint at(asio::ip::address_v4(ntohl(to.sin_addr.s_addr)), ntohs(to.sin_port));
       const auto peer = std::ranges::find(peers_, at);
-      if (peer != peers_.end())
+      if (peer != peers_.end()) {
         refused_(static_cast<int>(peer - peers_.begin()),
                  std::string(bytes.data(), static_cast<std::size_t>(count)));
+      }
     }
   }
 }
@@ -95,22 +112,34 @@
 // Takes what is there, up to so many datagrams in one callback: many fronts speak in one moment.
 void PeerSocket::listen() {
   socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const asio::error_code& fault) {
-    if (fault == asio::error::operation_aborted || !socket_.is_open()) return;
-    if (refused_) hear_refusals();
+    if (fault == asio::error::operation_aborted || !socket_.is_open()) {
+      return;
+    }
+    if (refused_) {
+      hear_refusals();
+    }
     for (int taken = 0; taken < kTakenAtOnce && socket_.is_open(); ++taken) {
       asio::error_code none;
       asio::ip::udp::endpoint sender;
       const std::size_t count = socket_.receive_from(asio::buffer(bytes_), sender, 0, none);
-      if (none == asio::error::would_block) break;
-      if (!none && count <= kLongest) heard({bytes_.data(), count}, sender);
+      if (none == asio::error::would_block) {
+        break;
+      }
+      if (!none && count <= kLongest) {
+        heard({bytes_.data(), count}, sender);
+      }
+    }
+    if (socket_.is_open()) {
+      listen();
     }
-    if (socket_.is_open()) listen();
   });
 }
 
 void PeerSocket::heard(std::string_view bytes, const asio::ip::udp::endpoint& sender) {
   const auto peer = numbers_.find(sender);
-  if (peer == numbers_.end()) return;
+  if (peer == numbers_.end()) {
+    return;
+  }
   std::string text(bytes);
   const auto taker =
       std::ranges::find_if(handed_over_, [&text](const auto& item) { return item.first(text); });
--- a/src/proxy/pending_replies.cpp
+++ b/src/proxy/pending_replies.cpp
@@ -7,7 +7,9 @@
 namespace reedspindle::proxy {
 
 PendingReplies::~PendingReplies() {
-  for (const Reply& reply : replies_) allowance_.give(reply.charged);
+  for (const Reply& reply : replies_) {
+    allowance_.give(reply.charged);
+  }
 }
 
 void PendingReplies::add_complete(std::string bytes) {
@@ -20,28 +22,35 @@
 
 void PendingReplies::complete(RequestId request, std::string bytes, const std::string& substitute) {
   for (Reply& reply : replies_) {
-    if (reply.request != request) continue;
+    if (reply.request != request) {
+      continue;
+    }
     reply.request.reset();
     reply.complete = true;
     reply.bytes = std::move(bytes);
-    if (&reply != &replies_.front()) charge(reply, substitute);
+    if (&reply != &replies_.front()) {
+      charge(reply, substitute);
+    }
     return;
   }
 }
 
 void PendingReplies::complete_readiness(const std::string& bytes) {
   for (Reply& reply : replies_) {
-    if (reply.complete || reply.request) continue;
+    if (reply.complete || reply.request) {
+      continue;
+    }
     reply.complete = true;
     reply.bytes = bytes;
   }
 }
 
 void PendingReplies::charge(Reply& reply, const std::string& substitute) {
-  if (allowance_.take(reply.bytes.size()))
+  if (allowance_.take(reply.bytes.size())) {
     reply.charged = reply.bytes.size();
-  else
+  } else {
     reply.bytes = substitute;
+  }
 }
 
 std::string PendingReplies::take_complete() {
@@ -57,8 +66,11 @@
 
 std::vector<RequestId> PendingReplies::open_requests() const {
   std::vector<RequestId> open;
-  for (const Reply& reply : replies_)
-    if (reply.request) open.push_back(*reply.request);
+  for (const Reply& reply : replies_) {
+    if (reply.request) {
+      open.push_back(*reply.request);
+    }
+  }
   return open;
 }
 
--- a/src/proxy/pending_replies.hpp
+++ b/src/proxy/pending_replies.hpp
@@ -36,9 +36,9 @@
   // the longest; empty: the next one is not complete.
   std::string take_complete();
 
-  std::vector<RequestId> open_requests() const;
-  std::size_t size() const { return replies_.size(); }
-  bool empty() const { return replies_.empty(); }
+  [[nodiscard]] std::vector<RequestId> open_requests() const;
+  [[nodiscard]] std::size_t size() const { return replies_.size(); }
+  [[nodiscard]] bool empty() const { return replies_.empty(); }
 
  private:
   struct Reply {
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -43,18 +43,20 @@
             [this](net::EndpointList list) { list_read(std::move(list)); }),
       peers_(io_, log_, config_, [this](int peer, std::string text) {
         noted_.push_back({PeerMessageReceived{peer, std::move(text)}});
-        if (!gathered_)
+        if (!gathered_) {
           gathered_ = timers_.set(clock_.now() + kGatherWords, [this] {
             gathered_.reset();
             settle_wanted_ = true;
           });
+        }
       }) {
   log_.be(orders.log);
-  if (orders.fleet)
+  if (orders.fleet) {
     tier_.emplace(
         timers_, clock_, log_, config_, *orders.fleet, peers_, members_,
         [this](FleetViewChanged among) { note(std::move(among)); },
         [this](EndpointListReceived read) { note(std::move(read)); }, [this] { return router_->view(); });
+  }
 }
 
 void ProxyServer::run() {
@@ -68,20 +70,28 @@
       log_.warn("list", "saved list does not count", {{"why", fault.what()}});
     }
   }
-  if (!config_.polls_endpoints) list_.watch();
+  if (!config_.polls_endpoints) {
+    list_.watch();
+  }
   log_.info("front", "listens", {{"name", config_.name}, {"at", config::text_of(config_.listen)}});
   while (!clients_.finished()) {
     turns_.begin(clock_.now());
-    if (!settle_wanted_) sleep();
+    if (!settle_wanted_) {
+      sleep();
+    }
     run_callbacks();
-    if (settle_wanted_) settle();
+    if (settle_wanted_) {
+      settle();
+    }
     log_.flush();
     tell_turn();
   }
   log_.info("front", "stops, all it took is answered", {{"name", config_.name}});
   clients_.stop();
   members_.stop();
-  if (tier_) tier_->stop();
+  if (tier_) {
+    tier_->stop();
+  }
   peers_.stop();
   list_.stop();
 }
@@ -101,7 +111,9 @@
 }
 
 void ProxyServer::run_callbacks() {
-  if (turn_is_full_) return;
+  if (turn_is_full_) {
+    return;
+  }
   Millis now = clock_.now();
   const Millis until = now + kTurnTime;
   if (arrivals_.marker_wanted()) {
@@ -110,7 +122,9 @@
   }
   for (int taken = 0; taken < kOfOneTurn && now < until && !turn_is_full_; ++taken) {
     const Millis before = now;
-    if (io_.poll_one() == 0) return arrivals_.none_ready(before);
+    if (io_.poll_one() == 0) {
+      return arrivals_.none_ready(before);
+    }
     now = clock_.now();
     turns_.callback_ended(now);
   }
@@ -125,26 +139,32 @@
 void ProxyServer::tell_turn() {
   const bool longest = turns_.end(clock_.now());
   const TurnGauge::Turn& turn = turns_.turn();
-  if (turn.took >= TurnGauge::kHeldUp)
+  if (turn.took >= TurnGauge::kHeldUp) {
     log_.warn("turns", "turn held up",
               {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
-  if (longest)
+  }
+  if (longest) {
     log_.info("turns", "longest turn",
               {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
+  }
 }
 
 void ProxyServer::settle() {
   settle_wanted_ = turn_is_full_ = false;
   timers_.drop(gathered_);
   turns_.doing("tier");
-  if (tier_) tier_->look();
+  if (tier_) {
+    tier_->look();
+  }
   const Millis now = settled_ = clock_.now();
   for (Noted& noted : std::exchange(noted_, {})) {
     if (auto* arrived = std::get_if<RequestReceived>(&noted.event)) {
       arrived->remaining -= now - noted.arrived;
       // Guards against a clock that is behind the store's: a commit beyond it, or at it, is a token all the
       // same.
-      if (noted.position > 0) arrived->token_age = now == noted.position ? kAtOnce : now - noted.position;
+      if (noted.position > 0) {
+        arrived->token_age = now == noted.position ? kAtOnce : now - noted.position;
+      }
     }
     router_->enqueue(noted.event);
   }
@@ -152,25 +172,36 @@
   const std::vector<Decision> decisions = router_->process(now);
   turns_.callback_ended(clock_.now());
   turns_.doing("carrying out");
-  for (const Decision& decision : decisions)
+  for (const Decision& decision : decisions) {
     std::visit([this](const auto& taken) { carry_out(taken); }, decision);
+  }
   turns_.callback_ended(clock_.now());
 }
 
 std::optional<postgres::Fault> ProxyServer::request_arrived(RequestId id, std::string_view text,
                                                             const postgres::Statement& statement) {
   const auto type = config_.names.request_classes.find(statement.request_class);
-  if (type == config_.names.request_classes.end())
+  if (type == config_.names.request_classes.end()) {
     return postgres::Fault{"22023", "c names no op type: " + std::string(statement.request_class)};
-  if (type->second.writes != statement.writes)
+  }
+  if (type->second.writes != statement.writes) {
     return postgres::Fault{"22023", "c does not go with that kind of statement"};
-  if (type->second.tokened == statement.token.empty())
+  }
+  if (type->second.tokened == statement.token.empty()) {
     return postgres::Fault{"22023", type->second.tokened ? "k is missing" : "k does not go with c"};
-  if (groups_.empty()) return postgres::Fault{"57P03", "no store is known yet"};
-  if (!groups_.contains(GroupId{statement.group})) return postgres::Fault{"22023", "cluster names no group"};
-  if (ids_.contains(statement.id)) return postgres::Fault{"22023", "id is that of an open op"};
-  if (ops_.size() >= config_.open_requests || !texts_.take(text.size()))
+  }
+  if (groups_.empty()) {
+    return postgres::Fault{"57P03", "no store is known yet"};
+  }
+  if (!groups_.contains(GroupId{statement.group})) {
+    return postgres::Fault{"22023", "cluster names no group"};
+  }
+  if (ids_.contains(statement.id)) {
+    return postgres::Fault{"22023", "id is that of an open op"};
+  }
+  if (ops_.size() >= config_.open_requests || !texts_.take(text.size())) {
     return postgres::Fault{"53300", "too many ops are open"};
+  }
   RequestReceived arrived;
   arrived.request = id;
   arrived.request_class = type->second.id;
@@ -196,17 +227,22 @@
 // Ops are given back here and nowhere else. What is not written of one yet never will be.
 void ProxyServer::end_op(RequestId id, std::string answer, std::string_view why) {
   const auto found = ops_.find(id);
-  if (found == ops_.end()) return;
-  if (log_.writes(logging::LogLevel::debug))
+  if (found == ops_.end()) {
+    return;
+  }
+  if (log_.writes(logging::LogLevel::debug)) {
     log_.debug("request", "ended",
                {{"id", found->second.id},
                 {"why", why},
                 {"attempts", found->second.sends},
                 {"ms", clock_.now() - found->second.arrived}});
+  }
   ids_.erase(found->second.id);
   texts_.give(found->second.text->size());
   ops_.erase(found);
-  if (!answer.empty()) clients_.answer(id, std::move(answer));
+  if (!answer.empty()) {
+    clients_.answer(id, std::move(answer));
+  }
   members_.forget(id);
 }
 
@@ -214,7 +250,9 @@
   turns_.doing("list");
   turn_is_full_ = !list.servers.empty();
   members_.learn(list);
-  if (tier_) tier_->list_read(list);
+  if (tier_) {
+    tier_->list_read(list);
+  }
   // What was saved is handed on in parts, like any other list: to the module they are changes.
   EndpointListReceived read{
       list.kind == EndpointListKind::failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
@@ -224,23 +262,31 @@
   }
   const bool in_hand = list.kind != EndpointListKind::failed && list.last && !groups_.empty();
   note(std::move(read));
-  if (in_hand) clients_.be_ready();
+  if (in_hand) {
+    clients_.be_ready();
+  }
 }
 
 void ProxyServer::send_ended(AttemptCompleted ended, std::string row) {
-  if (ended.outcome == AttemptOutcome::acknowledged) end_op(ended.request, std::move(row), "served");
+  if (ended.outcome == AttemptOutcome::acknowledged) {
+    end_op(ended.request, std::move(row), "served");
+  }
   ended.request_completed = !ops_.contains(ended.request);
   note(std::move(ended));
 }
 
 void ProxyServer::hear_signals() {
   signals_.async_wait([this](const asio::error_code& fault, int signal) {
-    if (fault) return;
+    if (fault) {
+      return;
+    }
     if (signal == SIGHUP) {
       read_again();
     } else {
       log_.info("front", "drains", {{"signal", signal}});
-      if (tier_) tier_->leave();
+      if (tier_) {
+        tier_->leave();
+      }
       clients_.drain();
     }
     hear_signals();
@@ -257,8 +303,9 @@
       tier_->listed(static_cast<int>(read.peers.size()));
       read.peers = config_.peers;
     }
-    for (const std::string& key : config::keys_that_need_restart(config_, read))
+    for (const std::string& key : config::keys_that_need_restart(config_, read)) {
       log_.warn("placement", "change waits for the next start", {{"key", key}});
+    }
     list_.move(read.discovery);
   } catch (const std::exception& fault) {
     log_.warn("placement", "faulty, the old one stays", {{"why", fault.what()}});
@@ -267,14 +314,17 @@
 
 void ProxyServer::carry_out(const StartAttempt& decision) {
   const auto found = ops_.find(decision.request);
-  if (found == ops_.end()) return;  // noted as gone
+  if (found == ops_.end()) {
+    return;  // noted as gone
+  }
   Op& op = found->second;
-  if (log_.writes(logging::LogLevel::debug))
+  if (log_.writes(logging::LogLevel::debug)) {
     log_.debug("request", "attempt",
                {{"id", op.id},
                 {"attempt", op.sends},
                 {"member", decision.server.address},
                 {"ms", clock_.now() - op.arrived}});
+  }
   members_.send(decision.request, decision, settled_, {op.sends++}, op.text, op.remaining);
 }
 void ProxyServer::carry_out(const CancelAttempt& decision) {
@@ -294,7 +344,7 @@
   timers_.set(decision.at, [this, timer = decision.timer] { note(TimerExpired{timer}); });
 }
 void ProxyServer::carry_out(const StartProbe& decision) { members_.probe(decision.server, decision.timeout); }
-void ProxyServer::carry_out(const WatchEndpoints&) { list_.watch(); }
+void ProxyServer::carry_out(const WatchEndpoints& /*unused*/) { list_.watch(); }
 void ProxyServer::carry_out(const ForgetServer& decision) { members_.forget(decision.server); }
 void ProxyServer::carry_out(const BroadcastToPeers& decision) { peers_.tell(decision.text); }
 void ProxyServer::carry_out(const LogMessage& decision) { log_.info("decisions", decision.text); }
--- a/src/proxy/signal_mask.hpp
+++ b/src/proxy/signal_mask.hpp
@@ -8,7 +8,9 @@
 inline sigset_t heard_signals() {
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, signal);
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
+    sigaddset(&signals, signal);
+  }
   return signals;
 }
 
--- a/src/proxy/turn_gauge.hpp
+++ b/src/proxy/turn_gauge.hpp
@@ -39,14 +39,18 @@
   // True: the turn is the longest by so much that it is to be told.
   bool end(Millis now) {
     turn_.took = now - began_;
-    if (turn_.took > longest_.took) longest_ = turn_;
-    if (turn_.took < kWorthTelling || turn_.took < told_ * kLongerBy) return false;
+    if (turn_.took > longest_.took) {
+      longest_ = turn_;
+    }
+    if (turn_.took < kWorthTelling || turn_.took < told_ * kLongerBy) {
+      return false;
+    }
     told_ = turn_.took;
     return true;
   }
 
-  const Turn& turn() const { return turn_; }        // the one that has ended last
-  const Turn& longest() const { return longest_; }  // since the start
+  [[nodiscard]] const Turn& turn() const { return turn_; }        // the one that has ended last
+  [[nodiscard]] const Turn& longest() const { return longest_; }  // since the start
 
  private:
   static constexpr std::string_view kOther = "sockets";
--- a/src/quota/message.cpp
+++ b/src/quota/message.cpp
@@ -31,20 +31,34 @@
 }
 
 std::optional<Message> message_in(std::string_view bytes) {
-  if (!is_quota_message(bytes) || bytes.size() > membership::kLongest) return std::nullopt;
+  if (!is_quota_message(bytes) || bytes.size() > membership::kLongest) {
+    return std::nullopt;
+  }
   const Json json = Json::from_cbor(bytes.begin() + 1, bytes.end(), true, false);
-  if (!json.is_array() || json.size() != 12 || json[1] != kForm) return std::nullopt;
+  if (!json.is_array() || json.size() != 12 || json[1] != kForm) {
+    return std::nullopt;
+  }
   constexpr auto k32 = std::numeric_limits<std::uint32_t>::max();
-  const auto number = whole(json[0], k32), kind = whole(json[2], static_cast<int>(Kind::gone)),
-             of = whole(json[3], k32), place = whole(json[4], kMostPlaces - 1),
-             life = whole(json[5], std::numeric_limits<std::uint64_t>::max() >> 1),
-             terms = whole(json[6], k32), flags = whole(json[7], 31), wants = whole(json[8], kMostSlots),
-             lends = whole(json[9], kSlot), amount = whole(json[10], kMostSlots);
-  if (!number || !kind || !of || !place || !life || !terms || !flags || !wants || !lends || !amount)
+  const auto number = whole(json[0], k32);
+  const auto kind = whole(json[2], static_cast<int>(Kind::gone));
+  const auto of = whole(json[3], k32);
+  const auto place = whole(json[4], kMostPlaces - 1);
+  const auto life = whole(json[5], std::numeric_limits<std::uint64_t>::max() >> 1);
+  const auto terms = whole(json[6], k32);
+  const auto flags = whole(json[7], 31);
+  const auto wants = whole(json[8], kMostSlots);
+  const auto lends = whole(json[9], kSlot);
+  const auto amount = whole(json[10], kMostSlots);
+  if (!number || !kind || !of || !place || !life || !terms || !flags || !wants || !lends || !amount) {
+    return std::nullopt;
+  }
+  if (!json[11].is_number()) {
     return std::nullopt;
-  if (!json[11].is_number()) return std::nullopt;
+  }
   const auto left = json[11].get<double>();
-  if (!std::isfinite(left) || left < 0 || left > kLongestLeft) return std::nullopt;
+  if (!std::isfinite(left) || left < 0 || left > kLongestLeft) {
+    return std::nullopt;
+  }
   Message m;
   m.kind = static_cast<Kind>(*kind), m.number = static_cast<std::uint32_t>(*number);
   m.of = static_cast<std::uint32_t>(*of), m.place = {static_cast<int>(*place)}, m.life = {*life};
@@ -59,15 +73,22 @@
 
 std::optional<std::uint32_t> question_in(std::string_view bytes) {
   // An array of twelve, then its number, as CBOR writes them.
-  if (!is_quota_message(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c)
+  if (!is_quota_message(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c) {
     return std::nullopt;
+  }
   bytes.remove_prefix(2);
-  if (bytes.empty()) return std::nullopt;
+  if (bytes.empty()) {
+    return std::nullopt;
+  }
   const auto head = static_cast<unsigned char>(bytes[0]);
   const std::size_t more = head < 24 ? 0 : head == 24 ? 1 : head == 25 ? 2 : head == 26 ? 4 : 99;
-  if (more + 3 > bytes.size()) return std::nullopt;
+  if (more + 3 > bytes.size()) {
+    return std::nullopt;
+  }
   std::uint32_t number = more == 0 ? head : 0;
-  for (std::size_t at = 1; at <= more; ++at) number = number << 8 | static_cast<unsigned char>(bytes[at]);
+  for (std::size_t at = 1; at <= more; ++at) {
+    number = number << 8 | static_cast<unsigned char>(bytes[at]);
+  }
   const bool question = bytes[more + 1] == kForm && bytes[more + 2] == static_cast<char>(Kind::question);
   return question ? std::optional(number) : std::nullopt;
 }
--- a/src/quota/quota_manager.hpp
+++ b/src/quota/quota_manager.hpp
@@ -78,8 +78,8 @@
 class QuotaManager : public EventCore<Event, Decision> {
  public:
   // By the clock at that moment: what was handed out may have ended since the last settle.
-  virtual Part part(Millis now) const = 0;
-  virtual View view() const = 0;
+  [[nodiscard]] virtual Part part(Millis now) const = 0;
+  [[nodiscard]] virtual View view() const = 0;
 };
 
 std::unique_ptr<QuotaManager> make_quota_manager(const Options& charge, std::uint64_t seed);
--- a/src/quota/usage.cpp
+++ b/src/quota/usage.cpp
@@ -23,13 +23,19 @@
 
 Demand Use::demand(std::size_t need) {
   needs_.push_back(need);
-  if (needs_.size() > kLooks) needs_.pop_front();
+  if (needs_.size() > kLooks) {
+    needs_.pop_front();
+  }
   const double each = static_cast<double>(all_) / charge_.fleet;  // connections of a slot
   const std::size_t most = *std::ranges::max_element(needs_);
   const double slots = static_cast<double>(most + kSpare) / each;
   Demand demand;
-  if (slots > 1) demand.wants = static_cast<int>(std::ceil((slots - 1) * kSlot));
-  if (slots < 1 && needs_.size() == kLooks) demand.lends = static_cast<int>(std::floor((1 - slots) * kSlot));
+  if (slots > 1) {
+    demand.wants = static_cast<int>(std::ceil((slots - 1) * kSlot));
+  }
+  if (slots < 1 && needs_.size() == kLooks) {
+    demand.lends = static_cast<int>(std::floor((1 - slots) * kSlot));
+  }
   return demand;
 }
 
--- a/src/routing/due_times.hpp
+++ b/src/routing/due_times.hpp
@@ -20,20 +20,27 @@
   void set(const Key& key, std::optional<Millis> at) {
     const auto found = by_key_.find(key);
     if (found != by_key_.end()) {
-      if (at && found->second == *at) return;
+      if (at && found->second == *at) {
+        return;
+      }
       by_time_.erase({found->second, key});
-      if (!at)
+      if (!at) {
         by_key_.erase(found);
-      else
+      } else {
         found->second = *at;
+      }
     } else if (at) {
       by_key_.emplace(key, *at);
     }
-    if (at) by_time_.emplace(*at, key);
+    if (at) {
+      by_time_.emplace(*at, key);
+    }
   }
 
-  std::optional<Millis> next() const {
-    if (by_time_.empty()) return std::nullopt;
+  [[nodiscard]] std::optional<Millis> next() const {
+    if (by_time_.empty()) {
+      return std::nullopt;
+    }
     return by_time_.begin()->first;
   }
 
--- a/src/routing/mark_index.hpp
+++ b/src/routing/mark_index.hpp
@@ -16,7 +16,9 @@
   void remove(long mark, Replica& replica) {
     sort();
     const auto at = std::ranges::lower_bound(entries_, Entry(mark, &replica));
-    if (at == entries_.end() || *at != Entry(mark, &replica)) return;
+    if (at == entries_.end() || *at != Entry(mark, &replica)) {
+      return;
+    }
     entries_.erase(at);
     --sorted_;
   }
@@ -32,7 +34,9 @@
   using Entry = std::pair<long, Replica*>;
 
   void sort() {
-    if (sorted_ == entries_.size()) return;
+    if (sorted_ == entries_.size()) {
+      return;
+    }
     const auto middle = entries_.begin() + static_cast<std::ptrdiff_t>(sorted_);
     std::sort(middle, entries_.end());
     std::inplace_merge(entries_.begin(), middle, entries_.end());
--- a/src/routing/replica_samples.cpp
+++ b/src/routing/replica_samples.cpp
@@ -26,8 +26,9 @@
 constexpr std::array<signed char, 256> kValues = [] {
   std::array<signed char, 256> values{};
   values.fill(-1);
-  for (std::size_t at = 0; at < kDigits.size(); ++at)
+  for (std::size_t at = 0; at < kDigits.size(); ++at) {
     values[static_cast<unsigned char>(kDigits[at])] = static_cast<signed char>(at);
+  }
   return values;
 }();
 
@@ -35,7 +36,9 @@
   long number = 0;
   for (const char digit : text) {
     const long value = kValues[static_cast<unsigned char>(digit)];
-    if (value < 0) return -1;
+    if (value < 0) {
+      return -1;
+    }
     number = number * 64 + value;
   }
   return number;
@@ -44,8 +47,10 @@
 }  // namespace
 
 long mark_of(const ServerId& member) {  // FNV-1a
-  std::uint32_t hash = 2166136261u;
-  for (const char letter : member.address) hash = (hash ^ static_cast<unsigned char>(letter)) * 16777619u;
+  std::uint32_t hash = 2166136261U;
+  for (const char letter : member.address) {
+    hash = (hash ^ static_cast<unsigned char>(letter)) * 16777619U;
+  }
   return static_cast<long>((hash ^ hash >> 24) & 0xffffff);
 }
 
@@ -65,20 +70,32 @@
 }
 
 std::optional<SampleGossip> decode_samples(std::string_view text, Millis now) {
-  if (text.size() > kLongest || text.size() <= kHeader || (text.size() - kHeader) % kEntry != 0) return {};
+  if (text.size() > kLongest || text.size() <= kHeader || (text.size() - kHeader) % kEntry != 0) {
+    return {};
+  }
   const long clock = number_in(text.substr(kForm.size(), 5));
-  if (!text.starts_with(kForm) || clock < 0) return {};
+  if (!text.starts_with(kForm) || clock < 0) {
+    return {};
+  }
   const double wrap = static_cast<double>(kClock);
   Millis age = std::fmod(now - static_cast<double>(clock) + wrap, wrap);
-  if (age > wrap / 2) age -= wrap;
-  if (age < -kAhead) return {};
+  if (age > wrap / 2) {
+    age -= wrap;
+  }
+  if (age < -kAhead) {
+    return {};
+  }
   const Millis sent = now - age - 1;  // by the sender's clock
   SampleGossip told{std::min(sent, now), {}};
   for (std::size_t at = kHeader; at < text.size(); at += kEntry) {
-    const long mark = number_in(text.substr(at, 4)), lag = number_in(text.substr(at + 4, 2)),
-               last = number_in(text.substr(at + 6, 1));
-    const long role = last % 4, busy = last / 4;
-    if (mark < 0 || lag < 0 || last < 0 || role > 2) continue;
+    const long mark = number_in(text.substr(at, 4));
+    const long lag = number_in(text.substr(at + 4, 2));
+    const long last = number_in(text.substr(at + 6, 1));
+    const long role = last % 4;
+    const long busy = last / 4;
+    if (mark < 0 || lag < 0 || last < 0 || role > 2) {
+      continue;
+    }
     const Millis position = lag < kLags - 1 ? sent - static_cast<double>(lag * kLagUnit) : -1;
     told.samples.push_back({mark, {static_cast<Role>(role), position, busy > 0 ? (busy - 1) / 14.0 : -1}});
   }
