--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -34,9 +34,9 @@
   Needs needs = Needs::write;
   bool group_tokens = true, long_work = false;
   double target = 0, request_timeout = 0, bound = 0, token_memory = 0, value = 1, late_value = 0;
-  bool primary_only() const { return needs == Needs::write || needs == Needs::current; }
+  [[nodiscard]] bool primary_only() const { return needs == Needs::write || needs == Needs::current; }
   // Value for the time it takes, for which the latency target stands: both are known before anything has run.
-  double density() const { return value / std::max(1.0, target); }
+  [[nodiscard]] double density() const { return value / std::max(1.0, target); }
 };
 
 // What the deployment states at start.
@@ -58,16 +58,19 @@
     }
     std::ranges::sort(targets);
     // Long work: wanted far later than the usual op; five times the median sets reports apart from look-ups.
-    for (RequestClass& request_class : request_classes)
+    for (RequestClass& request_class : request_classes) {
       request_class.long_work = request_class.target > 5 * targets[targets.size() / 2];
+    }
+  }
+  [[nodiscard]] double number(const std::string& name, double other = 0) const { return pick(name, other); }
+  [[nodiscard]] std::string word(const std::string& name, const std::string& other) const {
+    return pick(name, other);
   }
-  double number(const std::string& name, double other = 0) const { return pick(name, other); }
-  std::string word(const std::string& name, const std::string& other) const { return pick(name, other); }
   std::vector<RequestClass> request_classes;
 
  private:
   template <typename T>
-  T pick(const std::string& name, const T& other) const {
+  [[nodiscard]] T pick(const std::string& name, const T& other) const {
     const auto found = values_.find(name);
     const T* value = found == values_.end() ? nullptr : std::get_if<T>(&found->second);
     return value ? *value : other;
@@ -81,7 +84,9 @@
 template <typename T>
 void keep(std::deque<T>& last, const std::type_identity_t<T>& sample, std::size_t most) {
   last.push_back(sample);
-  if (last.size() > most) last.pop_front();
+  if (last.size() > most) {
+    last.pop_front();
+  }
 }
 
 struct Group;
@@ -150,16 +155,20 @@
  public:
   Steering(const Settings& values, std::uint64_t seed)
       : catalog_(values), chance_(static_cast<std::minstd_rand::result_type>(seed)) {
-    for (const RequestClass& request_class : catalog_.request_classes)
-      if (request_class.primary_only())
+    for (const RequestClass& request_class : catalog_.request_classes) {
+      if (request_class.primary_only()) {
         primary_density_ = std::max(primary_density_, request_class.density());
+      }
+    }
   }
 
   void enqueue(Event event) override { noted_.push_back(std::move(event)); }
 
   std::vector<Decision> process(Millis now) override {
     now_ = now, born_ = born_ == kNever ? now : born_;
-    for (const Event& event : noted_) std::visit([this](const auto& e) { learn(e); }, event);
+    for (const Event& event : noted_) {
+      std::visit([this](const auto& e) { learn(e); }, event);
+    }
     noted_.clear();
     judge_flights();
     decide_ops();
@@ -169,10 +178,13 @@
   }
 
   // The same tests as an op's, told with the time up to which they hold.
-  std::vector<ServerView> view() const override {
+  [[nodiscard]] std::vector<ServerView> view() const override {
     std::set<Millis> bounds{kLagThreshold};
-    for (const RequestClass& request_class : catalog_.request_classes)
-      if (request_class.needs == Needs::bounded) bounds.insert(request_class.bound);
+    for (const RequestClass& request_class : catalog_.request_classes) {
+      if (request_class.needs == Needs::bounded) {
+        bounds.insert(request_class.bound);
+      }
+    }
     std::vector<ServerView> views;
     for (const auto& [id, server] : servers_) {
       ServerView& view = views.emplace_back(server.entry);
@@ -184,11 +196,15 @@
                             : !usable(server)   ? Unavailability::backing_off
                                                 : Unavailability::none;
       view.slow_start_fraction = slow_start_fraction(server);
-      if (server.samples.empty()) continue;
+      if (server.samples.empty()) {
+        continue;
+      }
       view.position = server.proven, view.sampled_at = server.samples.back().second;
-      for (const Millis bound : bounds)
-        if (const Millis until = passes_until(server, bound); now_ < until)
+      for (const Millis bound : bounds) {
+        if (const Millis until = passes_until(server, bound); now_ < until) {
           view.fresh.push_back({bound, until});
+        }
+      }
     }
     return views;
   }
@@ -207,41 +223,63 @@
   Group& touch(GroupId id) {
     Group& group = groups_[id];
     group.id = id;
-    if (!std::exchange(group.touched, true)) touched_.push_back(&group);
+    if (!std::exchange(group.touched, true)) {
+      touched_.push_back(&group);
+    }
     return group;
   }
   Group& touch(const Server& server) {
-    if (!std::exchange(server.group->touched, true)) touched_.push_back(server.group);
+    if (!std::exchange(server.group->touched, true)) {
+      touched_.push_back(server.group);
+    }
     return *server.group;
   }
 
   void learn(const EndpointListReceived& read) {
-    if (read.kind == EndpointListKind::failed) return void(next_watch_ = now_ + 200 + spread());
+    if (read.kind == EndpointListKind::failed) {
+      return void(next_watch_ = now_ + 200 + spread());
+    }
     const bool whole = read.kind != EndpointListKind::changes;
-    if (whole)
-      for (auto& [id, server] : servers_)
+    if (whole) {
+      for (auto& [id, server] : servers_) {
         server.was_gone = std::exchange(server.entry.state, ServerState::gone) == ServerState::gone;
-    for (const ServerEntry& entry : read.servers) learn(entry, whole);
-    if (whole)
-      for (auto& [id, server] : servers_) judge_listing(server);
+      }
+    }
+    for (const ServerEntry& entry : read.servers) {
+      learn(entry, whole);
+    }
+    if (whole) {
+      for (auto& [id, server] : servers_) {
+        judge_listing(server);
+      }
+    }
     forget_the_gone();
   }
 
   void learn(const ServerEntry& entry, bool whole) {
     const auto [at, is_new] = servers_.try_emplace(entry.id);
     Server& server = at->second;
-    if (!whole) server.was_gone = server.entry.state == ServerState::gone && !is_new;
+    if (!whole) {
+      server.was_gone = server.entry.state == ServerState::gone && !is_new;
+    }
     server.entry = entry;
     Group& group = touch(entry.group);
     if (server.group != &group) {
-      if (server.group) std::erase(server.group->servers, &server);
+      if (server.group) {
+        std::erase(server.group->servers, &server);
+      }
       server.group = &group;
       is_new ? add(server) : place_in_group(server);
     }
-    if (entry.state != ServerState::gone) server.drained = entry.state == ServerState::draining;
-    if (entry.started_at > server.cold_since && entry.started_at > 0)
+    if (entry.state != ServerState::gone) {
+      server.drained = entry.state == ServerState::draining;
+    }
+    if (entry.started_at > server.cold_since && entry.started_at > 0) {
       server.cold_since = entry.started_at, server.next_probe = now_;
-    if (!whole) judge_listing(server);
+    }
+    if (!whole) {
+      judge_listing(server);
+    }
   }
 
   void add(Server& server) {
@@ -268,7 +306,9 @@
   void judge_listing(Server& server) {
     recount(server);
     const bool gone = server.entry.state == ServerState::gone;
-    if (!gone || std::exchange(server.was_gone, true) || !bound_by_gone_) return;
+    if (!gone || std::exchange(server.was_gone, true) || !bound_by_gone_) {
+      return;
+    }
     // One that was never there is forgotten at once.
     const bool was_there = server.since < now_ || server.out > 0;
     server.gone_since = was_there ? now_ : now_ - kForgetAfter;
@@ -280,13 +320,19 @@
   // at a time: where thousands go at once, the turn of the loop has to stay short.
   void forget_the_gone() {
     for (int forgotten = 0; forgotten < kForgottenAtOnce; ++forgotten) {
-      if (gone_.empty() || now_ - gone_.begin()->first < kForgetAfter) return;
+      if (gone_.empty() || now_ - gone_.begin()->first < kForgetAfter) {
+        return;
+      }
       const auto [since, id] = *gone_.begin();
       gone_.erase(gone_.begin());
       const auto found = servers_.find(id);
-      if (found == servers_.end()) continue;
+      if (found == servers_.end()) {
+        continue;
+      }
       Server& server = found->second;
-      if (server.entry.state != ServerState::gone || server.gone_since != since) continue;
+      if (server.entry.state != ServerState::gone || server.gone_since != since) {
+        continue;
+      }
       if (server.out > 0 || server.probe_sent_at != kNever) {
         server.gone_since = now_;
         gone_.emplace(now_, id);
@@ -316,28 +362,33 @@
     request.half = now_ + arrived.remaining / 2, request.end = now_ + arrived.remaining;
     request.wanted_by = now_ + class_of(request.request_class).target - waited(arrived);
     // A millisecond to the cautious side: positions are rounded down, ages may be rounded either way.
-    if (arrived.token_age != 0) request.token = now_ - std::floor(arrived.token_age) + 1;
+    if (arrived.token_age != 0) {
+      request.token = now_ - std::floor(arrived.token_age) + 1;
+    }
     request.chance = roll();
     count_request(request.group);
     request.token = std::max(request.token, remembered_floor_);
-    if (const auto mine = remembered_.find(arrived.session); mine != remembered_.end())
+    if (const auto mine = remembered_.find(arrived.session); mine != remembered_.end()) {
       request.token = std::max(request.token, mine->second);
+    }
   }
 
   void count_request(GroupId id) {
     const auto found = groups_.find(id);
-    if (found == groups_.end() || connection_idle_ <= 0) return;
+    if (found == groups_.end() || connection_idle_ <= 0) {
+      return;
+    }
     Group& group = found->second;
     group.requests = 1 + requests_of_late(group);
     group.requests_at = now_;
   }
-  double requests_of_late(const Group& group) const {
+  [[nodiscard]] double requests_of_late(const Group& group) const {
     return group.requests * std::exp(-std::max(0.0, now_ - group.requests_at) / connection_idle_);
   }
   const Millis connection_idle_ = catalog_.number("allow.connection_idle");  // 0: not stated
   // Guards against probing for nobody: a group costs what its requests cost, not that it is there. Which
   // front keeps the pace by the fleet's view does so for the others, too.
-  bool in_use(const Group& group) const {
+  [[nodiscard]] bool in_use(const Group& group) const {
     return connection_idle_ <= 0 || group.turn == 0 || now_ - group.requests_at < connection_idle_;
   }
 
@@ -353,24 +404,35 @@
     std::size_t common = 0;
     Millis usual = 0;
     for (std::size_t low = 0, high = 0; high < sorted.size(); ++high) {
-      while (sorted[high] - sorted[low] > kJitter) ++low;
-      if (high - low + 1 > common) common = high - low + 1, usual = sorted[high];
+      while (sorted[high] - sorted[low] > kJitter) {
+        ++low;
+      }
+      if (high - low + 1 > common) {
+        common = high - low + 1, usual = sorted[high];
+      }
     }
-    if (common < 3 || 4 * common < sorted.size()) return 0;
-    if (std::abs(arrived.remaining - usual) > 3 * kJitter)
+    if (common < 3 || 4 * common < sorted.size()) {
+      return 0;
+    }
+    if (std::abs(arrived.remaining - usual) > 3 * kJitter) {
       return std::max(0.0, request_class.request_timeout - arrived.remaining);
+    }
     return arrived.is_retry ? std::clamp(request_class.request_timeout - usual, 0.0, request_class.target)
                             : 0;
   }
 
   void learn(const AttemptCompleted& ended) {
     const auto attempt = attempts_.find({ended.request, ended.attempt});
-    if (attempt == attempts_.end()) return;
+    if (attempt == attempts_.end()) {
+      return;
+    }
     const Attempt was = attempts_.extract(attempt).mapped();
     Server& server = *was.server;
     touch(server);
     const RequestClass& request_class = class_of(was.request.request_class);
-    if (--server.out == 0) server.oldest_out = kNever;
+    if (--server.out == 0) {
+      server.oldest_out = kNever;
+    }
     const auto is = [&ended](auto... outcome) { return ((ended.outcome == outcome) || ...); };
     if (is(AttemptOutcome::acknowledged, AttemptOutcome::failed, AttemptOutcome::rejected_overloaded,
            AttemptOutcome::rejected_not_executed)) {
@@ -385,24 +447,32 @@
             : kNever;
     if (is(AttemptOutcome::acknowledged)) {
       remember(was.request.session, ended, request_class);
-      if (slow_start_fraction(server) >= 1) keep(acked_, now_, 10000);
+      if (slow_start_fraction(server) >= 1) {
+        keep(acked_, now_, 10000);
+      }
     }
     // Guards against taking a member for down by the end of one connection: twice with no answer between.
     if (is(AttemptOutcome::reset, AttemptOutcome::connect_failed) &&
-        std::exchange(server.hurt, now_) > server.last_good)
+        std::exchange(server.hurt, now_) > server.last_good) {
       server.request_failed_at = now_, recount(server);
-    if (is(AttemptOutcome::acknowledged, AttemptOutcome::timed_out))
+    }
+    if (is(AttemptOutcome::acknowledged, AttemptOutcome::timed_out)) {
       pace(server, was.request.request_class, ended.latency);
+    }
     if (is(AttemptOutcome::rejected_overloaded)) {
       // Guards against a member that turns ops away faster than others work and so draws ever more of them.
       yield(server);
       server.limit = std::max(floor(), server.limit * 0.85), server.rests_until = now_ + kProbePeriod / 2;
     }
     const auto found = requests_.find(ended.request);
-    if (found == requests_.end()) return;
+    if (found == requests_.end()) {
+      return;
+    }
     Request& request = found->second;
     const bool untouched = is(AttemptOutcome::rejected_not_executed);
-    if (untouched && request_class.needs == Needs::write) server.replica_at = now_;
+    if (untouched && request_class.needs == Needs::write) {
+      server.replica_at = now_;
+    }
     if (untouched && request_class.needs != Needs::write) {
       // The store's word replaces what was thought of its lag: where it stands, or that it is too far behind.
       const Millis at = server.samples.empty() ? now_ : server.samples.back().second;
@@ -414,18 +484,26 @@
     --request.out, request.turned_away += untouched;
     const bool ran = !untouched && !is(AttemptOutcome::rejected_overloaded, AttemptOutcome::connect_failed,
                                        AttemptOutcome::not_sent);
-    if (ran && request.may_have_run == kNever) request.may_have_run = was.sent;
-    if (ended.request_completed) requests_.erase(found);
+    if (ran && request.may_have_run == kNever) {
+      request.may_have_run = was.sent;
+    }
+    if (ended.request_completed) {
+      requests_.erase(found);
+    }
   }
 
   void learn(const ProbeCompleted& ended) {
     Server& server = servers_[ended.server];
     server.probe_sent_at = kNever;
     Group& group = touch(server);
-    if (!hears()) group.wait = roll();
+    if (!hears()) {
+      group.wait = roll();
+    }
     // All instances together go on probing a failing member as one would; where others tell, rarer still.
     const double sharing = std::min(instances_, may_tell_ ? 64.0 : 16.0);
-    if (!ended.answered) server.next_probe = now_ + kProbePeriod * sharing * (0.9 + 0.2 * roll());
+    if (!ended.answered) {
+      server.next_probe = now_ + kProbePeriod * sharing * (0.9 + 0.2 * roll());
+    }
     server.probe_failed_at = ended.answered ? kNever : now_;
     recount(server);
     --probes_out_;
@@ -434,11 +512,15 @@
     const bool due = now_ - (group.mine ? server.told : server.heard) > kProbePeriod * (group.mine ? 0.5 : 1);
     const bool first = !std::exchange(server.unanswered, !ended.answered);  // told of it once, others know
     if (may_tell_ && due && (ended.answered ? ended.sample.position >= 0 : first)) {
-      if (want_tells_.empty()) untold_since_ = now_;
+      if (want_tells_.empty()) {
+        untold_since_ = now_;
+      }
       want_tells_.push_back(&server);
       group.mine = hears() && (group.mine || ended.answered);
     }
-    if (!ended.answered) return;
+    if (!ended.answered) {
+      return;
+    }
     server.answered_at = now_;
     good(server);
     see(server, ended.sample, ended.sample.position, now_);
@@ -449,8 +531,12 @@
 
   // Guards against all that come at once, or meet again: while it knows few, each would hold itself first.
   void learn(const FleetViewChanged& among) {
-    if (!fleet_view_ || !std::ranges::includes(fleet_view_->alive_peers, among.alive_peers)) grown_at_ = now_;
-    for (auto& [id, group] : groups_) touch(id).turn = -1;
+    if (!fleet_view_ || !std::ranges::includes(fleet_view_->alive_peers, among.alive_peers)) {
+      grown_at_ = now_;
+    }
+    for (auto& [id, group] : groups_) {
+      touch(id).turn = -1;
+    }
     groups_kept_ = 0;
     fleet_view_ = among, instances_ = std::max(1.0, all_ * among.fleet_share);
   }
@@ -459,23 +545,34 @@
   // Guards against words over a second late, from the future, or on members that are unknown or share a mark.
   void learn(const PeerMessageReceived& spoke) {
     const auto told = decode_samples(spoke.text, now_);
-    if (!told || now_ - told->then > kSampleAge) return;
-    if (!hears()) heard_again_ = now_;
+    if (!told || now_ - told->then > kSampleAge) {
+      return;
+    }
+    if (!hears()) {
+      heard_again_ = now_;
+    }
     peer_heard_ = now_;
     for (const auto& [mark, sample] : told->samples) {
       Server* const found = marks_.find(mark);
-      if (!found) continue;
+      if (!found) {
+        continue;
+      }
       Server& server = *found;
       Group& group = in_use(*server.group) ? touch(server) : *server.group;
       const bool answered = sample.role != Role::unknown;
       // Of two that keep the pace one goes on.
       group.mine = group.mine && (!answered || keeps_before(group, spoke.peer));
-      if (answered) server.told = std::max(server.told, told->then);
-      if (told->then <= server.heard || (server.unanswered = !answered)) continue;
+      if (answered) {
+        server.told = std::max(server.told, told->then);
+      }
+      if (told->then <= server.heard || (server.unanswered = !answered)) {
+        continue;
+      }
       // What another saw outweighs a failed probe of one's own, but not failed ops: those make it look again.
       server.probe_failed_at = kNever, recount(server);
-      if (down(server))
+      if (down(server)) {
         server.next_probe = std::max(now_, server.probed + kProbePeriod * std::min(5.0, instances_));
+      }
       group.wait = roll();
       see(server, sample, sample.position, told->then);
     }
@@ -485,12 +582,14 @@
   // who is there, else (and behind those) drawn, so that few speak at once: messages take up to 50 ms, 10 ms
   // set two apart. Where none can tell, and for a member that did not answer who looked first, all keep the
   // pace of one together.
-  Millis patience(const Group& group, const Server& server) const {
-    if (!hears() || server.unanswered) return 2 * kProbePeriod * (instances_ - 1) * group.wait;
+  [[nodiscard]] Millis patience(const Group& group, const Server& server) const {
+    if (!hears() || server.unanswered) {
+      return 2 * kProbePeriod * (instances_ - 1) * group.wait;
+    }
     const Millis drawn = 50 + 10 * instances_ * group.wait;
     return group.turn < 0 ? drawn : group.turn < kReady ? 50 * group.turn : 50 * (kReady - 1) + drawn;
   }
-  bool keeps_before(const Group& group, int peer) const {
+  [[nodiscard]] bool keeps_before(const Group& group, int peer) const {
     return fleet_view_ ? consistency::precedes(group.id, rank_, peer) : rank_ < peer;
   }
   static constexpr int kReady = 2;  // who keeps and who is ready to: two that die in one pace are rare
@@ -498,7 +597,7 @@
   // Guards against instances that don't hear each other: each would keep the pace for all groups and tell all
   // others of it. Not a word of any group for two paces and the way of a message: what goes on elsewhere is
   // not known here, nor whether anyone listens. One whose turn it is everywhere need not hear anybody.
-  bool hears() const {
+  [[nodiscard]] bool hears() const {
     return may_tell_ &&
            (now_ - std::max(peer_heard_, born_) < 2 * kProbePeriod + 50 ||
             (fleet_view_ && !fleet_view_->alive_peers.empty() && groups_kept_ == groups_.size()));
@@ -512,11 +611,18 @@
   // A primary stands at the present, so the position it claims dates the claim.
   void see(Server& server, const ReplicaSample& sample, Millis date, Millis at, bool commit = false) {
     server.heard = at, server.unanswered = false;
-    if (sample.role == Role::primary) server.primary_at = std::max(server.primary_at, date);
-    if (sample.role == Role::replica) server.replica_at = std::max(server.replica_at, date);
-    if (sample.utilization >= 0)
+    if (sample.role == Role::primary) {
+      server.primary_at = std::max(server.primary_at, date);
+    }
+    if (sample.role == Role::replica) {
+      server.replica_at = std::max(server.replica_at, date);
+    }
+    if (sample.utilization >= 0) {
       server.utilization = sample.utilization, server.utilization_at = at, credit_more(server);
-    if (sample.position < 0) return;
+    }
+    if (sample.position < 0) {
+      return;
+    }
     server.proven = std::max(server.proven, sample.position - (commit ? 1 : 0));  // a commit is rounded up
     keep(server.samples, {server.proven, at}, 3);
   }
@@ -525,19 +631,27 @@
   // that binds every session: replicas will soon have applied it.
   void remember(const std::string& session, const AttemptCompleted& ended,
                 const RequestClass& request_class) {
-    if (request_class.needs != Needs::write || ended.sample.position < 0 || !remembers_) return;
+    if (request_class.needs != Needs::write || ended.sample.position < 0 || !remembers_) {
+      return;
+    }
     Millis& mine = remembered_.try_emplace(session, kNever).first->second;
     mine = std::max(mine, ended.sample.position);
-    if (remembered_.size() > 10000) remembered_floor_ = now_, remembered_.clear();
+    if (remembered_.size() > 10000) {
+      remembered_floor_ = now_, remembered_.clear();
+    }
   }
   const bool remembers_ = catalog_.word("tokens", "") == "remembered";
 
   // Guards against pushing over a member that restarted before the list told of it: one that answers after
   // its ops failed and nobody heard of it for two seconds is taken for cold. Harm: one cut off is, too.
   void good(Server& server) {
-    if (server.probe_failed_at > server.last_good) doubted_ = now_;
-    if (server.request_failed_at > server.last_good && now_ - std::max(server.last_good, server.heard) > 2000)
+    if (server.probe_failed_at > server.last_good) {
+      doubted_ = now_;
+    }
+    if (server.request_failed_at > server.last_good &&
+        now_ - std::max(server.last_good, server.heard) > 2000) {
       server.cold_since = now_;
+    }
     server.last_good = now_;
     recount(server);
   }
@@ -557,16 +671,26 @@
       // processors free says nothing, a second in a row does. Of members that show 0.7 or more in use, every
       // fifth op and more came late, below that far fewer (whole fleet, join).
       const bool has_free = now_ - server.utilization_at < kSampleAge && server.utilization < 0.7;
-      const bool late = took > request_class.target, again = std::exchange(server.was_late, late);
-      if (late && (again || !has_free)) yield(server);
-      if (took < 0.5 * request_class.target && server.limit < 1)
+      const bool late = took > request_class.target;
+      const bool again = std::exchange(server.was_late, late);
+      if (late && (again || !has_free)) {
+        yield(server);
+      }
+      if (took < 0.5 * request_class.target && server.limit < 1) {
         server.limit = std::min(1.0, server.limit + 0.3);
+      }
     }
     server.paces.push_back(took / std::max(1.0, request_class.target));
-    if (server.paces.size() < 10) return;
+    if (server.paces.size() < 10) {
+      return;
+    }
     const double mean = std::accumulate(server.paces.begin(), server.paces.end(), 0.0) / 10;
-    if (mean > 0.35) server.limit = std::max(floor(), server.limit * 0.85);
-    if (mean < 0.25 && server.out + 1 >= server.limit * 0.7) server.limit += 1;
+    if (mean > 0.35) {
+      server.limit = std::max(floor(), server.limit * 0.85);
+    }
+    if (mean < 0.25 && server.out + 1 >= server.limit * 0.7) {
+      server.limit += 1;
+    }
     server.paces.clear();
   }
 
@@ -575,77 +699,92 @@
   // members, be it for this instance only, and against reads falling back onto primaries: the sum over all
   // instances goes by what the member can do. Harm: after one slow answer by chance a member is spared.
   void yield(Server& server) {
-    if (floor() >= 1) return;
+    if (floor() >= 1) {
+      return;
+    }
     server.limit = std::max(floor(), std::min(server.limit, 1.0) * 0.3);
     server.yielded = now_;
   }
 
-  double floor() const { return 4 / instances_; }  // what any server runs at once, shared
+  [[nodiscard]] double floor() const { return 4 / instances_; }  // what any server runs at once, shared
 
-  const RequestClass& class_of(RequestClassId request_class) const {
+  [[nodiscard]] const RequestClass& class_of(RequestClassId request_class) const {
     return catalog_.request_classes.at(static_cast<std::size_t>(request_class.number));
   }
 
   static double quantile(std::deque<Millis> samples, double share, double other) {
-    if (samples.empty()) return other;
+    if (samples.empty()) {
+      return other;
+    }
     std::sort(samples.begin(), samples.end());
     return samples[static_cast<std::size_t>(share * static_cast<double>(samples.size() - 1))];
   }
 
   void judge_flights() {
-    for (const auto& [key, attempt] : attempts_) attempt.server->oldest_out = kNever;
+    for (const auto& [key, attempt] : attempts_) {
+      attempt.server->oldest_out = kNever;
+    }
     for (const auto& [key, attempt] : attempts_) {
       Server& server = *attempt.server;
       touch(server);
-      if (class_of(attempt.request.request_class).long_work || attempt.cancelled) continue;
-      if (server.oldest_out == kNever || attempt.sent < server.oldest_out) server.oldest_out = attempt.sent;
+      if (class_of(attempt.request.request_class).long_work || attempt.cancelled) {
+        continue;
+      }
+      if (server.oldest_out == kNever || attempt.sent < server.oldest_out) {
+        server.oldest_out = attempt.sent;
+      }
     }
-    for (auto& [key, attempt] : attempts_)
+    for (auto& [key, attempt] : attempts_) {
       attempt.want_cancel = !attempt.cancelled && may_cancel_ &&
                             class_of(attempt.request.request_class).effect == Effect::retryable &&
                             silent(*attempt.server);
+    }
   }
   const bool may_cancel_ = catalog_.number("allow.call_off") > 0;
 
   // No answer of any kind for longer than its answers usually take, with an op out all that time.
-  bool overdue(const Server& server, double times = 3) const {
+  [[nodiscard]] bool overdue(const Server& server, double times = 3) const {
     const Millis mute = now_ - std::max(server.last_good, server.oldest_out);
-    if (server.oldest_out == kNever || mute <= 60) return false;
+    if (server.oldest_out == kNever || mute <= 60) {
+      return false;
+    }
     return mute > times * quantile(server.latencies.empty() ? short_latencies_ : server.latencies, 0.75, 100);
   }
 
   // Guards against members that hang, vanish or are cut off. A probe is answered beside the queue: an overdue
   // member whose probe failed or is out for 50 ms is silent; with probes in doubt, one overdue five times.
-  bool silent(const Server& server) const {
+  [[nodiscard]] bool silent(const Server& server) const {
     const bool probe_late = server.probe_sent_at > server.last_good && now_ - server.probe_sent_at > 50;
     return probes_count() ? overdue(server) && (down(server) || probe_late) : overdue(server, 5);
   }
 
   // Guards against probes that fail while ops are answered: an answer from a member after its probe failed
   // shows that failed probes say nothing for now (for 5 s: several such answers come in that time).
-  bool probes_count() const { return now_ - doubted_ > 5000; }
+  [[nodiscard]] bool probes_count() const { return now_ - doubted_ > 5000; }
 
-  bool down(const Server& server) const {
+  [[nodiscard]] bool down(const Server& server) const {
     return server.request_failed_at > server.last_good ||
            (server.probe_failed_at > server.last_good && probes_count());
   }
 
-  bool sendable(const Server& server) const {
+  [[nodiscard]] bool sendable(const Server& server) const {
     return !server.drained && (server.entry.state != ServerState::gone || !bound_by_gone_);
   }
   const bool bound_by_gone_ = catalog_.number("rule.only_draining_binds") <= 0;
 
   // Guards against trusting failed probes over answered ops: where only probes say that a member is down, or
   // its ops failed a second ago, one op at a time may find out where nothing better is left.
-  bool usable(const Server& server) const {
+  [[nodiscard]] bool usable(const Server& server) const {
     return sendable(server) && now_ >= server.rests_until && !overdue(server) &&
            (!down(server) || (server.out == 0 && now_ - server.request_failed_at > 1000));
   }
 
   // The share of its capacity that a cold member has at least.
-  double slow_start_fraction(const Server& server) const {
+  [[nodiscard]] double slow_start_fraction(const Server& server) const {
     const Millis age = now_ - server.cold_since;
-    if (age >= warm_within_ || warm_within_ <= 0) return 1;
+    if (age >= warm_within_ || warm_within_ <= 0) {
+      return 1;
+    }
     return cold_from_ + (1 - cold_from_) * std::max(0.0, age) / warm_within_;
   }
   const double warm_within_ = catalog_.number("rule.warm_within"),
@@ -658,12 +797,13 @@
   // each sample below half in use, up to four times, three tenths less above 0.7. Guards groups whose members
   // are all new. Harm: samples are old by one or two; where credit holds nothing back it is taken away again.
   void credit_more(Server& server) {
-    const bool over = slow_start_fraction(server) >= 1 || server.utilization > 0.7,
-               spare = !over && accrue(server) >= 1;
-    if (over || spare || server.utilization < 0.5)
+    const bool over = slow_start_fraction(server) >= 1 || server.utilization > 0.7;
+    const bool spare = !over && accrue(server) >= 1;
+    if (over || spare || server.utilization < 0.5) {
       server.more = std::clamp(server.more * (over ? 0.7 : spare ? 0.9 : 1.1), 1.0, 4.0);
+    }
   }
-  double more(const Server& server) const {
+  [[nodiscard]] double more(const Server& server) const {
     return now_ - server.utilization_at < kSampleAge / 2 ? server.more : 1;
   }
   double accrue(Server& server) {
@@ -672,9 +812,13 @@
   }
 
   double cold_rate(const Server& server) {
-    while (!acked_.empty() && acked_.front() < now_ - kCarried) acked_.pop_front();
+    while (!acked_.empty() && acked_.front() < now_ - kCarried) {
+      acked_.pop_front();
+    }
     const double warm = warm_capacity_.sum(now_, probes_count());
-    if (warm <= 0) return 0;
+    if (warm <= 0) {
+      return 0;
+    }
     return slow_start_fraction(server) * fall_multiple_ * static_cast<double>(acked_.size()) / kCarried *
            server.entry.size / warm;
   }
@@ -685,26 +829,36 @@
   bool has_room(Server& server, const Request& request, bool long_work, double part) {
     const double share = std::min(1.0, slow_start_fraction(server) * more(server));
     // With no answer at all a member is back in 100 s.
-    const double limit = server.limit * part * share, regained = (now_ - server.yielded) / 100000;
-    if (server.out + 0.5 > std::max(1.0, limit) || request.chance > limit + regained) return false;
+    const double limit = server.limit * part * share;
+    const double regained = (now_ - server.yielded) / 100000;
+    if (server.out + 0.5 > std::max(1.0, limit) || request.chance > limit + regained) {
+      return false;
+    }
     return slow_start_fraction(server) >= 1 || (!long_work && accrue(server) >= 1);
   }
 
   // Who claimed it last and was not seen as a replica since; the list counts where no member has spoken.
   static Server* primary_of(const Group& group) {
-    Server *best = nullptr, *by_list = nullptr;
+    Server* best = nullptr;
+    Server* by_list = nullptr;
     for (Server* server : group.servers) {
       const bool claims = server->primary_at != kNever && server->primary_at > server->replica_at;
-      if (claims && (!best || server->primary_at > best->primary_at)) best = server;
-      if (server->entry.state != ServerState::gone && server->entry.primary && server->replica_at == kNever)
+      if (claims && (!best || server->primary_at > best->primary_at)) {
+        best = server;
+      }
+      if (server->entry.state != ServerState::gone && server->entry.primary && server->replica_at == kNever) {
         by_list = server;
+      }
     }
     return best ? best : by_list;
   }
 
   // The design's three tests.
-  bool passes(const Server& server, const Request& request, const RequestClass& request_class) const {
-    if (server.samples.empty()) return false;
+  [[nodiscard]] bool passes(const Server& server, const Request& request,
+                            const RequestClass& request_class) const {
+    if (server.samples.empty()) {
+      return false;
+    }
     const Millis threshold = request_class.needs == Needs::bounded ? request_class.bound : kLagThreshold;
     return now_ < passes_until(server, threshold) && server.proven >= request.token;
   }
@@ -714,16 +868,23 @@
 
   // How far behind a replica may be at a time to do for an op.
   static Millis wanted_lag(const Request& request, const RequestClass& request_class, Millis at) {
-    if (request_class.needs == Needs::any) return kForever;
+    if (request_class.needs == Needs::any) {
+      return kForever;
+    }
     return request_class.needs == Needs::bounded ? request_class.bound : at - request.token;
   }
 
   // Where stores check reads themselves, a replica is tried when it would pass if it now lags as it did in
   // the best of its last samples (reports are old), of any age: the store's own word costs no probe.
-  bool likely(const Server& server, const Request& request, const RequestClass& request_class) const {
-    if (!stores_check_ || request.turned_away > 1) return false;
+  [[nodiscard]] bool likely(const Server& server, const Request& request,
+                            const RequestClass& request_class) const {
+    if (!stores_check_ || request.turned_away > 1) {
+      return false;
+    }
     Millis lag = server.samples.empty() ? 0 : kForever;
-    for (const auto& [position, sample] : server.samples) lag = std::min(lag, sample - position);
+    for (const auto& [position, sample] : server.samples) {
+      lag = std::min(lag, sample - position);
+    }
     return lag <= wanted_lag(request, request_class, now_);
   }
 
@@ -733,10 +894,13 @@
   Server* choose(const Request& request, const RequestClass& request_class) {
     Group& group = touch(request.group);
     Server* primary = primary_of(group);
-    if (!primary) group.asked = true;
+    if (!primary) {
+      group.asked = true;
+    }
     const bool primary_usable = primary && usable(*primary);
-    if (request_class.primary_only())
+    if (request_class.primary_only()) {
       return primary_usable && has_room(*primary, request, request_class.long_work, 1) ? primary : nullptr;
+    }
     Server* best = nullptr;
     std::tuple<int, bool, long> best_rank;
     // While no primary is known every replica may name it.
@@ -744,21 +908,33 @@
     const double servers = static_cast<double>(group.servers.size());
     long kept = std::max(std::lround(long_part_ * servers), request_class.long_work ? 1L : 0L);
     for (Server* server : group.servers) {
-      if (server == primary) continue;
+      if (server == primary) {
+        continue;
+      }
       const bool keeps = sendable(*server) && !down(*server) && kept-- > 0;
-      if (!usable(*server) || !has_room(*server, request, request_class.long_work, 1)) continue;
+      if (!usable(*server) || !has_room(*server, request, request_class.long_work, 1)) {
+        continue;
+      }
       const bool fits = passes(*server, request, request_class) || likely(*server, request, request_class);
       // Beyond the threshold, but proven all the same: better than asking a busy primary.
       const bool will_do = request_class.needs == Needs::any ||
                            (request_class.needs == Needs::session && server->proven >= request.token);
-      if (!fits && !will_do) continue;
+      if (!fits && !will_do) {
+        continue;
+      }
       int tier = (!fits || keeps) + 4 * down(*server);
-      if (zone_price_ > 0 && server->entry.zone.number != zone_) tier += 2;
+      if (zone_price_ > 0 && server->entry.zone.number != zone_) {
+        tier += 2;
+      }
       const std::tuple<int, bool, long> rank{request_class.long_work ? tier / 4 * 4 + !keeps : tier,
                                              enough_connections && !connected(*server), server->turn};
-      if (!best || rank < best_rank) best = server, best_rank = rank;
+      if (!best || rank < best_rank) {
+        best = server, best_rank = rank;
+      }
+    }
+    if (best && std::get<0>(best_rank) < 4) {
+      return best;
     }
-    if (best && std::get<0>(best_rank) < 4) return best;
     group.asked = group.asked || (!best && !stores_check_);
     // A primary takes reads into half its limit, up to 0.8 of it as they come to be of as much value for
     // their time as what only it can do. Guards the primary when replicas fall behind.
@@ -768,14 +944,16 @@
 
   // A connection that stands idle is closed before the server would close it, at nine tenths of the stated
   // time.
-  bool connected(const Server& server) const {
+  [[nodiscard]] bool connected(const Server& server) const {
     return server.answered_at > server.cold_since && now_ - server.answered_at < 0.9 * connection_idle_;
   }
   // Guards against a new connection for nearly every request where a front has few requests for each of many
   // groups: in a group as many replicas are used as have some requests each in the time that a connection may
   // stand idle.
   bool more_connections_wanted(const Group& group, const Server* primary) const {
-    if (connection_idle_ <= 0) return true;
+    if (connection_idle_ <= 0) {
+      return true;
+    }
     const auto open = std::ranges::count_if(
         group.servers, [&](const Server* server) { return server != primary && connected(*server); });
     return static_cast<double>(open) < std::max(1.0, requests_of_late(group) / kRequestsOfConnection);
@@ -786,9 +964,12 @@
 
   // Long work blocks the log where it runs, so it is kept together: on the first replicas in the order of
   // their marks, which all instances know without a word, and on as many as is its part of all work.
-  double part_of_long_work() const {
-    Millis all = 1, of_long = 0;
-    for (const auto& [is_long, took] : work_) all += took, of_long += is_long ? took : 0;
+  [[nodiscard]] double part_of_long_work() const {
+    Millis all = 1;
+    Millis of_long = 0;
+    for (const auto& [is_long, took] : work_) {
+      all += took, of_long += is_long ? took : 0;
+    }
     return std::min(0.5, of_long / all);
   }
 
@@ -796,7 +977,9 @@
     std::vector<std::pair<Millis, RequestId>> held;
     for (auto& [id, request] : requests_) {
       request.want = Want::hold;
-      if (request.out > 0) continue;
+      if (request.out > 0) {
+        continue;
+      }
       const RequestClass& request_class = class_of(request.request_class);
       // The earliest latency target first, nearer for ops of more value for their time; late ones last.
       const Millis left = request.wanted_by - now_;
@@ -804,8 +987,12 @@
                         id);
     }
     std::sort(held.begin(), held.end());
-    if (!held.empty()) long_part_ = part_of_long_work();
-    for (const auto& [by, id] : held) decide(requests_[id]);
+    if (!held.empty()) {
+      long_part_ = part_of_long_work();
+    }
+    for (const auto& [by, id] : held) {
+      decide(requests_[id]);
+    }
   }
 
   void decide(Request& request) {
@@ -829,20 +1016,25 @@
     }
     Server* to = request.to = choose(request, request_class);
     // Guards against sitting on an op its client could ask for again: unsent at half its patience, it ends.
-    if (!to)
+    if (!to) {
       return void(request.want = request.sends == 0 && now_ + 3 * tick_ > request.half ? Want::busy_reply
                                                                                        : request.want);
+    }
     request.want = Want::send;
     // Guards stores that fail for all against being asked again by all: first sends fill a bucket for resends
     // (as in gRPC's A6 and Finagle's RetryBudget), so over the fleet they are at most that share, and a
     // burst.
-    if (resend_share_ > 0) resends_ = again ? resends_ - 1 : std::min(resends_ + resend_share_, burst_);
+    if (resend_share_ > 0) {
+      resends_ = again ? resends_ - 1 : std::min(resends_ + resend_share_, burst_);
+    }
     ++to->out;
-    if (slow_start_fraction(*to) < 1) to->credit -= 1;
+    if (slow_start_fraction(*to) < 1) {
+      to->credit -= 1;
+    }
     to->turn = ++turn_;
   }
   // For how long stores still know a repeat of what may have run. It may be on its way for 50 ms.
-  Millis memory_left(const Request& request) const {
+  [[nodiscard]] Millis memory_left(const Request& request) const {
     return request.may_have_run + class_of(request.request_class).token_memory - 50 - now_;
   }
   const double resend_share_ = catalog_.number("resends.share"),
@@ -852,26 +1044,35 @@
 
   // When the next probe of a member is due. The pace is kept by the instance that was the last to tell of the
   // group, or by others when it is left untold; sooner when an op waits for a sample, failed or is overdue.
-  Millis probe_at(const Group& group, const Server& server) const {
-    if (!may_probe_ || server.probe_sent_at != kNever || !sendable(server) || !in_use(group)) return kForever;
+  [[nodiscard]] Millis probe_at(const Group& group, const Server& server) const {
+    if (!may_probe_ || server.probe_sent_at != kNever || !sendable(server) || !in_use(group)) {
+      return kForever;
+    }
     // Guards against probing members for the sake of one slow op or one ended connection: of one that others
     // tell of, only the path can be at fault. It is given four times the time, by when the op is late anyway,
     // and a second failed op. One that is down by its ops is looked at once others tell of it.
     const bool told_of = hears() && now_ - server.told < 1.5 * kProbePeriod;
-    if (overdue(server, told_of ? 12 : 3) && server.probe_failed_at < server.oldest_out)
+    if (overdue(server, told_of ? 12 : 3) && server.probe_failed_at < server.oldest_out) {
       return std::max(now_, server.next_probe);
+    }
     const bool look = down(server) ? server.told > server.hurt : !told_of;
-    if (look && server.hurt > std::max(server.last_good, server.probe_failed_at)) return server.next_probe;
+    if (look && server.hurt > std::max(server.last_good, server.probe_failed_at)) {
+      return server.next_probe;
+    }
     // Patience runs anew for a new member and for who hears again: else all would probe all at once.
     const Millis anew = std::max(server.since, heard_again_) - kProbePeriod;
     Millis at = std::max(group.mine ? server.told : server.heard, anew) + kProbePeriod;
-    if (!group.mine) at += patience(group, server);
-    if (group.asked) at = std::min(at, server.heard + kSampleAge / 2);
+    if (!group.mine) {
+      at += patience(group, server);
+    }
+    if (group.asked) {
+      at = std::min(at, server.heard + kSampleAge / 2);
+    }
     return std::max(at, server.next_probe);
   }
 
   // When a member that others tell of, and that failed here, is to be judged without them.
-  Millis others_silent_at(const Server& server) const {
+  [[nodiscard]] Millis others_silent_at(const Server& server) const {
     const Millis at = server.told + 1.5 * kProbePeriod;
     return server.hurt > std::max(server.last_good, server.probe_failed_at) && at > now_ ? at : kForever;
   }
@@ -879,14 +1080,23 @@
   void decide_probes() {
     // What holds for all groups alike, and decides on when their probes are due.
     const std::pair common(hears(), probes_count());
-    if (std::exchange(judged_with_, common) != common)
-      for (auto& [id, group] : groups_) touch(id);
-    for (const GroupId due : probes_due_.take_due(now_)) touch(due);
-    for (Group* group : std::exchange(touched_, {})) judge_probes(*group);
+    if (std::exchange(judged_with_, common) != common) {
+      for (auto& [id, group] : groups_) {
+        touch(id);
+      }
+    }
+    for (const GroupId due : probes_due_.take_due(now_)) {
+      touch(due);
+    }
+    for (Group* group : std::exchange(touched_, {})) {
+      judge_probes(*group);
+    }
   }
 
   void judge_probes(Group& group) {
-    if (group.wait == 0) group.wait = roll();
+    if (group.wait == 0) {
+      group.wait = roll();
+    }
     if (fleet_view_ && group.turn < 0 && now_ - grown_at_ > kSampleAge) {
       group.turn = consistency::turn_of(group.id, rank_, fleet_view_->alive_peers, kReady);
       groups_kept_ += group.turn == 0;
@@ -896,24 +1106,31 @@
     Millis next = kForever;
     for (Server* server : group.servers) {
       const Millis at = probe_at(group, *server);
-      if (at <= now_)
+      if (at <= now_) {
         due = true;
-      else
+      } else {
         next = std::min({next, at, others_silent_at(*server)});
+      }
+    }
+    if (fleet_view_ && group.turn < 0) {
+      next = std::min(next, grown_at_ + kSampleAge + tick_);
     }
-    if (fleet_view_ && group.turn < 0) next = std::min(next, grown_at_ + kSampleAge + tick_);
     probes_due_.set(group.id, next < kForever ? std::optional(next) : std::nullopt);
     // What this instance tells of a group goes into one message.
-    for (Server* server : group.servers)
-      if (due && probe_at(group, *server) - (group.mine ? kProbePeriod / 2 : 0) <= now_)
+    for (Server* server : group.servers) {
+      if (due && probe_at(group, *server) - (group.mine ? kProbePeriod / 2 : 0) <= now_) {
         want_probes_.push_back(server);
+      }
+    }
     group.touched = group.asked = false;
   }
 
   // Calls are spread, for the list is one service for all: 25 ms apart, at most over a quarter of the time in
   // which the rule wants one, so that a call that was lost, the wait and the next call fit into 6 s.
   void decide_list() {
-    if (next_watch_ == kNever) next_watch_ = now_ + spread();
+    if (next_watch_ == kNever) {
+      next_watch_ = now_ + spread();
+    }
     want_watch_ = ask_ && now_ >= next_watch_;
   }
   Millis spread() { return roll() * std::min(25 * (instances_ - 1), ask_within_ / 4); }
@@ -922,8 +1139,12 @@
 
   std::vector<Decision> emit() {
     std::vector<Decision> out;
-    for (const ServerId& server : std::exchange(want_forgets_, {})) out.push_back(ForgetServer{server});
-    if (std::exchange(want_watch_, false)) out.push_back(WatchEndpoints{}), next_watch_ = kForever;
+    for (const ServerId& server : std::exchange(want_forgets_, {})) {
+      out.push_back(ForgetServer{server});
+    }
+    if (std::exchange(want_watch_, false)) {
+      out.push_back(WatchEndpoints{}), next_watch_ = kForever;
+    }
     for (Server* server : std::exchange(want_probes_, {})) {
       out.push_back(StartProbe{server->entry.id, probe_wait_});
       server->probe_sent_at = server->probed = now_, ++probes_out_;
@@ -931,7 +1152,9 @@
     }
     tell(out);
     for (auto& [key, attempt] : attempts_) {
-      if (!attempt.want_cancel || attempt.cancelled) continue;
+      if (!attempt.want_cancel || attempt.cancelled) {
+        continue;
+      }
       out.push_back(CancelAttempt{key.first, key.second});
       attempt.cancelled = true, attempt.server->request_failed_at = attempt.server->hurt = now_;
       recount(*attempt.server);
@@ -946,36 +1169,56 @@
         attempts_[{id, {request.sends}}] = {request.to, request, now_};
         ++request.sends, ++request.out;
       }
-      if (request.want == Want::busy_reply) out.push_back(RejectRequest{id, come_back_});
-      if (request.want == Want::error_reply) out.push_back(FailRequest{id});
+      if (request.want == Want::busy_reply) {
+        out.push_back(RejectRequest{id, come_back_});
+      }
+      if (request.want == Want::error_reply) {
+        out.push_back(FailRequest{id});
+      }
     }
     std::erase_if(requests_, [](const auto& item) { return item.second.want > Want::send; });
     const Millis next_probe = probes_due_.next().value_or(kForever);
     Millis wake = ask_ ? std::min(next_probe, next_watch_) : next_probe;
-    if (!requests_.empty()) wake = std::min(wake, now_ + 3 * tick_);
-    if (!want_tells_.empty()) wake = std::min(wake, untold_since_ + kGather);
+    if (!requests_.empty()) {
+      wake = std::min(wake, now_ + 3 * tick_);
+    }
+    if (!want_tells_.empty()) {
+      wake = std::min(wake, untold_since_ + kGather);
+    }
     wake = std::clamp(wake, now_ + tick_, now_ + 1000);
-    if (armed_ == kNever || wake < armed_) out.push_back(SetTimer{{++armed_as_.number}, armed_ = wake});
+    if (armed_ == kNever || wake < armed_) {
+      out.push_back(SetTimer{{++armed_as_.number}, armed_ = wake});
+    }
     return out;
   }
 
   // What one pace finds out goes into one message, which waits for the answers to probes, but not for long.
   static constexpr Millis kGather = 25;
   void tell(std::vector<Decision>& out) {
-    if (probes_out_ > 0 && now_ < untold_since_ + kGather) return;
+    if (probes_out_ > 0 && now_ < untold_since_ + kGather) {
+      return;
+    }
     // While nobody is heard a word now and then will do, from which those who hear again learn of others.
-    if (!hears() && now_ < spoke_at_ + kSampleAge) return want_tells_.clear();
+    if (!hears() && now_ < spoke_at_ + kSampleAge) {
+      return want_tells_.clear();
+    }
     std::vector<GossipedSample> samples;
     for (Server* server : std::exchange(want_tells_, {})) {
-      if (!server->unanswered) server->told = now_;
+      if (!server->unanswered) {
+        server->told = now_;
+      }
       const bool shown = now_ - server->utilization_at < kSampleAge;
       const Role role = server->primary_at > server->replica_at ? Role::primary : Role::replica;
       samples.push_back(
           {server->mark,
            {server->unanswered ? Role::unknown : role, server->proven, shown ? server->utilization : -1}});
-      if (samples.size() == kMostSamples) break;  // the rest is told when its turn comes again
+      if (samples.size() == kMostSamples) {
+        break;  // the rest is told when its turn comes again
+      }
+    }
+    if (!samples.empty()) {
+      out.push_back(BroadcastToPeers{text_of(now_, samples)}), spoke_at_ = now_;
     }
-    if (!samples.empty()) out.push_back(BroadcastToPeers{text_of(now_, samples)}), spoke_at_ = now_;
   }
 
   const Millis come_back_ =
--- a/src/routing/warm_capacity.cpp
+++ b/src/routing/warm_capacity.cpp
@@ -24,7 +24,9 @@
 
 void WarmCapacity::remove(Slot& slot) {
   take_out(slot);
-  if (slot.waits_) warming_.erase(slot.warming_);
+  if (slot.waits_) {
+    warming_.erase(slot.warming_);
+  }
   slot.waits_ = false;
 }
 
@@ -45,17 +47,25 @@
 
 void WarmCapacity::put_in(Slot& slot) {
   const Condition& condition = slot.condition_;
-  if (!slot.warm_ || !condition.sendable || condition.failed_by_requests) return;
+  if (!slot.warm_ || !condition.sendable || condition.failed_by_requests) {
+    return;
+  }
   slot.counted_ = true;
   all_ += parts_of(condition.size);
-  if (!condition.failed_by_probes) return;
+  if (!condition.failed_by_probes) {
+    return;
+  }
   slot.counted_by_probes_ = true;
   failed_by_probes_ += parts_of(condition.size);
 }
 
 void WarmCapacity::take_out(Slot& slot) {
-  if (slot.counted_) all_ -= parts_of(slot.condition_.size);
-  if (slot.counted_by_probes_) failed_by_probes_ -= parts_of(slot.condition_.size);
+  if (slot.counted_) {
+    all_ -= parts_of(slot.condition_.size);
+  }
+  if (slot.counted_by_probes_) {
+    failed_by_probes_ -= parts_of(slot.condition_.size);
+  }
   slot.counted_ = slot.counted_by_probes_ = false;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -20,10 +20,11 @@
 }
 
 void put(Settings& values, const std::string& name, const Json& value, double per_unit) {
-  if (value.is_string())
+  if (value.is_string()) {
     values[name] = word_for(value.get<std::string>());
-  else if (value.is_number() || value.is_boolean())
+  } else if (value.is_number() || value.is_boolean()) {
     values[name] = number_or(value, 0) / per_unit;
+  }
 }
 
 struct Setting {
@@ -40,15 +41,25 @@
 }
 
 double number_or(const Json& value, double other) {
-  if (value.is_null()) return other;
-  if (value.is_boolean()) return value.get<bool>() ? 1 : 0;
-  if (!value.is_number()) throw InvalidInput("a number was expected, not " + value.dump());
+  if (value.is_null()) {
+    return other;
+  }
+  if (value.is_boolean()) {
+    return value.get<bool>() ? 1 : 0;
+  }
+  if (!value.is_number()) {
+    throw InvalidInput("a number was expected, not " + value.dump());
+  }
   return value.get<double>();
 }
 
 std::string word_or(const Json& value, const std::string& other) {
-  if (value.is_null()) return other;
-  if (!value.is_string()) throw InvalidInput("a text was expected, not " + value.dump());
+  if (value.is_null()) {
+    return other;
+  }
+  if (!value.is_string()) {
+    throw InvalidInput("a text was expected, not " + value.dump());
+  }
   return value.get<std::string>();
 }
 
@@ -101,7 +112,9 @@
                                                   {"importance", "value", 1}};
 
   Settings values;
-  if (!settings.is_object()) throw InvalidInput("the settings are no object");
+  if (!settings.is_object()) {
+    throw InvalidInput("the settings are no object");
+  }
   for (const Setting& setting : general) {
     const Json* at = &settings;
     std::string path = setting.wire;
@@ -109,7 +122,9 @@
       const auto inner = at->find(path.substr(0, dot));
       at = inner != at->end() && inner->is_object() ? &*inner : nullptr;
     }
-    if (at && at->contains(path)) put(values, setting.name, (*at)[path], setting.per_unit);
+    if (at && at->contains(path)) {
+      put(values, setting.name, (*at)[path], setting.per_unit);
+    }
   }
   const Json types = settings.value("requestClasses", Json::array());
   const Json family = settings.contains("familyInfo") && settings["familyInfo"].is_object()
@@ -120,9 +135,11 @@
   values["op_types"] = static_cast<double>(types.size());
   for (std::size_t i = 0; i < types.size(); ++i) {
     const std::string prefix = "op_type." + std::to_string(i) + ".";
-    for (const Setting& setting : of_op_type)
-      if (types[i].contains(setting.wire))
+    for (const Setting& setting : of_op_type) {
+      if (types[i].contains(setting.wire)) {
         put(values, prefix + setting.name, types[i][setting.wire], setting.per_unit);
+      }
+    }
     put(values, prefix + "needs", field(needs, i), 1);
     put(values, prefix + "bound", field(bounds, i), kNsPerMs);
   }
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -12,7 +12,9 @@
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
       const std::string reply = host.take(line);
-      if (!reply.empty()) std::cout << reply << std::flush;
+      if (!reply.empty()) {
+        std::cout << reply << std::flush;
+      }
     } catch (const reedspindle::InvalidInput& fault) {
       std::cerr << "line " << number << ": " << fault.what() << '\n';
       return 2;
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -11,40 +11,48 @@
 using Json = nlohmann::json;
 
 double needed(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) throw InvalidInput("value " + std::to_string(at) + " is missing");
+  if (field(line, at).is_null()) {
+    throw InvalidInput("value " + std::to_string(at) + " is missing");
+  }
   return number_or(field(line, at), 0);
 }
 
 double ms(const Json& line, std::size_t at) { return number_or(field(line, at), 0) / kNsPerMs; }
 
 std::string needed_word(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) throw InvalidInput("value " + std::to_string(at) + " is missing");
+  if (field(line, at).is_null()) {
+    throw InvalidInput("value " + std::to_string(at) + " is missing");
+  }
   return word_or(line[at], "");
 }
 
 std::uint64_t needed_id(const Json& line, std::size_t at) {
   const Json& value = field(line, at);
-  if (!value.is_number_integer() || value < 0)
+  if (!value.is_number_integer() || value < 0) {
     throw InvalidInput("value " + std::to_string(at) + " is no id");
+  }
   return value.get<std::uint64_t>();
 }
 
 ServerEntry listed(const Json& row) {
-  if (!row.is_array()) throw InvalidInput("a list entry is no array");
+  if (!row.is_array()) {
+    throw InvalidInput("a list entry is no array");
+  }
   ServerEntry member;
   member.id = {needed_word(row, 0)};
   member.zone = {static_cast<int>(number_or(field(row, 1), 0))};
   member.kind = static_cast<int>(number_or(field(row, 2), 0));
   member.group = {static_cast<int>(needed(row, 3))};
   const std::string state = needed_word(row, 4);
-  if (state == "ready")
+  if (state == "ready") {
     member.state = ServerState::ready;
-  else if (state == "draining")
+  } else if (state == "draining") {
     member.state = ServerState::draining;
-  else if (state == "gone")
+  } else if (state == "gone") {
     member.state = ServerState::gone;
-  else
+  } else {
     throw InvalidInput("unknown state " + state);
+  }
   member.size = number_or(field(row, 5), 1);
   member.started_at = ms(row, 6);
   member.primary = number_or(field(row, 7), 0) > 0;
@@ -57,18 +65,26 @@
       AttemptOutcome::timed_out, AttemptOutcome::connect_failed, AttemptOutcome::reset,
       AttemptOutcome::cancelled, AttemptOutcome::not_sent,       AttemptOutcome::rejected_not_executed};
   const double code = needed(line, at);
-  if (code < 0 || code >= static_cast<double>(endings.size()))
+  if (code < 0 || code >= static_cast<double>(endings.size())) {
     throw InvalidInput("unknown outcome " + line[at].dump());
+  }
   return endings[static_cast<std::size_t>(code)];
 }
 
 ReplicaSample from_report(const Json& load, double zero_ms) {
   ReplicaSample seen;
-  if (!load.is_object()) return seen;
-  if (load.contains("x0") && load["x0"].is_number())
+  if (!load.is_object()) {
+    return seen;
+  }
+  if (load.contains("x0") && load["x0"].is_number()) {
     seen.position = zero_ms + load["x0"].get<double>() * 1000;
-  if (load.contains("x1")) seen.role = number_or(load["x1"], 0) > 0 ? Role::primary : Role::replica;
-  if (load.contains("cpu")) seen.utilization = number_or(load["cpu"], -1);
+  }
+  if (load.contains("x1")) {
+    seen.role = number_or(load["x1"], 0) > 0 ? Role::primary : Role::replica;
+  }
+  if (load.contains("cpu")) {
+    seen.utilization = number_or(load["cpu"], -1);
+  }
   return seen;
 }
 
@@ -84,7 +100,9 @@
 
   void line(const char* name, std::initializer_list<std::string> values) {
     out.append("[\"").append(name).append("\",").append(instance);
-    for (const std::string& value : values) out.append(1, ',').append(value);
+    for (const std::string& value : values) {
+      out.append(1, ',').append(value);
+    }
     out.append("]\n");
   }
   static std::string id(RequestId op) { return std::to_string(op.number); }
@@ -99,8 +117,8 @@
   void operator()(const FailRequest& d) { line("FinishError", {id(d.request)}); }
   void operator()(const SetTimer& d) { line("Defer", {std::to_string(d.timer.number), ns(d.at)}); }
   void operator()(const StartProbe& d) { line("AskLoad", {quoted(d.server.address)}); }
-  void operator()(const ForgetServer&) {}  // the simulator forgets by itself
-  void operator()(const WatchEndpoints&) { line("KeepInformed", {"true"}); }
+  void operator()(const ForgetServer& /*unused*/) {}  // the simulator forgets by itself
+  void operator()(const WatchEndpoints& /*unused*/) { line("KeepInformed", {"true"}); }
   void operator()(const BroadcastToPeers& d) { line("Share", {"null", quoted(d.text)}); }
   void operator()(const LogMessage& d) { line("WriteLog", {quoted(d.text)}); }
 };
@@ -108,26 +126,39 @@
 }  // namespace
 
 std::string Host::take(const std::string& line) {
-  if (line.find_first_not_of(" \t\r") == std::string::npos) return "";
+  if (line.find_first_not_of(" \t\r") == std::string::npos) {
+    return "";
+  }
   Json parsed = Json::parse(line, nullptr, false);
-  if (parsed.is_discarded()) throw InvalidInput("bad JSON");
-  if (!parsed.is_array() || parsed.empty() || !parsed[0].is_string()) throw InvalidInput("no message name");
+  if (parsed.is_discarded()) {
+    throw InvalidInput("bad JSON");
+  }
+  if (!parsed.is_array() || parsed.empty() || !parsed[0].is_string()) {
+    throw InvalidInput("no message name");
+  }
   const std::string name = parsed[0].get<std::string>();
   try {
     if (name == "Frame") {
-      if (in_batch_) throw InvalidInput("Frame inside a batch");
+      if (in_batch_) {
+        throw InvalidInput("Frame inside a batch");
+      }
       now_ms_ = needed(parsed, 1) / kNsPerMs;
       in_batch_ = true;
       return "";
     }
-    if (!in_batch_) throw InvalidInput(name + " outside a batch");
-    if (name == "Flush") return reply();
-    if (name == "Born")
+    if (!in_batch_) {
+      throw InvalidInput(name + " outside a batch");
+    }
+    if (name == "Flush") {
+      return reply();
+    }
+    if (name == "Born") {
       born(parsed);
-    else if (name == "Manifest")
+    } else if (name == "Manifest") {
       manifest(parsed);
-    else
+    } else {
       event(name, parsed);
+    }
   } catch (const Json::exception& fault) {
     throw InvalidInput(name + ": " + fault.what());
   }
@@ -135,15 +166,18 @@
 }
 
 void Host::touch(const std::string& name, Instance& instance) {
-  if (std::exchange(instance.touched, true)) return;
+  if (std::exchange(instance.touched, true)) {
+    return;
+  }
   order_.push_back(name);
 }
 
 Host::Instance& Host::instance(const Json& line) {
   const std::string name = needed_word(line, 1);
   const auto found = instances_.find(name);
-  if (found == instances_.end())
+  if (found == instances_.end()) {
     throw InvalidInput(line[0].get<std::string>() + " for unborn instance " + name);
+  }
   touch(name, found->second);
   return found->second;
 }
@@ -168,10 +202,16 @@
 
 void Host::manifest(const Json& line) {
   const double number = needed(line, 1);
-  if (number < 0 || number > 15) throw InvalidInput("list number out of range");
-  if (!field(line, 2).is_array()) throw InvalidInput("a list without entries");
+  if (number < 0 || number > 15) {
+    throw InvalidInput("list number out of range");
+  }
+  if (!field(line, 2).is_array()) {
+    throw InvalidInput("a list without entries");
+  }
   std::vector<ServerEntry> members;
-  for (const Json& row : line[2]) members.push_back(listed(row));
+  for (const Json& row : line[2]) {
+    members.push_back(listed(row));
+  }
   lists_[static_cast<int>(number)] = std::move(members);
 }
 
@@ -181,11 +221,15 @@
                                                                 {"SAVED", EndpointListKind::saved},
                                                                 {"FAILED", EndpointListKind::failed}};
   const auto kind = kinds.find(needed_word(line, 2));
-  if (kind == kinds.end()) throw InvalidInput("unknown list kind " + line[2].dump());
+  if (kind == kinds.end()) {
+    throw InvalidInput("unknown list kind " + line[2].dump());
+  }
   EndpointListReceived read{kind->second, {}};
   if (read.kind != EndpointListKind::failed) {
     const auto list = lists_.find(static_cast<int>(needed(line, 4)));
-    if (list == lists_.end()) throw InvalidInput("unknown list number " + line[4].dump());
+    if (list == lists_.end()) {
+      throw InvalidInput("unknown list number " + line[4].dump());
+    }
     read.servers = list->second;
   }
   return read;
@@ -203,7 +247,9 @@
   const auto note = static_cast<long long>(number_or(field(line, 8), 0));
   if (note > 0) {
     ended.sample.role = note % 4 == 1 ? Role::primary : note % 4 == 2 ? Role::replica : Role::unknown;
-    if (note / 4 > 0) ended.sample.position = at.zero_ms + static_cast<double>(note / 4);
+    if (note / 4 > 0) {
+      ended.sample.position = at.zero_ms + static_cast<double>(note / 4);
+    }
   }
   return ended;
 }
@@ -211,15 +257,21 @@
 void Host::event(const std::string& name, const Json& line) {
   if (name == "Detach") {
     const std::string gone = needed_word(line, 1);
-    if (instances_.erase(gone) == 0) throw InvalidInput("Detach for unborn instance " + gone);
+    if (instances_.erase(gone) == 0) {
+      throw InvalidInput("Detach for unborn instance " + gone);
+    }
     std::erase(order_, gone);
     return;
   }
   static const std::vector<std::string> known = {"Membership", "Submit", "Accepted", "Result",
                                                  "Expired",    "Due",    "Checked",  "PeerData"};
-  if (std::find(known.begin(), known.end(), name) == known.end()) throw InvalidInput("unknown event " + name);
+  if (std::find(known.begin(), known.end(), name) == known.end()) {
+    throw InvalidInput("unknown event " + name);
+  }
   Instance& at = instance(line);
-  if (name == "Accepted" || !at.router) return;  // streams are not used by this kind of service
+  if (name == "Accepted" || !at.router) {
+    return;  // streams are not used by this kind of service
+  }
   Event noted;
   if (name == "Membership") {
     noted = membership(line);
@@ -249,7 +301,9 @@
   try {
     at.router->enqueue(noted);
   } catch (const std::exception& fault) {
-    if (at.fault.empty()) at.fault = fault.what();
+    if (at.fault.empty()) {
+      at.fault = fault.what();
+    }
   }
 }
 
@@ -260,8 +314,12 @@
     at.touched = false;
     Writer writer{out, quoted(name)};
     try {
-      if (!at.fault.empty()) throw std::runtime_error(at.fault);
-      for (const Decision& decision : at.router->process(now_ms_)) std::visit(writer, decision);
+      if (!at.fault.empty()) {
+        throw std::runtime_error(at.fault);
+      }
+      for (const Decision& decision : at.router->process(now_ms_)) {
+        std::visit(writer, decision);
+      }
     } catch (const std::exception& fault) {
       writer.line("Die", {quoted(fault.what())});
     }
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -31,8 +31,8 @@
   void born(const Json& line);
   void manifest(const Json& line);
   void event(const std::string& name, const Json& line);
-  Event membership(const Json& line) const;
-  Event result(const Instance& at, const Json& line) const;
+  [[nodiscard]] Event membership(const Json& line) const;
+  [[nodiscard]] Event result(const Instance& at, const Json& line) const;
   Instance& instance(const Json& line);
   void touch(const std::string& name, Instance& instance);
   std::string reply();
--- a/src/snapshot/directory_disk.cpp
+++ b/src/snapshot/directory_disk.cpp
@@ -22,13 +22,17 @@
 class Opened {
  public:
   Opened(const std::string& path, int flags) : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, 0600)) {
-    if (fd_ < 0) fault("open", path);
+    if (fd_ < 0) {
+      fault("open", path);
+    }
   }
   ~Opened() { close(fd_); }
   Opened(const Opened&) = delete;
-  int fd() const { return fd_; }
+  [[nodiscard]] int fd() const { return fd_; }
   void sync() const {
-    if (fsync(fd_) != 0) fault("sync", path_);
+    if (fsync(fd_) != 0) {
+      fault("sync", path_);
+    }
   }
 
  private:
@@ -39,16 +43,21 @@
 }  // namespace
 
 FolderDisk::FolderDisk(std::string folder) : folder_(std::move(folder)) {
-  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) fault("make the folder", folder_);
+  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) {
+    fault("make the folder", folder_);
+  }
 }
 
 std::vector<std::string> FolderDisk::names() {
   std::vector<std::string> names;
   std::error_code code;
   for (auto at = std::filesystem::directory_iterator(folder_, code);
-       !code && at != std::filesystem::directory_iterator(); at.increment(code))
+       !code && at != std::filesystem::directory_iterator(); at.increment(code)) {
     names.push_back(at->path().filename().string());
-  if (code) throw DiskFault(fmt::format("list {}: {}", folder_, code.message()));
+  }
+  if (code) {
+    throw DiskFault(fmt::format("list {}: {}", folder_, code.message()));
+  }
   return names;
 }
 
@@ -58,11 +67,19 @@
   char part[65536];
   for (;;) {
     const ssize_t count = ::read(file.fd(), part, sizeof part);
-    if (count < 0 && errno == EINTR) continue;
-    if (count < 0) fault("read", path(name));
-    if (count == 0) return bytes;
+    if (count < 0 && errno == EINTR) {
+      continue;
+    }
+    if (count < 0) {
+      fault("read", path(name));
+    }
+    if (count == 0) {
+      return bytes;
+    }
     bytes.append(part, static_cast<std::size_t>(count));
-    if (bytes.size() > most) return std::nullopt;
+    if (bytes.size() > most) {
+      return std::nullopt;
+    }
   }
 }
 
@@ -70,8 +87,12 @@
   const Opened file(path(name), O_WRONLY | O_CREAT | O_TRUNC);
   while (!bytes.empty()) {
     const ssize_t count = ::write(file.fd(), bytes.data(), bytes.size());
-    if (count < 0 && errno == EINTR) continue;
-    if (count < 0) fault("write", path(name));
+    if (count < 0 && errno == EINTR) {
+      continue;
+    }
+    if (count < 0) {
+      fault("write", path(name));
+    }
     bytes.remove_prefix(static_cast<std::size_t>(count));
   }
 }
@@ -80,11 +101,15 @@
 void FolderDisk::sync_folder() { Opened(folder_, O_RDONLY | O_DIRECTORY).sync(); }
 
 void FolderDisk::rename(const std::string& from, const std::string& to) {
-  if (::rename(path(from).c_str(), path(to).c_str()) != 0) fault("rename", path(to));
+  if (::rename(path(from).c_str(), path(to).c_str()) != 0) {
+    fault("rename", path(to));
+  }
 }
 
 void FolderDisk::remove(const std::string& name) {
-  if (unlink(path(name).c_str()) != 0) fault("remove", path(name));
+  if (unlink(path(name).c_str()) != 0) {
+    fault("remove", path(name));
+  }
 }
 
 }  // namespace reedspindle::snapshot
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -27,10 +27,14 @@
 std::string name_of(std::uint64_t generation) { return fmt::format("{}{:020}", kPrefix, generation); }
 
 std::optional<std::uint64_t> generation_of(std::string_view name) {
-  if (!name.starts_with(kPrefix) || name.size() != kPrefix.size() + 20) return std::nullopt;
+  if (!name.starts_with(kPrefix) || name.size() != kPrefix.size() + 20) {
+    return std::nullopt;
+  }
   std::uint64_t number = 0;
   for (const char digit : name.substr(kPrefix.size())) {
-    if (digit < '0' || digit > '9') return std::nullopt;
+    if (digit < '0' || digit > '9') {
+      return std::nullopt;
+    }
     number = number * 10 + static_cast<std::uint64_t>(digit - '0');
   }
   return number;
@@ -47,14 +51,24 @@
 
 // Why the bytes are no such generation; empty: they are.
 std::string fault_in(std::string_view bytes, std::uint64_t generation) {
-  if (bytes.size() < kHead + kSum) return "it is cut short";
-  if (!bytes.starts_with(kMagic)) return "it is no state of ours";
-  if (const std::uint64_t format = number_at(bytes, 8); format != kFormat)
+  if (bytes.size() < kHead + kSum) {
+    return "it is cut short";
+  }
+  if (!bytes.starts_with(kMagic)) {
+    return "it is no state of ours";
+  }
+  if (const std::uint64_t format = number_at(bytes, 8); format != kFormat) {
     return fmt::format("its format is {}, this program reads {}", format, kFormat);
-  if (number_at(bytes, 24) != bytes.size() - kHead - kSum) return "its length is not the one it states";
-  if (number_at(bytes, bytes.size() - kSum) != XXH3_64bits(bytes.data(), bytes.size() - kSum))
+  }
+  if (number_at(bytes, 24) != bytes.size() - kHead - kSum) {
+    return "its length is not the one it states";
+  }
+  if (number_at(bytes, bytes.size() - kSum) != XXH3_64bits(bytes.data(), bytes.size() - kSum)) {
     return "its sum is wrong";
-  if (number_at(bytes, 16) != generation) return "it is another generation under this name";
+  }
+  if (number_at(bytes, 16) != generation) {
+    return "it is another generation under this name";
+  }
   return "";
 }
 
@@ -62,12 +76,17 @@
 
 Loaded Store::load() {
   std::vector<std::uint64_t> generations;
-  for (const std::string& name : disk_.names())
-    if (const auto generation = generation_of(name)) generations.push_back(*generation);
+  for (const std::string& name : disk_.names()) {
+    if (const auto generation = generation_of(name)) {
+      generations.push_back(*generation);
+    }
+  }
   std::ranges::sort(generations, std::greater());
   Loaded loaded;
   // Damaged ones count, too: no number is ever given twice.
-  if (!generations.empty()) last_ = generations.front();
+  if (!generations.empty()) {
+    last_ = generations.front();
+  }
   for (const std::uint64_t generation : generations) {
     const std::string name = name_of(generation);
     std::string why;
@@ -88,7 +107,9 @@
 }
 
 std::uint64_t Store::save(std::string_view state) {
-  if (state.size() > kLongest) throw DiskFault("the state is too long to be kept");
+  if (state.size() > kLongest) {
+    throw DiskFault("the state is too long to be kept");
+  }
   const std::uint64_t generation = last_ + 1;
   std::string bytes(kMagic);
   put(bytes, kFormat);
@@ -105,8 +126,11 @@
   disk_.sync_folder();
   if (generation > kKept) {
     try {
-      for (const std::string& old : disk_.names())
-        if (const auto of = generation_of(old); of && *of <= generation - kKept) disk_.remove(old);
+      for (const std::string& old : disk_.names()) {
+        if (const auto of = generation_of(old); of && *of <= generation - kKept) {
+          disk_.remove(old);
+        }
+      }
     } catch (const DiskFault&) {
       // What can't be removed now is removed by a later save.
     }
--- a/src/snapshot/snapshot_store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -47,7 +47,7 @@
   void remove(const std::string& name) override;
 
  private:
-  std::string path(const std::string& name) const { return folder_ + "/" + name; }
+  [[nodiscard]] std::string path(const std::string& name) const { return folder_ + "/" + name; }
   std::string folder_;
 };
 
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -44,7 +44,9 @@
     std::unique_lock lock(mutex_);
     for (;;) {
       wake_.wait(lock, [this] { return next_ || stopping_; });
-      if (!next_) return;
+      if (!next_) {
+        return;
+      }
       const std::string state = *std::exchange(next_, std::nullopt);
       lock.unlock();
       std::string fault;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -22,18 +22,32 @@
     text.remove_prefix(std::min(text.size(), item.size() + 1));
     const auto [name, value] = postgres::name_and_value(item);
     const auto number = postgres::number(value);
-    if (!number) return;
-    if (name == "x0") read.position = *number * 1000;
-    if (name == "x1") read.role = *number > 0 ? Role::primary : Role::replica;
-    if (name == "x0" && !can_be(read.position, now)) return;
-    if (name == "x1" && *number != 0 && *number != 1) return;
-    if (name == "cpu" || name == "util") read.utilization = *number;
+    if (!number) {
+      return;
+    }
+    if (name == "x0") {
+      read.position = *number * 1000;
+    }
+    if (name == "x1") {
+      read.role = *number > 0 ? Role::primary : Role::replica;
+    }
+    if (name == "x0" && !can_be(read.position, now)) {
+      return;
+    }
+    if (name == "x1" && *number != 0 && *number != 1) {
+      return;
+    }
+    if (name == "cpu" || name == "util") {
+      read.utilization = *number;
+    }
   }
   sample = read;
 }
 
 AttemptOutcome ending_of_code(const std::string& code) {
-  if (code == "25006" || code == "72000") return AttemptOutcome::rejected_not_executed;
+  if (code == "25006" || code == "72000") {
+    return AttemptOutcome::rejected_not_executed;
+  }
   return code == "53300" ? AttemptOutcome::rejected_overloaded : AttemptOutcome::failed;
 }
 
@@ -101,28 +115,41 @@
 ConnectionPool::~ConnectionPool() = default;
 
 void ConnectionPool::learn(const net::EndpointList& list) {
-  if (list.kind == EndpointListKind::failed) return;
+  if (list.kind == EndpointListKind::failed) {
+    return;
+  }
   std::vector<Store*> changed;
-  if (list.kind == EndpointListKind::complete)
+  if (list.kind == EndpointListKind::complete) {
     for (auto& [id, store] : stores_) {
       store->state = ServerState::gone;
       changed.push_back(store.get());
     }
+  }
   for (const net::ListedEndpoint& listed : list.servers) {
     auto& store = stores_[listed.entry.id];
-    if (!store) store = std::make_unique<Store>();
+    if (!store) {
+      store = std::make_unique<Store>();
+    }
     store->id = listed.entry.id;
-    if (std::exchange(store->endpoint, listed.endpoint) != listed.endpoint) store->started_at = clock_.now();
+    if (std::exchange(store->endpoint, listed.endpoint) != listed.endpoint) {
+      store->started_at = clock_.now();
+    }
     store->state = listed.entry.state;
     store->started_at = std::max(store->started_at, listed.entry.started_at);
     changed.push_back(store.get());
   }
   for (Store* store : changed) {
-    for (Connection* connection : std::vector(store->idle))
-      if (outlived(*connection)) give_back(*connection);
+    for (Connection* connection : std::vector(store->idle)) {
+      if (outlived(*connection)) {
+        give_back(*connection);
+      }
+    }
     // The rule counts a send from its first byte, which these have not written.
-    if (store->state != ServerState::ready)
-      while (!store->waiting.empty()) end(take_first(*store), AttemptOutcome::not_sent);
+    if (store->state != ServerState::ready) {
+      while (!store->waiting.empty()) {
+        end(take_first(*store), AttemptOutcome::not_sent);
+      }
+    }
   }
 }
 
@@ -148,10 +175,16 @@
 // TestStores are given back here and nowhere else.
 void ConnectionPool::forget(const ServerId& member) {
   const auto found = stores_.find(member);
-  if (found == stores_.end()) return;
-  if (found->second->connections > 0)
-    for (const Connected& connection : std::list(connections_))
-      if (&connection->store == found->second.get()) give_back(*connection);
+  if (found == stores_.end()) {
+    return;
+  }
+  if (found->second->connections > 0) {
+    for (const Connected& connection : std::list(connections_)) {
+      if (&connection->store == found->second.get()) {
+        give_back(*connection);
+      }
+    }
+  }
   stores_.erase(found);
 }
 
@@ -167,8 +200,12 @@
 }
 
 void ConnectionPool::dispatch(Store& store) {
-  while (store.coming < store.waiting.size() && !store.idle.empty()) settle(*store.idle.back());
-  while (store.coming < store.waiting.size() && store.connections < open_) open(store);
+  while (store.coming < store.waiting.size() && !store.idle.empty()) {
+    settle(*store.idle.back());
+  }
+  while (store.coming < store.waiting.size() && store.connections < open_) {
+    open(store);
+  }
   count(store);
 }
 
@@ -188,19 +225,24 @@
 
 // Idle connections go first, up to the first figure; beyond the second all others too, whatever is on them.
 void ConnectionPool::shrink(Store& store) {
-  while (store.connections > open_ && !store.idle.empty()) give_back(*store.idle.front());
+  while (store.connections > open_ && !store.idle.empty()) {
+    give_back(*store.idle.front());
+  }
   while (store.connections > hold_) {
     const auto last = std::ranges::find_if(connections_.rbegin(), connections_.rend(),
                                            [&](const Connected& one) { return &one->store == &store; });
     Connection& connection = **last;
     const AttemptOutcome ending = connection.written ? AttemptOutcome::reset : AttemptOutcome::connect_failed;
-    if (std::unique_ptr<Work> work = give_back(connection)) end(std::move(work), ending);
+    if (std::unique_ptr<Work> work = give_back(connection)) {
+      end(std::move(work), ending);
+    }
   }
 }
 
 void ConnectionPool::open(Store& store) {
-  if (connections_.size() >= config_.store_connections() && !close_an_idle_one())
+  if (connections_.size() >= config_.store_connections() && !close_an_idle_one()) {
     return end(take_first(store), AttemptOutcome::connect_failed);
+  }
   const auto connection = std::make_shared<Connection>(io_, store, allowance_);
   connection->place = connections_.insert(connections_.end(), connection);
   connection->opened = clock_.now();
@@ -210,8 +252,12 @@
     opened_not(*connection, AttemptOutcome::connect_failed);
   });
   connection->socket.async_connect(store.endpoint, [this, connection](const asio::error_code& fault) {
-    if (connection->state == Connection::State::given_back) return;
-    if (fault) return opened_not(*connection, AttemptOutcome::connect_failed);
+    if (connection->state == Connection::State::given_back) {
+      return;
+    }
+    if (fault) {
+      return opened_not(*connection, AttemptOutcome::connect_failed);
+    }
     asio::error_code ignored;  // a store that is gone again is seen by the read
     connection->socket.set_option(Tcp::no_delay(true), ignored);
     connection->socket.non_blocking(true, ignored);
@@ -226,7 +272,9 @@
 void ConnectionPool::opened_not(Connection& connection, AttemptOutcome ending) {
   Store& store = connection.store;
   give_back(connection);
-  if (store.waiting.size() > store.coming) end(take_first(store), ending);
+  if (store.waiting.size() > store.coming) {
+    end(take_first(store), ending);
+  }
 }
 
 // Written at once as far as the system takes it, so that at every later moment it is known whether the
@@ -245,17 +293,25 @@
   asio::error_code fault;
   const std::size_t count = connection.socket.write_some(asio::buffer(connection.out), fault);
   connection.written = count == connection.out.size();
-  if (fault && fault != asio::error::would_block) return broken(connection);
-  if (!connection.written) write_rest(connection, count);
+  if (fault && fault != asio::error::would_block) {
+    return broken(connection);
+  }
+  if (!connection.written) {
+    write_rest(connection, count);
+  }
 }
 
 void ConnectionPool::write_rest(Connection& connection, std::size_t written) {
   const Work* of = connection.work.get();
   asio::async_write(connection.socket, asio::buffer(connection.out) + written,
                     [this, of, held = *connection.place](const asio::error_code& fault, std::size_t) {
-                      if (held->work.get() != of) return;
+                      if (held->work.get() != of) {
+                        return;
+                      }
                       held->written = !fault;
-                      if (fault) broken(*held);
+                      if (fault) {
+                        broken(*held);
+                      }
                     });
 }
 
@@ -268,20 +324,32 @@
   }
   connection->socket.async_read_some(asio::buffer(room.data(), room.size()),
                                      [this, connection](const asio::error_code& fault, std::size_t count) {
-                                       if (connection->state == Connection::State::given_back) return;
+                                       if (connection->state == Connection::State::given_back) {
+                                         return;
+                                       }
                                        connection->buffer.filled(count);
                                        for (;;) {
                                          const postgres::Read next =
                                              postgres::read_from_store(connection->buffer.held());
-                                         if (std::holds_alternative<postgres::Partial>(next)) break;
+                                         if (std::holds_alternative<postgres::Partial>(next)) {
+                                           break;
+                                         }
                                          const auto* message = std::get_if<postgres::Message>(&next);
                                          // Its bytes stay where they are until there is room for more.
-                                         if (message) connection->buffer.consume(message->bytes.size());
+                                         if (message) {
+                                           connection->buffer.consume(message->bytes.size());
+                                         }
                                          const bool fits = message && take(*connection, *message);
-                                         if (connection->state == Connection::State::given_back) return;
-                                         if (!fits) return spoilt(*connection);
+                                         if (connection->state == Connection::State::given_back) {
+                                           return;
+                                         }
+                                         if (!fits) {
+                                           return spoilt(*connection);
+                                         }
+                                       }
+                                       if (fault) {
+                                         return broken(*connection);
                                        }
-                                       if (fault) return broken(*connection);
                                        read(connection);
                                      });
 }
@@ -298,52 +366,69 @@
       return true;
     case 'S': {  // beside the answer: one that does not read takes nothing from it
       const auto parameter = postgres::read_parameter(message.body);
-      if (!work || !parameter) return true;
+      if (!work || !parameter) {
+        return true;
+      }
       const auto [name, value] = *parameter;
-      if (name == "rank")
+      if (name == "rank") {
         work->sample.role = value == "source" ? Role::primary
                             : value == "copy" ? Role::replica
                                               : Role::unknown;
+      }
       if (const auto position = postgres::number(value);
-          name == "as_of" && position && can_be(*position, clock_.now()))
+          name == "as_of" && position && can_be(*position, clock_.now())) {
         work->sample.position = *position;
-      if (name == "vitals") read_report(value, clock_.now(), work->sample);
+      }
+      if (name == "vitals") {
+        read_report(value, clock_.now(), work->sample);
+      }
       return true;
     }
     case 'E': {
       const auto fields = postgres::read_error(message.body);
-      if (!fields || connection.state == State::settling || (work && (work->complete || work->code)))
+      if (!fields || connection.state == State::settling || (work && (work->complete || work->code))) {
         return false;
+      }
       (work ? work->code : connection.code) = fields->code;
       return true;  // an idle store says why it ends the connection, which comes next
     }
     case 'T':
-      if (!work || work->code || work->described || !postgres::describes_one_column(message.body))
+      if (!work || work->code || work->described || !postgres::describes_one_column(message.body)) {
         return false;
+      }
       work->described = true;
       work->row += message.bytes;
       return true;
     case 'D': {
       const auto value = postgres::read_row(message.body);
-      if (!work || work->code || !work->described || work->has_row || !value) return false;
+      if (!work || work->code || !work->described || work->has_row || !value) {
+        return false;
+      }
       work->has_row = true;
-      if (!work->attempt) read_report(*value, clock_.now(), work->sample);
+      if (!work->attempt) {
+        read_report(*value, clock_.now(), work->sample);
+      }
       work->row += message.bytes;
       return true;
     }
     case 'C':
-      if (!work || work->code || !work->has_row || work->complete || !postgres::read_tag(message.body))
+      if (!work || work->code || !work->has_row || work->complete || !postgres::read_tag(message.body)) {
         return false;
+      }
       work->complete = true;
       work->row += message.bytes;
       return true;
     case 'Z':
-      if (message.body.size() != 1) return false;
+      if (message.body.size() != 1) {
+        return false;
+      }
       if (connection.state == State::opening || (connection.state == State::settling && connection.written)) {
         ready(connection);
         return true;
       }
-      if (!work || !connection.written || !(work->complete || work->code)) return false;
+      if (!work || !connection.written || !(work->complete || work->code)) {
+        return false;
+      }
       {
         std::unique_ptr<Work> done = std::move(connection.work);
         rest(connection);
@@ -363,7 +448,9 @@
 // been ended without a word.
 void ConnectionPool::settle(Connection& connection) {
   // Half a line that was left there: it would swallow the answer.
-  if (!connection.buffer.held().empty()) return void(give_back(connection));
+  if (!connection.buffer.held().empty()) {
+    return void(give_back(connection));
+  }
   stop_idling(connection);
   connection.state = Connection::State::settling;
   ++connection.store.coming;
@@ -373,7 +460,9 @@
   connection.limit = timers_.set(clock_.now() + config_.connect_timeout, [this, held] {
     held->limit.reset();
     // The store says nothing: its other connections would not, either.
-    for (Connection* idle : std::vector(held->store.idle)) give_back(*idle);
+    for (Connection* idle : std::vector(held->store.idle)) {
+      give_back(*idle);
+    }
     opened_not(*held, AttemptOutcome::connect_failed);
   });
   asio::async_write(connection.socket, asio::buffer(connection.out),
@@ -383,8 +472,9 @@
 // Guards against beginning what is late by now: a connection that took long to come up, or a process that was
 // put aside, where connections speak before timers are looked at.
 void ConnectionPool::end_overdue(Store& store) {
-  while (!store.waiting.empty() && store.waiting.front()->start_by < clock_.now())
+  while (!store.waiting.empty() && store.waiting.front()->start_by < clock_.now()) {
     end(take_first(store), AttemptOutcome::not_sent);
+  }
 }
 
 // The connection may take a send or a probe now.
@@ -393,7 +483,9 @@
   timers_.drop(connection.limit);
   Store& store = connection.store;
   end_overdue(store);
-  if (store.waiting.empty() || outlived(connection)) return rest(connection);
+  if (store.waiting.empty() || outlived(connection)) {
+    return rest(connection);
+  }
   begin(connection, take_first(store));
 }
 
@@ -403,7 +495,9 @@
   connection.store.idle.push_back(&connection);
   connection.idle_place = idle_.insert(idle_.end(), &connection);
   Store& store = connection.store;
-  if (outlived(connection) || (store.connections > open_ && store.waiting.empty())) give_back(connection);
+  if (outlived(connection) || (store.connections > open_ && store.waiting.empty())) {
+    give_back(connection);
+  }
   dispatch(store);
 }
 
@@ -418,8 +512,12 @@
   const bool written = connection.written;
   Store& store = connection.store;
   std::unique_ptr<Work> work = give_back(connection);
-  if (!work) return dispatch(store);
-  if (work->complete || work->code) return end(std::move(work));
+  if (!work) {
+    return dispatch(store);
+  }
+  if (work->complete || work->code) {
+    return end(std::move(work));
+  }
   end(std::move(work), written ? AttemptOutcome::reset : AttemptOutcome::connect_failed);
 }
 
@@ -427,7 +525,9 @@
 // there: it counts as an error, of which nothing else is believed. The connection is of no further use.
 void ConnectionPool::spoilt(Connection& connection) {
   log_.warn("stores", "answer unreadable", {{"member", connection.store.id.address}});
-  if (!connection.work || !connection.written) return broken(connection);
+  if (!connection.work || !connection.written) {
+    return broken(connection);
+  }
   std::unique_ptr<Work> work = give_back(connection);
   work->sample = {};
   work->spoilt = true;
@@ -435,23 +535,34 @@
 }
 
 void ConnectionPool::out_of_time(Work& late) {
-  if (late.on) return end(give_back(*late.on), AttemptOutcome::timed_out);
+  if (late.on) {
+    return end(give_back(*late.on), AttemptOutcome::timed_out);
+  }
   end(take_waiting(late), AttemptOutcome::not_sent);
 }
 
 void ConnectionPool::call_off(RequestId op, AttemptNumber number) {
   const auto found = sends_.find({op, number});
-  if (found == sends_.end()) return;
+  if (found == sends_.end()) {
+    return;
+  }
   Work& work = *found->second;
-  if (work.on) return end(give_back(*work.on), AttemptOutcome::cancelled);
+  if (work.on) {
+    return end(give_back(*work.on), AttemptOutcome::cancelled);
+  }
   end(take_waiting(work), AttemptOutcome::not_sent);
 }
 
 void ConnectionPool::forget(RequestId op) {
   std::vector<Work*> unwritten;
-  for (auto at = sends_.lower_bound({op, {}}); at != sends_.end() && at->first.first == op; ++at)
-    if (!at->second->on) unwritten.push_back(at->second);
-  for (Work* work : unwritten) end(take_waiting(*work), AttemptOutcome::not_sent);
+  for (auto at = sends_.lower_bound({op, {}}); at != sends_.end() && at->first.first == op; ++at) {
+    if (!at->second->on) {
+      unwritten.push_back(at->second);
+    }
+  }
+  for (Work* work : unwritten) {
+    end(take_waiting(*work), AttemptOutcome::not_sent);
+  }
 }
 
 std::unique_ptr<ConnectionPool::Work> ConnectionPool::take_first(Store& store) {
@@ -481,9 +592,10 @@
 void ConnectionPool::end(std::unique_ptr<Work> work, AttemptOutcome ending) {
   timers_.drop(work->limit);
   const Millis took = clock_.now() - work->from;
-  if (!work->attempt)
+  if (!work->attempt) {
     return probe_done_(
         {work->store->id, ending == AttemptOutcome::acknowledged || work->spoilt, took, work->sample});
+  }
   sends_.erase(*work->attempt);
   AttemptCompleted ended{work->attempt->first, work->attempt->second, work->store->id, ending, took, false,
                          work->sample};
@@ -492,9 +604,12 @@
 
 // Connections are given back here and nowhere else; what one had in hand is returned.
 std::unique_ptr<ConnectionPool::Work> ConnectionPool::give_back(Connection& connection) {
-  if (connection.state == Connection::State::opening || connection.state == Connection::State::settling)
+  if (connection.state == Connection::State::opening || connection.state == Connection::State::settling) {
     --connection.store.coming;
-  if (connection.state == Connection::State::idle) stop_idling(connection);
+  }
+  if (connection.state == Connection::State::idle) {
+    stop_idling(connection);
+  }
   connection.state = Connection::State::given_back;
   timers_.drop(connection.limit);
   asio::error_code ignored;
@@ -504,10 +619,13 @@
   connections_.erase(connection.place);
   // Where a limit holds sends back, one of them may have its turn now.
   if (--connection.store.connections < open_ && open_ != kAny &&
-      connection.store.waiting.size() > connection.store.coming)
+      connection.store.waiting.size() > connection.store.coming) {
     asio::post(io_, [this, id = connection.store.id] {
-      if (const auto found = stores_.find(id); found != stores_.end()) dispatch(*found->second);
+      if (const auto found = stores_.find(id); found != stores_.end()) {
+        dispatch(*found->second);
+      }
     });
+  }
   return work;
 }
 
@@ -517,7 +635,9 @@
 }
 
 bool ConnectionPool::close_an_idle_one() {
-  if (idle_.empty()) return false;
+  if (idle_.empty()) {
+    return false;
+  }
   give_back(*idle_.front());
   return true;
 }
@@ -527,13 +647,17 @@
 void ConnectionPool::sweep() {
   const Millis tenth = config_.connection_idle / 10;
   const Millis long_ago = clock_.now() - config_.connection_idle + 1.5 * tenth;
-  while (!idle_.empty() && idle_.front()->idle_since < long_ago) give_back(*idle_.front());
+  while (!idle_.empty() && idle_.front()->idle_since < long_ago) {
+    give_back(*idle_.front());
+  }
   sweep_ = timers_.set(clock_.now() + tenth / 2, [this] { sweep(); });
 }
 
 void ConnectionPool::stop() {
   timers_.drop(sweep_);
-  while (!connections_.empty()) give_back(*connections_.front());
+  while (!connections_.empty()) {
+    give_back(*connections_.front());
+  }
 }
 
 }  // namespace reedspindle::upstream
--- a/tests/arrivals.cpp
+++ b/tests/arrivals.cpp
@@ -10,7 +10,9 @@
 
 int failed = 0;
 void expect(const char* what, Millis got, Millis wanted) {
-  if (got == wanted) return;
+  if (got == wanted) {
+    return;
+  }
   std::cout << what << ": " << got << ", expected " << wanted << '\n';
   ++failed;
 }
@@ -18,8 +20,12 @@
 // One turn as the front's loop runs it: the marker is sent, callbacks run up to `until`, none is left where
 // it is drained.
 void turn(ArrivalBound& bound, Millis from, Millis until, bool drained) {
-  if (bound.marker_wanted()) bound.marker_sent(from);
-  if (!drained) return;
+  if (bound.marker_wanted()) {
+    bound.marker_sent(from);
+  }
+  if (!drained) {
+    return;
+  }
   bound.marker_returned();
   bound.none_ready(until);
 }
@@ -76,7 +82,9 @@
   Millis now = 1000;
   for (int number = 0; number < 50; ++number, now += 2) {
     turn(bound, now, now + 2, true);
-    if (number > 3) expect("short turns one after the other", bound.earliest(now + 2), now + 2);
+    if (number > 3) {
+      expect("short turns one after the other", bound.earliest(now + 2), now + 2);
+    }
   }
 }
 
--- a/tests/consistency_properties.cpp
+++ b/tests/consistency_properties.cpp
@@ -34,7 +34,9 @@
     options.pace = 200, options.grace = 600, options.silence = 1500, options.writes_for = 2500;
     fleet.compare(options);
     fleet.passes = [this](int from, int to) { return !cut.contains({from, to}); };
-    for (int front = 0; front < fronts; ++front) start(front);
+    for (int front = 0; front < fronts; ++front) {
+      start(front);
+    }
   }
   static membership::Options brisk() {
     membership::Options options;
@@ -60,7 +62,9 @@
   void run(Millis span) {
     for (Millis gone = 0; gone < span; gone += 100) {
       for (int front = 0; front < fleet.size(); ++front) {
-        if (!fleet.up(front) || mute.contains(front) || stopped.contains(front)) continue;
+        if (!fleet.up(front) || mute.contains(front) || stopped.contains(front)) {
+          continue;
+        }
         held[static_cast<std::size_t>(front)] = lists.size() - 1;
         fleet.confirm(front);
         tell(front);
@@ -72,15 +76,20 @@
   }
   void look() {
     for (int front = 0; front < fleet.size(); ++front) {
-      if (!fleet.up(front) || stopped.contains(front)) continue;
+      if (!fleet.up(front) || stopped.contains(front)) {
+        continue;
+      }
       const consistency::View view = fleet.consistency(front)->view();
       for (const std::uint32_t mark : view.doubted) {
         bool gone = false;
-        for (std::size_t later = held[static_cast<std::size_t>(front)] + 1; later < lists.size(); ++later)
+        for (std::size_t later = held[static_cast<std::size_t>(front)] + 1; later < lists.size(); ++later) {
           gone = gone || !lists[later].contains(mark);
+        }
         RC_ASSERT(gone);
       }
-      if (!view.allowed.writes) RC_ASSERT(fleet.now() - spoke[front] > options.writes_for);
+      if (!view.allowed.writes) {
+        RC_ASSERT(fleet.now() - spoke[front] > options.writes_for);
+      }
     }
   }
 
@@ -104,39 +113,65 @@
     world.run(2000);
     for (const Fault& fault : struck) {
       const std::string kind = kKinds[fault.kind];
-      const int front = fault.front, other = fault.other;
-      if (kind == "kill" && fleet.up(front)) fleet.kill(front), world.stopped.erase(front);
-      if (kind == "start" && !fleet.up(front)) world.start(front);
-      if (kind == "cut" || kind == "one way") world.cut.insert({front, other});
-      if (kind == "cut") world.cut.insert({other, front});
-      if (kind == "alone")
-        for (int each = 0; each < fronts; ++each)
+      const int front = fault.front;
+      const int other = fault.other;
+      if (kind == "kill" && fleet.up(front)) {
+        fleet.kill(front), world.stopped.erase(front);
+      }
+      if (kind == "start" && !fleet.up(front)) {
+        world.start(front);
+      }
+      if (kind == "cut" || kind == "one way") {
+        world.cut.insert({front, other});
+      }
+      if (kind == "cut") {
+        world.cut.insert({other, front});
+      }
+      if (kind == "alone") {
+        for (int each = 0; each < fronts; ++each) {
           world.cut.insert({front, each}), world.cut.insert({each, front});
-      if (kind == "heal") world.cut.clear();
-      if (kind == "mute") world.mute.insert(front);
-      if (kind == "speaks") world.mute.erase(front);
-      if (kind == "remove" || kind == "add")
+        }
+      }
+      if (kind == "heal") {
+        world.cut.clear();
+      }
+      if (kind == "mute") {
+        world.mute.insert(front);
+      }
+      if (kind == "speaks") {
+        world.mute.erase(front);
+      }
+      if (kind == "remove" || kind == "add") {
         world.change(kind == "add", static_cast<std::uint32_t>(1 + (front + other) % 8));
-      if (kind == "stop" && fleet.up(front)) fleet.stop(front), world.stopped.insert(front);
-      if (kind == "wake") fleet.wake(front), world.stopped.erase(front);
+      }
+      if (kind == "stop" && fleet.up(front)) {
+        fleet.stop(front), world.stopped.insert(front);
+      }
+      if (kind == "wake") {
+        fleet.wake(front), world.stopped.erase(front);
+      }
       world.run(fault.span);
     }
     world.cut.clear(), world.mute.clear(), world.stopped.clear();
     for (int front = 0; front < fronts; ++front) {
       fleet.wake(front);
-      if (!fleet.up(front)) world.start(front);
+      if (!fleet.up(front)) {
+        world.start(front);
+      }
     }
     world.run(20000);
     for (int front = 0; front < fronts; ++front) {
       const consistency::View view = fleet.consistency(front)->view();
       RC_ASSERT(view.allowed.writes && !view.cut_off && view.doubted.empty());
-      for (const consistency::Difference& difference : view.differences)
+      for (const consistency::Difference& difference : view.differences) {
         RC_ASSERT(difference.differ == 0 && difference.compared > 0);
+      }
     }
   });
   const bool careful =
       rc::check("a front that alone does not hear discovery hears from its fellows who leaves", [] {
-        const int fronts = *rc::gen::inRange(2, 8), deaf = *rc::gen::inRange(0, fronts);
+        const int fronts = *rc::gen::inRange(2, 8);
+        const int deaf = *rc::gen::inRange(0, fronts);
         World world(fronts, static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
         world.run(3000);
         world.mute.insert(deaf);
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -20,8 +20,11 @@
 
 const char* const kKindNames[] = {"clusters", "endpoints", "listeners", "routes"};
 Kind kind_of(const std::string& word) {
-  for (int kind = 0; kind < 4; ++kind)
-    if (word == kKindNames[kind]) return static_cast<Kind>(kind);
+  for (int kind = 0; kind < 4; ++kind) {
+    if (word == kKindNames[kind]) {
+      return static_cast<Kind>(kind);
+    }
+  }
   throw std::runtime_error("unknown kind " + word);
 }
 
@@ -46,7 +49,9 @@
     std::istringstream words(text);
     std::string word;
     words >> word;
-    if (word.empty() || word == "#") return;
+    if (word.empty() || word == "#") {
+      return;
+    }
     if (word == "at") {
       words >> now_;
       settle();
@@ -77,7 +82,8 @@
       words >> id.number;
       streams_->written(id);
     } else if (word == "restart") {  // another service, with what the store held, or without
-      std::string service = "b", with;
+      std::string service = "b";
+      std::string with;
       words >> service >> with;
       const std::string text = text_of(roster_->kept());
       last_.clear();
@@ -87,7 +93,9 @@
         router_->enqueue(roster_->read());
       }
     } else if (word == "reads-all") {
-      for (auto& [id, kinds] : last_) streams_->written(id);
+      for (auto& [id, kinds] : last_) {
+        streams_->written(id);
+      }
     } else {
       throw std::runtime_error("unknown line " + text);
     }
@@ -112,7 +120,8 @@
   // "list 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
   void list(std::istream& words) {
     RegistryUpdate list;
-    std::string text, part;
+    std::string text;
+    std::string part;
     words >> list.revision >> text;
     list.kind = text == "changes" ? EndpointListKind::changes : EndpointListKind::complete;
     while (words >> text) {
@@ -124,18 +133,23 @@
                            : part == "draining" ? ServerState::draining
                                                 : ServerState::gone;
       parts >> entry.listed.group.number;
-      if (std::string rest; std::getline(parts, rest, ':') && std::getline(parts, rest, ':'))
+      if (std::string rest; std::getline(parts, rest, ':') && std::getline(parts, rest, ':')) {
         entry.listed.started_at = std::stod(rest);
+      }
       entry.endpoint = entry.listed.id.address + ":1";
       list.members.push_back(entry);
     }
     const auto out = roster_->take(list, now_);
-    for (const ServerId& id : out) std::cout << "  out: " << id.address << '\n';
+    for (const ServerId& id : out) {
+      std::cout << "  out: " << id.address << '\n';
+    }
     const char* const doubts[] = {"", "empty", "loss", "older"};
-    if (roster_->doubt() != UpdateDoubt::none)
+    if (roster_->doubt() != UpdateDoubt::none) {
       std::cout << "  doubted: " << doubts[static_cast<int>(roster_->doubt())] << '\n';
-    if (!std::exchange(asked_, roster_->ask_at()) && roster_->ask_at())
+    }
+    if (!std::exchange(asked_, roster_->ask_at()) && roster_->ask_at()) {
       std::cout << "  asks for the whole list at " << *roster_->ask_at() << '\n';
+    }
     router_->enqueue(roster_->read());
   }
 
@@ -146,11 +160,17 @@
     const Form form = text == "whole" ? Form::whole : Form::changes;
     Abilities abilities;
     while (words >> text) {
-      if (text == "ttl") abilities.expiry = Expiry::time_to_live;
-      if (text == "stated") abilities.expiry = Expiry::stated;
+      if (text == "ttl") {
+        abilities.expiry = Expiry::time_to_live;
+      }
+      if (text == "stated") {
+        abilities.expiry = Expiry::stated;
+      }
       abilities.weighs |= text == "weighs", abilities.tokens |= text == "tokens";
     }
-    if (!streams_->open(id, form, abilities, now_)) std::cout << "  too many streams\n";
+    if (!streams_->open(id, form, abilities, now_)) {
+      std::cout << "  too many streams\n";
+    }
     last_[id];
     whole_[id] = form == Form::whole;
   }
@@ -173,7 +193,9 @@
         } else if (const auto sign = text.find('='); sign != std::string::npos) {
           heard.holds[text.substr(0, sign)] = text.substr(sign + 1);
         } else if (text.starts_with("x*")) {  // many names, or a long one
-          for (int i = 0; i < 20; ++i) heard.names.push_back(fmt::format("n{}", i));
+          for (int i = 0; i < 20; ++i) {
+            heard.names.push_back(fmt::format("n{}", i));
+          }
         } else {
           (word == "asks" ? heard.names : heard.no_more).push_back(text);
         }
@@ -182,7 +204,9 @@
     } else {
       heard.nonce = last.nonce;
       heard.version = last.version;
-      if (whole_[id]) heard.names = last.names;
+      if (whole_[id]) {
+        heard.names = last.names;
+      }
       if (word == "rejects") {
         std::getline(words >> std::ws, text);
         heard.turned_down = text;
@@ -192,12 +216,16 @@
   }
 
   void settle() {
-    for (const Decision& decision : router_->process(now_))
-      if (const auto* forget = std::get_if<ForgetServer>(&decision))
+    for (const Decision& decision : router_->process(now_)) {
+      if (const auto* forget = std::get_if<ForgetServer>(&decision)) {
         std::cout << "  forget " << forget->server.address << '\n';
+      }
+    }
     for (int turn = 0; turn < 2; ++turn) {  // once more where abilities have changed
       streams_->offer(offering_->make(router_->view(), *roster_, streams_->abilities(), now_));
-      for (const Act& act : streams_->settle(now_)) std::visit([this](const auto& a) { print(a); }, act);
+      for (const Act& act : streams_->settle(now_)) {
+        std::visit([this](const auto& a) { print(a); }, act);
+      }
     }
   }
 
@@ -209,32 +237,47 @@
                              write.urgent ? " urgent" : "");
     for (const Write::Item& item : write.items) {
       std::cout << "    " << item.resource->name;
-      if (item.time_to_live >= 0) std::cout << fmt::format(" ttl {}", item.time_to_live);
-      if (item.body)
+      if (item.time_to_live >= 0) {
+        std::cout << fmt::format(" ttl {}", item.time_to_live);
+      }
+      if (item.body) {
         std::visit([](const auto& body) { print(body); }, item.resource->body);
-      else
+      } else {
         std::cout << " as it is";
+      }
       std::cout << '\n';
     }
-    for (const std::string& name : write.removed) std::cout << "    " << name << " removed\n";
+    for (const std::string& name : write.removed) {
+      std::cout << "    " << name << " removed\n";
+    }
   }
   static void print(const Cluster& cluster) {
-    for (const std::string& other : cluster.others) std::cout << " > " << other;
+    for (const std::string& other : cluster.others) {
+      std::cout << " > " << other;
+    }
   }
   static void print(const Assignment& assignment) {
     for (const Endpoint& e : assignment.endpoints) {
       std::cout << fmt::format(" {}{}/{}", e.primary ? "*" : "", e.server.address, e.rank);
-      if (e.weight != 100) std::cout << fmt::format("x{}", e.weight);
-      if (e.standing != Standing::healthy)
+      if (e.weight != 100) {
+        std::cout << fmt::format("x{}", e.weight);
+      }
+      if (e.standing != Standing::healthy) {
         std::cout << (e.standing == Standing::draining ? " drains" : " out");
-      if (e.until >= 0) std::cout << fmt::format(" until {}", e.until);
-      if (e.position >= 0) std::cout << fmt::format(" at {}", e.position);
+      }
+      if (e.until >= 0) {
+        std::cout << fmt::format(" until {}", e.until);
+      }
+      if (e.position >= 0) {
+        std::cout << fmt::format(" at {}", e.position);
+      }
     }
   }
   static void print(const Listener& listener) { std::cout << " by " << listener.routes; }
   static void print(const Routes& routes) {
-    for (const Route& route : routes.routes)
+    for (const Route& route : routes.routes) {
       std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.request_class, route.cluster);
+    }
   }
   void print(const End& end) { std::cout << fmt::format("  {} ends: {}\n", end.stream.number, end.why); }
   void print(const Notice& notice) {
@@ -257,11 +300,13 @@
 };
 }  // namespace
 
-int main(int, char** argv) {
+int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
   Play play;
   for (std::string text; std::getline(file, text);) {
-    if (text.starts_with("  ")) continue;
+    if (text.starts_with("  ")) {
+      continue;
+    }
     std::cout << text << '\n';
     play.line(text);
   }
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -23,7 +23,9 @@
 constexpr int kGroups = 6, kMembers = 5;
 
 Settings settings(unsigned seed) {
-  const bool asked = seed % 3 == 1, cold = seed % 2 == 0, peers = seed % 4 != 3;
+  const bool asked = seed % 3 == 1;
+  const bool cold = seed % 2 == 0;
+  const bool peers = seed % 4 != 3;
   return {{"instances", peers ? 12.0 : 1.0},
           {"rank", 2.0},
           {"tick", kTick},
@@ -67,7 +69,7 @@
 class Sequence {
  public:
   Sequence(unsigned seed, bool prints)
-      : random_(seed * 2654435761u % 2147483646u + 1),
+      : random_(seed * 2654435761U % 2147483646U + 1),
         router_(make_router(settings(seed), seed)),
         digest_(prints) {
     for (int number = 0; number < kGroups * kMembers; ++number) {
@@ -89,8 +91,9 @@
       }
       digest_.comment(fmt::format("tick {}", tick));
       happen();
-      for (const Decision& decision : router_->process(now_))
+      for (const Decision& decision : router_->process(now_)) {
         std::visit([this](const auto& d) { take(d); }, decision);
+      }
     }
     return digest_.text();
   }
@@ -113,53 +116,78 @@
       op.session = fmt::format("s{}", draw(9));
       op.remaining =
           std::vector<Millis>{400, 500, 900, 3000}[static_cast<std::size_t>(op.request_class.number)];
-      if (op.request_class.number == 3 && chance(0.7)) op.token_age = draw(400);
+      if (op.request_class.number == 3 && chance(0.7)) {
+        op.token_age = draw(400);
+      }
       op.is_retry = chance(0.1);
       router_->enqueue(op);
-      if (chance(0.02)) due_.emplace(now_ + draw(200), RequestAbandoned{op.request});
+      if (chance(0.02)) {
+        due_.emplace(now_ + draw(200), RequestAbandoned{op.request});
+      }
+    }
+    if (chance(0.01)) {
+      change_list();
+    }
+    if (chance(0.02)) {
+      speak();
     }
-    if (chance(0.01)) change_list();
-    if (chance(0.02)) speak();
-    if (chance(0.003)) trouble_ = draw(3), trouble_from_ = draw(static_cast<int>(members_.size()));
-    if (chance(0.002))
+    if (chance(0.003)) {
+      trouble_ = draw(3), trouble_from_ = draw(static_cast<int>(members_.size()));
+    }
+    if (chance(0.002)) {
       router_->enqueue(FleetViewChanged{{0, 1, 3, draw(12)}, 0.5 + 0.1 * draw(6), !chance(0.1), true});
+    }
   }
   void change_list() {
     const int kind = draw(8);
-    if (kind == 0) return router_->enqueue(EndpointListReceived{EndpointListKind::failed, {}});
+    if (kind == 0) {
+      return router_->enqueue(EndpointListReceived{EndpointListKind::failed, {}});
+    }
     ServerEntry& entry = member();
     const ServerState states[] = {ServerState::ready, ServerState::draining, ServerState::gone,
                                   ServerState::ready};
     entry.state = states[draw(4)];
-    if (chance(0.4)) entry.started_at = now_ - draw(500);
+    if (chance(0.4)) {
+      entry.started_at = now_ - draw(500);
+    }
     digest_.comment(
         fmt::format("{} is {} since {}", entry.id.address, static_cast<int>(entry.state), entry.started_at));
-    if (kind > 1) return router_->enqueue(EndpointListReceived{EndpointListKind::changes, {entry}});
+    if (kind > 1) {
+      return router_->enqueue(EndpointListReceived{EndpointListKind::changes, {entry}});
+    }
     EndpointListReceived read{EndpointListKind::complete, {}};
-    for (const ServerEntry& one : members_)
-      if (one.state != ServerState::gone) read.servers.push_back(one);
+    for (const ServerEntry& one : members_) {
+      if (one.state != ServerState::gone) {
+        read.servers.push_back(one);
+      }
+    }
     router_->enqueue(read);
   }
   void speak() {
     std::vector<GossipedSample> samples;
     const int group = draw(kGroups);
-    for (const ServerEntry& one : members_)
-      if (one.group.number == group)
+    for (const ServerEntry& one : members_) {
+      if (one.group.number == group) {
         samples.push_back({mark_of(one.id), {chance(0.1) ? Role::unknown : role(one), now_ - lag(one), 0.4}});
+      }
+    }
     router_->enqueue(PeerMessageReceived{draw(12), text_of(now_ - draw(40), samples)});
   }
   static Role role(const ServerEntry& one) {
     return one.id.address.size() == 2 && one.id.address[1] < '6' ? Role::primary : Role::replica;
   }
-  bool troubled(const ServerId& id) const {
+  [[nodiscard]] bool troubled(const ServerId& id) const {
     return members_[static_cast<std::size_t>(trouble_from_)].id == id;
   }
   Millis lag(const ServerEntry& one) {
     return role(one) == Role::primary ? 0 : 5 + draw(troubled(one.id) ? 900 : 60);
   }
   const ServerEntry& of(const ServerId& id) {
-    for (const ServerEntry& one : members_)
-      if (one.id == id) return one;
+    for (const ServerEntry& one : members_) {
+      if (one.id == id) {
+        return one;
+      }
+    }
     return members_.front();
   }
 
@@ -175,7 +203,9 @@
       const AttemptOutcome bad[] = {AttemptOutcome::failed, AttemptOutcome::reset,
                                     AttemptOutcome::connect_failed};
       ended.outcome = bad[trouble_];
-      if (trouble_ == 0) took = std::min(send.timeout, 350.0), ended.outcome = AttemptOutcome::timed_out;
+      if (trouble_ == 0) {
+        took = std::min(send.timeout, 350.0), ended.outcome = AttemptOutcome::timed_out;
+      }
     } else if (chance(0.05)) {
       const AttemptOutcome ends[] = {AttemptOutcome::rejected_overloaded, AttemptOutcome::failed,
                                      AttemptOutcome::rejected_not_executed, AttemptOutcome::not_sent};
@@ -195,7 +225,7 @@
         ProbeCompleted{probe.server, answers, took, {role(to), now_ - lag(to), 0.2 + 0.1 * draw(8)}});
   }
   void take(const SetTimer& wake) { due_.emplace(wake.at, TimerExpired{wake.timer}); }
-  void take(const WatchEndpoints&) {
+  void take(const WatchEndpoints& /*unused*/) {
     digest_.add("watch");
     due_.emplace(now_ + 30, EndpointListReceived{
                                 chance(0.5) ? EndpointListKind::failed : EndpointListKind::changes, {}});
@@ -209,7 +239,7 @@
   void take(const FailRequest& d) { digest_.add(fmt::format("error {}", d.request.number)); }
   void take(const ForgetServer& d) { digest_.add("forget " + d.server.address); }
   void take(const BroadcastToPeers& d) { digest_.add("tell " + d.text); }
-  void take(const LogMessage&) {}
+  void take(const LogMessage& /*unused*/) {}
 
   std::minstd_rand random_;
   std::unique_ptr<Router> router_;
@@ -228,6 +258,7 @@
 int main(int count, char** words) {
   const unsigned number = count > 1 ? static_cast<unsigned>(std::stoul(words[1])) : 12;
   const bool prints = count > 2;
-  for (unsigned seed = prints ? number : 1; seed <= number; ++seed)
+  for (unsigned seed = prints ? number : 1; seed <= number; ++seed) {
     std::cout << seed << ' ' << Sequence(seed, prints).play() << '\n';
+  }
 }
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -39,7 +39,9 @@
   int place() { return draws_.one_in(9) ? draws_.below(70000) : draws_.below(30); }
   std::string name() {
     std::string name = fmt::format("front-{}", draws_.below(100));
-    if (draws_.one_in(10)) name += std::string(static_cast<std::size_t>(draws_.below(40)), 'x');
+    if (draws_.one_in(10)) {
+      name += std::string(static_cast<std::size_t>(draws_.below(40)), 'x');
+    }
     return name;
   }
 
@@ -49,21 +51,24 @@
     message.number = number(2000000000);
     message.name = name();
     message.place = {place()};
-    message.incarnation = {1767225600000u + number(100000)};
-    message.born = 1767225600000u + number(100000);
+    message.incarnation = {1767225600000U + number(100000)};
+    message.born = 1767225600000U + number(100000);
     message.leaving = draws_.one_in(4);
     message.answer = draws_.one_in(4);
     message.about = {place()};
     message.range = {draws_.below(4), number(4096)};
-    if (message.kind == membership::Kind::digest)
-      for (int part = 0; part < membership::kFan; ++part) message.sums.push_back(number(2000000000));
+    if (message.kind == membership::Kind::digest) {
+      for (int part = 0; part < membership::kFan; ++part) {
+        message.sums.push_back(number(2000000000));
+      }
+    }
     const int words = draws_.below(12);
     for (int word = 0; word < words; ++word) {
       membership::Word one;
       one.name = name();
       one.place = {place()};
       one.standing = static_cast<membership::Standing>(draws_.below(4));
-      one.incarnation = {1767225600000u + number(100000)};
+      one.incarnation = {1767225600000U + number(100000)};
       one.by = {draws_.between(-1, 20)};
       message.words.push_back(one);
     }
@@ -96,11 +101,15 @@
     message.kind = static_cast<consistency::Kind>(draws_.below(4));
     message.number = number(2000000000);
     message.place = {place()};
-    for (std::uint32_t& sum : message.account.sums) sum = number(2000000000);
+    for (std::uint32_t& sum : message.account.sums) {
+      sum = number(2000000000);
+    }
     message.account.revision = number(1000000);
     message.word_age = draws_.one_in(2) ? -1 : draws_.below(90000);
     const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
-    for (int mark = 0; mark < marks; ++mark) message.marks.push_back(number(1 << 24));
+    for (int mark = 0; mark < marks; ++mark) {
+      message.marks.push_back(number(1 << 24));
+    }
     return consistency::bytes_of(message);
   }
 
@@ -125,23 +134,34 @@
     digest_.add(fmt::format("for {} {} {}", membership::is_membership_message(bytes),
                             quota::is_quota_message(bytes), consistency::is_consistency_message(bytes)));
     const auto fellow = read_by(membership::message_in, bytes);
-    if (fellow) add(*fellow);
+    if (fellow) {
+      add(*fellow);
+    }
     const auto share = read_by(quota::message_in, bytes);
-    if (share) add(*share);
+    if (share) {
+      add(*share);
+    }
     const auto question = read_by(quota::question_in, bytes);
-    if (question) digest_.add(fmt::format("question {}", *question));
+    if (question) {
+      digest_.add(fmt::format("question {}", *question));
+    }
     const auto account = read_by(consistency::message_in, bytes);
-    if (account) add(*account);
+    if (account) {
+      add(*account);
+    }
   }
   void add(const membership::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {} {} {}/{}", static_cast<int>(message.kind),
                             message.number, message.name, message.place.number, message.incarnation.number,
                             message.born, message.leaving, message.answer, message.about.number,
                             message.range.depth, message.range.prefix));
-    for (const std::uint32_t sum : message.sums) digest_.add(fmt::format("sum {}", sum));
-    for (const membership::Word& word : message.words)
+    for (const std::uint32_t sum : message.sums) {
+      digest_.add(fmt::format("sum {}", sum));
+    }
+    for (const membership::Word& word : message.words) {
       digest_.add(fmt::format("word {} {} {} {} {}", word.name, word.place.number,
                               static_cast<int>(word.standing), word.incarnation.number, word.by.number));
+    }
   }
   void add(const quota::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {}{}{}{}{} {} {} {} {:.3f}", static_cast<int>(message.kind),
@@ -153,7 +173,9 @@
     digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
                             message.place.number, message.account.sums[0], message.account.sums[1],
                             message.account.sums[2], message.account.revision, message.word_age));
-    for (const std::uint32_t mark : message.marks) digest_.add(fmt::format("mark {}", mark));
+    for (const std::uint32_t mark : message.marks) {
+      digest_.add(fmt::format("mark {}", mark));
+    }
   }
 
   void samples() {
@@ -175,11 +197,14 @@
     add(decode_samples(mutated, now + draws_.below(100)));
   }
   void add(const std::optional<SampleGossip>& read) {
-    if (!read) return digest_.add("no samples");
+    if (!read) {
+      return digest_.add("no samples");
+    }
     digest_.add(fmt::format("samples of {:.3f}", read->then));
-    for (const GossipedSample& one : read->samples)
+    for (const GossipedSample& one : read->samples) {
       digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.sample.role),
                               one.sample.position, one.sample.utilization));
+    }
   }
 
   digests::Draws draws_;
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -18,8 +18,11 @@
       const int front = draws.below(kFronts);
       const int other = draws.below(kFronts);
       std::set<int> others;
-      for (int number = 0; number < kFronts; ++number)
-        if (number != front && draws.one_in(2)) others.insert(number);
+      for (int number = 0; number < kFronts; ++number) {
+        if (number != front && draws.one_in(2)) {
+          others.insert(number);
+        }
+      }
       digest.add(fmt::format("group {} {} {} {} {}", group, front, other, precedes({group}, front, other),
                              turn_of({group}, front, others, 2)));
     }
@@ -51,10 +54,14 @@
     ListHeld& held = lists_[static_cast<std::size_t>(front)];
     std::vector<ServerEntry> members;
     const int count = draws.below(4);
-    for (int number = 0; number < count; ++number) members.push_back(member());
+    for (int number = 0; number < count; ++number) {
+      members.push_back(member());
+    }
     const EndpointListKind kind = static_cast<EndpointListKind>(draws.one_in(4) ? draws.below(4) : 0);
     const bool behind = draws.one_in(5);
-    if (!behind) ++revision_;
+    if (!behind) {
+      ++revision_;
+    }
     held.learn(kind, revision_, members);
     Acts acts;
     for (const auto& [mark, entry] : held.ready()) {
@@ -69,8 +76,11 @@
       views.push_back(view);
     }
     std::set<SlotId> there;
-    for (int other = 0; other < kFronts; ++other)
-      if (at(other).core) there.insert({other});
+    for (int other = 0; other < kFronts; ++other) {
+      if (at(other).core) {
+        there.insert({other});
+      }
+    }
     acts.account.sums = {held.sum(), sum_of_primaries(views), sum_of_view(there, {front})};
     acts.account.revision = held.revision();
     digest.add(fmt::format("{} {} acts on {} {} {} {}", now, front, acts.account.sums[0],
@@ -81,8 +91,11 @@
     const int kind = draws.below(12);
     if (kind < 2) {
       PeersChanged fellows;
-      for (int other = 0; other < kFronts; ++other)
-        if (other != front && (at(other).core || draws.one_in(10))) fellows.there.insert({other});
+      for (int other = 0; other < kFronts; ++other) {
+        if (other != front && (at(other).core || draws.one_in(10))) {
+          fellows.there.insert({other});
+        }
+      }
       fellows.counted = kFronts - draws.below(2);
       at(front).core->enqueue(fellows);
     } else if (kind < 5) {
@@ -101,20 +114,24 @@
     message.kind = static_cast<Kind>(draws.below(4));
     message.number = static_cast<std::uint32_t>(draws.below(300));
     message.place = {draws.below(kFronts + 1)};
-    for (std::uint32_t& sum : message.account.sums) sum = static_cast<std::uint32_t>(draws.below(50));
+    for (std::uint32_t& sum : message.account.sums) {
+      sum = static_cast<std::uint32_t>(draws.below(50));
+    }
     message.account.revision = static_cast<std::uint64_t>(draws.below(300));
     message.word_age = draws.below(5000) - 1000;
     const int marks = message.kind == Kind::checks || message.kind == Kind::leave ? draws.below(6) : 0;
-    for (int number = 0; number < marks; ++number)
+    for (int number = 0; number < marks; ++number) {
       message.marks.push_back(static_cast<std::uint32_t>(draws.below(1 << 24)));
+    }
     const std::string bytes = bytes_of(message);
     digest.add(fmt::format("to {} drawn {}", front, digests::hex(bytes)));
     return bytes;
   }
   void read(const std::string& bytes) override { message_in(bytes); }
   void take(int front) override {
-    for (const auto& decision : at(front).core->process(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front))) {
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
+    }
   }
   void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
   void take(int front, const RequestWakeup& wanted) {
@@ -134,15 +151,18 @@
   }
   void take(int front, const Doubted& doubted) {
     digest.add(fmt::format("{} {} doubts {}", now, front, doubted.marks.size()));
-    for (const std::uint32_t mark : doubted.marks) digest.add(fmt::format("doubts {}", mark));
+    for (const std::uint32_t mark : doubted.marks) {
+      digest.add(fmt::format("doubts {}", mark));
+    }
   }
   void show(int front) override {
     const View view = at(front).core->view();
     digest.add(fmt::format("{} view {:.3f} {} {} {} {} {}", front, view.contact, view.cut_off,
                            view.allowed.writes, view.allowed.reads, view.doubted.size(), view.dropped));
-    for (const Difference& one : view.differences)
+    for (const Difference& one : view.differences) {
       digest.add(fmt::format("differ {} {} {:.3f} {} {}", one.differ, one.compared, one.since,
                              one.first.number, one.behind));
+    }
   }
 
   const bool odd_;
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -28,15 +28,25 @@
     for (int turn = 0; turn < kTurns; ++turn) {
       now_ += draws_.below(draws_.one_in(100) ? 20000 : 400);
       digest_.comment(fmt::format("turn {} at {}", turn, now_));
-      if (draws_.one_in(4)) members_.list(now_);
-      if (draws_.one_in(400)) restart();
+      if (draws_.one_in(4)) {
+        members_.list(now_);
+      }
+      if (draws_.one_in(400)) {
+        restart();
+      }
       const int events = draws_.below(4);
-      for (int event = 0; event < events; ++event) stream_event();
+      for (int event = 0; event < events; ++event) {
+        stream_event();
+      }
       const std::set<Abilities> wanted = streams_->abilities();
       const auto offers = offering_->make(members_.views(now_), members_.roster(), wanted, now_);
-      for (const auto& [abilities, offer] : offers) add(abilities, *offer);
+      for (const auto& [abilities, offer] : offers) {
+        add(abilities, *offer);
+      }
       streams_->offer(offers);
-      for (const Act& act : streams_->settle(now_)) std::visit([this](const auto& one) { add(one); }, act);
+      for (const Act& act : streams_->settle(now_)) {
+        std::visit([this](const auto& one) { add(one); }, act);
+      }
       digest_.add(fmt::format("due {:.3f} of {} {}", streams_->due(), streams_->size(), offering_->ready()));
     }
     members_.add();
@@ -73,7 +83,9 @@
     const std::string text = text_of(members_.roster().kept());
     ++epoch_;
     start();
-    if (!draws_.one_in(4)) members_.restore(text);
+    if (!draws_.one_in(4)) {
+      members_.restore(text);
+    }
   }
 
   std::string name() {
@@ -81,17 +93,26 @@
     const int kind = draws_.below(6);
     const int group = draws_.below(kGroups + 1);
     const int type = draws_.below(4);
-    if (kind == 0) return kRoutes;
-    if (kind == 1) return "*";
-    if (kind == 2) return fmt::format("absent-{}", group);
-    if (!seen_.empty() && kind < 5)
+    if (kind == 0) {
+      return kRoutes;
+    }
+    if (kind == 1) {
+      return "*";
+    }
+    if (kind == 2) {
+      return fmt::format("absent-{}", group);
+    }
+    if (!seen_.empty() && kind < 5) {
       return seen_[static_cast<std::size_t>(draws_.below(static_cast<int>(seen_.size())))];
+    }
     return draws_.one_in(60) ? std::string(50, 'x') : fmt::format("{}-{}", types[type], group);
   }
   void stream_event() {
     const StreamId id{static_cast<std::uint64_t>(draws_.between(1, kStreams))};
     const auto found = asked_.find(id);
-    if (found == asked_.end()) return open(id);
+    if (found == asked_.end()) {
+      return open(id);
+    }
     const int kind = draws_.below(40);
     if (kind == 0) {
       streams_->close(id);
@@ -113,19 +134,25 @@
     const Form form = static_cast<Form>(draws_.below(2));
     const bool opened = streams_->open(id, form, abilities, now_);
     digest_.add(fmt::format("open {} {} {}", id.number, static_cast<int>(form), opened));
-    if (!opened) return;
+    if (!opened) {
+      return;
+    }
     asked_[id] = Asked{form, {}, {}, {}};
   }
   void ask(StreamId id, Asked& asked) {
     SubscriptionRequest heard;
     heard.kind = static_cast<Kind>(draws_.below(static_cast<int>(kKinds)));
     const int names = draws_.below(5);
-    for (int number = 0; number < names; ++number) heard.names.push_back(name());
+    for (int number = 0; number < names; ++number) {
+      heard.names.push_back(name());
+    }
     if (asked.form == Form::whole) {
       asked.names[heard.kind] = heard.names;
       heard.version = asked.version[heard.kind];
     } else {
-      if (draws_.one_in(4)) heard.no_more.push_back(name());
+      if (draws_.one_in(4)) {
+        heard.no_more.push_back(name());
+      }
       if (draws_.one_in(6)) {
         const std::string held = name();
         heard.holds[held] = text_of(version());
@@ -145,15 +172,25 @@
     return version;
   }
   void answer(StreamId id, Asked& asked) {
-    if (asked.unanswered.empty()) return;
+    if (asked.unanswered.empty()) {
+      return;
+    }
     SubscriptionRequest heard;
     heard.kind = asked.unanswered.front().first;
     heard.nonce = asked.unanswered.front().second;
-    if (!draws_.one_in(12)) asked.unanswered.pop_front();
-    if (asked.form == Form::whole) heard.names = asked.names[heard.kind];
+    if (!draws_.one_in(12)) {
+      asked.unanswered.pop_front();
+    }
+    if (asked.form == Form::whole) {
+      heard.names = asked.names[heard.kind];
+    }
     heard.version = asked.version[heard.kind];
-    if (draws_.one_in(12)) heard.turned_down = "no";
-    if (draws_.one_in(30)) heard.nonce = "n0";
+    if (draws_.one_in(12)) {
+      heard.turned_down = "no";
+    }
+    if (draws_.one_in(30)) {
+      heard.nonce = "n0";
+    }
     streams_->hear(id, heard, now_);
   }
 
@@ -161,12 +198,18 @@
     digest_.add(fmt::format("offer {} {} {} {}: {} {} {}", static_cast<int>(abilities.expiry),
                             abilities.weighs, abilities.tokens, abilities.elder, offer.ready, offer.revision,
                             offer.withheld.size()));
-    for (const std::string& withheld : offer.withheld) digest_.add("withheld " + withheld);
+    for (const std::string& withheld : offer.withheld) {
+      digest_.add("withheld " + withheld);
+    }
     for (std::size_t kind = 0; kind < kKinds; ++kind) {
       digest_.add(fmt::format("kind {} {}", kind, offer.versions[kind]));
       for (const auto& [name, held] : offer.resources[kind]) {
-        if (!known_.insert({epoch_, held->version}).second) continue;
-        if (seen_.size() < 40 && std::ranges::find(seen_, name) == seen_.end()) seen_.push_back(name);
+        if (!known_.insert({epoch_, held->version}).second) {
+          continue;
+        }
+        if (seen_.size() < 40 && std::ranges::find(seen_, name) == seen_.end()) {
+          seen_.push_back(name);
+        }
         digest_.add(fmt::format("{} {} {} {} {:.3f} {:.3f}", name, held->version, held->revoked,
                                 held->revision, held->made, held->until));
         std::visit([this](const auto& body) { add(body); }, held->body);
@@ -175,27 +218,34 @@
   }
   void add(const Cluster& cluster) {
     digest_.add(fmt::format("of {}", cluster.group.number));
-    for (const std::string& other : cluster.others) digest_.add("then " + other);
+    for (const std::string& other : cluster.others) {
+      digest_.add("then " + other);
+    }
   }
   void add(const Assignment& assignment) {
-    for (const Endpoint& one : assignment.endpoints)
+    for (const Endpoint& one : assignment.endpoints) {
       digest_.add(fmt::format("{} {} {} {} {} {} {} {} {:.3f} {:.3f}", one.server.address, one.address,
                               one.zone, static_cast<int>(one.standing), static_cast<int>(one.unavailability),
                               one.primary, one.rank, one.weight, one.position, one.until));
+    }
   }
   void add(const Listener& listener) { digest_.add("by " + listener.routes); }
   void add(const Routes& routes) {
     digest_.add(fmt::format("elder {}", routes.elder));
-    for (const Route& one : routes.routes)
+    for (const Route& one : routes.routes) {
       digest_.add(fmt::format("{} {} to {}", one.group.number, one.request_class, one.cluster));
+    }
   }
   void add(const Write& write) {
     digest_.add(fmt::format("write {} {} {} {} {}", write.stream.number, static_cast<int>(write.kind),
                             write.nonce, write.version, write.urgent));
-    for (const Write::Item& item : write.items)
+    for (const Write::Item& item : write.items) {
       digest_.add(fmt::format("item {} {} {:.3f} {}", item.resource->name, item.resource->version,
                               item.time_to_live, item.body));
-    for (const std::string& name : write.removed) digest_.add("removed " + name);
+    }
+    for (const std::string& name : write.removed) {
+      digest_.add("removed " + name);
+    }
     Asked& asked = asked_[write.stream];
     asked.version[write.kind] = write.version;
     asked.unanswered.emplace_back(write.kind, write.nonce);
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -29,9 +29,12 @@
     for (int step = 0; step < kSteps; ++step) {
       now_ += draws_.below(60);
       call_event();
-      for (const PollDecision& decision : poller_.settle(now_))
+      for (const PollDecision& decision : poller_.settle(now_)) {
         std::visit([this](const auto& one) { add(one); }, decision);
-      if (step % 50 == 0) digest_.add(fmt::format("{} {}", poller_.calling(), poller_.revision()));
+      }
+      if (step % 50 == 0) {
+        digest_.add(fmt::format("{} {}", poller_.calling(), poller_.revision()));
+      }
     }
     for (int list = 0; list < kLists; ++list) {
       if (draws_.one_in(2)) {
@@ -57,7 +60,9 @@
     } else if (poller_.calling() && kind < 60) {
       poller_.note(BytesCame{static_cast<std::size_t>(draws_.below(40000))});
     } else if (poller_.calling() && kind < 90) {
-      if (draws_.one_in(3)) ++revision_;
+      if (draws_.one_in(3)) {
+        ++revision_;
+      }
       poller_.note(AnswerWhole{});
       handing_on_ = true;
     } else if (handing_on_ && kind < 200) {
@@ -72,7 +77,7 @@
   void add(const Call& call) {
     digest_.add(fmt::format("{} call {} {:.3f}", now_, call.since.value_or(-1), call.wait));
   }
-  void add(const GiveUpCall&) { digest_.add(fmt::format("{} give up", now_)); }
+  void add(const GiveUpCall& /*unused*/) { digest_.add(fmt::format("{} give up", now_)); }
   void add(const TellFailure& failure) {
     digest_.add(fmt::format("{} failed {} {:.3f}", now_, failure.in_a_row, failure.next_in));
   }
@@ -85,12 +90,24 @@
     std::string row =
         fmt::format(R"({{"uid": "s{}", "endpoint": "10.0.0.{}:{}", "pod_group": {}, "state": "{}")", number,
                     number, 6000 + number, number % 4, states[state]);
-    if (draws_.one_in(2)) row += fmt::format(R"(, "az": "z{}")", number % 3);
-    if (draws_.one_in(2)) row += fmt::format(R"(, "model": "{}")", number % 2 == 0 ? "small" : "large");
-    if (draws_.one_in(3)) row += fmt::format(R"(, "capacity_hint": {}.5)", draws_.below(4));
-    if (draws_.one_in(3)) row += fmt::format(R"(, "boot_ms": {})", 1767225600000 + draws_.below(100000));
-    if (draws_.one_in(3)) row += fmt::format(R"(, "rank": "{}")", draws_.one_in(2) ? "source" : "copy");
-    if (draws_.one_in(6)) row += R"(, "more": {"deep": [1, {"uid": null}, "\u00e9"]})";
+    if (draws_.one_in(2)) {
+      row += fmt::format(R"(, "az": "z{}")", number % 3);
+    }
+    if (draws_.one_in(2)) {
+      row += fmt::format(R"(, "model": "{}")", number % 2 == 0 ? "small" : "large");
+    }
+    if (draws_.one_in(3)) {
+      row += fmt::format(R"(, "capacity_hint": {}.5)", draws_.below(4));
+    }
+    if (draws_.one_in(3)) {
+      row += fmt::format(R"(, "boot_ms": {})", 1767225600000 + draws_.below(100000));
+    }
+    if (draws_.one_in(3)) {
+      row += fmt::format(R"(, "rank": "{}")", draws_.one_in(2) ? "source" : "copy");
+    }
+    if (draws_.one_in(6)) {
+      row += R"(, "more": {"deep": [1, {"uid": null}, "\u00e9"]})";
+    }
     return row + "}";
   }
   std::string drawn_list() {
@@ -100,13 +117,21 @@
     std::string rows;
     const int count = draws_.below(8);
     for (int row = 0; row < count; ++row) {
-      if (row > 0) rows += ", ";
+      if (row > 0) {
+        rows += ", ";
+      }
       rows += drawn_row();
     }
     const std::string targets = fmt::format(R"("targets": [{}])", rows);
-    if (draws_.one_in(8)) return "{" + targets + ", " + head + "}";
-    if (draws_.one_in(12)) return "{" + targets + "}";
-    if (draws_.one_in(8)) head += R"(, "note": [[], {}, null, true, -1.5e3])";
+    if (draws_.one_in(8)) {
+      return "{" + targets + ", " + head + "}";
+    }
+    if (draws_.one_in(12)) {
+      return "{" + targets + "}";
+    }
+    if (draws_.one_in(8)) {
+      head += R"(, "note": [[], {}, null, true, -1.5e3])";
+    }
     return "{" + head + ", " + targets + "}";
   }
   static std::string text_of(const ListedEndpoint& one) {
@@ -123,7 +148,9 @@
         digest_.add(fmt::format("row {} {}: {}", head.revision.value_or(-1),
                                 head.whole ? static_cast<int>(*head.whole) : -1, text_of(row)));
         const auto counts = table_.take(std::move(row));
-        if (counts) digest_.add("at once " + text_of(*counts));
+        if (counts) {
+          digest_.add("at once " + text_of(*counts));
+        }
       });
       std::size_t at = 0;
       while (at < text.size()) {
@@ -139,9 +166,13 @@
     }
     while (table_.has_parts()) {
       const auto rows = static_cast<std::size_t>(draws_.between(1, 5));
-      for (const ListedEndpoint& one : table_.next_part(rows)) digest_.add("part " + text_of(one));
+      for (const ListedEndpoint& one : table_.next_part(rows)) {
+        digest_.add("part " + text_of(one));
+      }
       digest_.add("part ends");
-      if (draws_.one_in(6)) break;
+      if (draws_.one_in(6)) {
+        break;
+      }
     }
     digest_.add(fmt::format("table {} {}", table_.size(), table_.left_out()));
     try {
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -18,11 +18,15 @@
   std::unique_ptr<Membership> make(int front) override {
     Options charge;
     charge.name = fmt::format("n{}", front);
-    if (draws.one_in(10)) charge.name = fmt::format("n{}", draws.below(kFronts));
+    if (draws.one_in(10)) {
+      charge.name = fmt::format("n{}", draws.below(kFronts));
+    }
     charge.place = {front};
     charge.places = kFronts + (odd_ ? 2 : 0);
     charge.forget = odd_ ? 20000 : 60000;
-    if (odd_) charge.pace = 300;
+    if (odd_) {
+      charge.pace = 300;
+    }
     return make_membership(charge, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
@@ -50,8 +54,9 @@
     message.answer = draws.one_in(2);
     message.about = {draws.below(kFronts)};
     if (message.kind == Kind::digest) {
-      for (int part = 0; part < kFan; ++part)
+      for (int part = 0; part < kFan; ++part) {
         message.sums.push_back(static_cast<std::uint32_t>(draws.below(5000)));
+      }
     }
     const int words = draws.below(4);
     for (int number = 0; number < words; ++number) {
@@ -70,8 +75,9 @@
   }
   void read(const std::string& bytes) override { message_in(bytes); }
   void take(int front) override {
-    for (const auto& decision : at(front).core->process(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front))) {
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
+    }
   }
   void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
   void take(int front, const RequestWakeup& wanted) {
@@ -91,10 +97,13 @@
     digest.add(fmt::format("{} view {} {} {} {} dropped {} {} {} {}", front, view.version,
                            view.incarnation.number, view.health, view.yielded, view.dropped.unread,
                            view.dropped.strange, view.dropped.flood, view.dropped.late));
-    for (const PeerView& fellow : view.fellows)
+    for (const PeerView& fellow : view.fellows) {
       digest.add(fmt::format("{} {} {} {} {:.3f}", fellow.name, fellow.place.number,
                              static_cast<int>(fellow.standing), fellow.incarnation.number, fellow.since));
-    for (const SlotId& place : there_in(view)) digest.add(fmt::format("there {}", place.number));
+    }
+    for (const SlotId& place : there_in(view)) {
+      digest.add(fmt::format("there {}", place.number));
+    }
   }
 
   const bool odd_;
--- a/tests/digests/postgres.cpp
+++ b/tests/digests/postgres.cpp
@@ -22,8 +22,12 @@
   Sequence(unsigned seed, bool prints) : draws_(seed), digest_(prints) {}
   std::string play() {
     fixed();
-    for (int number = 0; number < kMessages; ++number) message();
-    for (int number = 0; number < kStatements; ++number) statement();
+    for (int number = 0; number < kMessages; ++number) {
+      message();
+    }
+    for (int number = 0; number < kStatements; ++number) {
+      statement();
+    }
     replies();
     arrivals();
     return digest_.text();
@@ -34,7 +38,7 @@
     digest_.add(digests::hex(postgres::startup("router", "records")));
     digest_.add(digests::hex(postgres::query("SELECT 1")));
     digest_.add(digests::hex(postgres::welcome()));
-    digest_.add(digests::hex(postgres::welcome({7, 4000000000u})));
+    digest_.add(digests::hex(postgres::welcome({7, 4000000000U})));
     digest_.add(digests::hex(postgres::ready()));
     digest_.add(digests::hex(postgres::empty_answer()));
     digest_.add(digests::hex(postgres::completed("INSERT 0 1")));
@@ -43,7 +47,9 @@
   }
   std::string big_endian(int number, int bytes) {
     std::string text;
-    for (int i = bytes - 1; i >= 0; --i) text += static_cast<char>(number >> (8 * i) & 0xff);
+    for (int i = bytes - 1; i >= 0; --i) {
+      text += static_cast<char>(number >> (8 * i) & 0xff);
+    }
     return text;
   }
   std::string framed(char type, const std::string& body) {
@@ -83,16 +89,24 @@
   }
   void message() {
     std::string held = drawn_message();
-    if (draws_.one_in(3)) held += drawn_message();
-    if (draws_.one_in(2)) held = draws_.mutated(held);
+    if (draws_.one_in(3)) {
+      held += drawn_message();
+    }
+    if (draws_.one_in(2)) {
+      held = draws_.mutated(held);
+    }
     digest_.comment(digests::hex(held));
     add(postgres::read_from_client(held));
     add(postgres::read_from_store(held));
     add(postgres::read_startup(held));
   }
   void add(const postgres::Read& read) {
-    if (std::holds_alternative<postgres::Partial>(read)) return digest_.add("more");
-    if (const auto* fault = std::get_if<postgres::Fault>(&read)) return digest_.add("fault " + fault->code);
+    if (std::holds_alternative<postgres::Partial>(read)) {
+      return digest_.add("more");
+    }
+    if (const auto* fault = std::get_if<postgres::Fault>(&read)) {
+      return digest_.add("fault " + fault->code);
+    }
     const auto& message = std::get<postgres::Message>(read);
     digest_.add(fmt::format("message {} {} {}", static_cast<int>(message.type), digests::hex(message.body),
                             message.bytes.size()));
@@ -117,22 +131,42 @@
     std::vector<std::string> items{
         fmt::format("id=op-{}", draws_.below(1000)), fmt::format("c=type{}", draws_.below(3)),
         fmt::format("d={}", draws_.below(3000)), fmt::format("cluster={}", draws_.below(9))};
-    if (draws_.one_in(3)) items.push_back(fmt::format("after={}.25", draws_.below(100000)));
-    if (draws_.one_in(3)) items.push_back(fmt::format("k=token{}", draws_.below(9)));
-    if (draws_.one_in(3)) items.push_back(fmt::format("r={}", draws_.between(1, 2)));
-    if (draws_.one_in(12)) items.push_back(fmt::format("d={}", draws_.below(9)));
-    if (draws_.one_in(12)) items.push_back("other=1");
-    if (draws_.one_in(8)) items.erase(items.begin() + draws_.below(static_cast<int>(items.size())));
-    if (draws_.one_in(4)) std::swap(items.front(), items.back());
-    for (std::size_t i = 0; i < items.size(); ++i) text += (i > 0 ? "," : "") + items[i];
+    if (draws_.one_in(3)) {
+      items.push_back(fmt::format("after={}.25", draws_.below(100000)));
+    }
+    if (draws_.one_in(3)) {
+      items.push_back(fmt::format("k=token{}", draws_.below(9)));
+    }
+    if (draws_.one_in(3)) {
+      items.push_back(fmt::format("r={}", draws_.between(1, 2)));
+    }
+    if (draws_.one_in(12)) {
+      items.push_back(fmt::format("d={}", draws_.below(9)));
+    }
+    if (draws_.one_in(12)) {
+      items.push_back("other=1");
+    }
+    if (draws_.one_in(8)) {
+      items.erase(items.begin() + draws_.below(static_cast<int>(items.size())));
+    }
+    if (draws_.one_in(4)) {
+      std::swap(items.front(), items.back());
+    }
+    for (std::size_t i = 0; i < items.size(); ++i) {
+      text += (i > 0 ? "," : "") + items[i];
+    }
     return text + " */";
   }
   void statement() {
     std::string text = drawn_statement();
-    if (draws_.one_in(2)) text = draws_.mutated(text);
+    if (draws_.one_in(2)) {
+      text = draws_.mutated(text);
+    }
     digest_.add("word " + postgres::first_word(text));
     const auto read = postgres::read_statement(text);
-    if (const auto* fault = std::get_if<postgres::Fault>(&read)) return digest_.add("fault " + fault->code);
+    if (const auto* fault = std::get_if<postgres::Fault>(&read)) {
+      return digest_.add("fault " + fault->code);
+    }
     const auto& one = std::get<postgres::Statement>(read);
     digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", one.writes, one.id, one.request_class,
                             one.key, one.remaining, one.group, one.position, one.token, one.repeat,
@@ -153,21 +187,35 @@
     std::uint64_t last = 0;
     for (int number = 0; number < kCommands; ++number) {
       const int kind = draws_.below(8);
-      if (kind == 0) pending.add_complete(fmt::format("at once {}", number));
-      if (kind == 1 || kind == 2) pending.add_request({++last});
-      if (kind == 3 && draws_.one_in(3)) pending.add_readiness();
-      if (kind == 4) pending.complete_readiness(fmt::format("ready {}", number));
+      if (kind == 0) {
+        pending.add_complete(fmt::format("at once {}", number));
+      }
+      if (kind == 1 || kind == 2) {
+        pending.add_request({++last});
+      }
+      if (kind == 3 && draws_.one_in(3)) {
+        pending.add_readiness();
+      }
+      if (kind == 4) {
+        pending.complete_readiness(fmt::format("ready {}", number));
+      }
       if (kind > 4 && last > 0) {
         const int back = draws_.below(12);
         RequestId request{last - std::min<std::uint64_t>(last, static_cast<std::uint64_t>(back))};
         const std::vector<RequestId> open = pending.open_requests();
-        if (open.size() > 6) request = open.front();
+        if (open.size() > 6) {
+          request = open.front();
+        }
         const auto size = static_cast<std::size_t>(draws_.below(1500));
         pending.complete(request, std::string(size, 'x') + fmt::format("{}", number), "instead");
       }
-      if (draws_.one_in(2)) digest_.add(digests::hex(pending.take_complete()));
+      if (draws_.one_in(2)) {
+        digest_.add(digests::hex(pending.take_complete()));
+      }
       digest_.add(fmt::format("{} {}", pending.size(), pending.empty()));
-      for (const RequestId& open : pending.open_requests()) digest_.add(fmt::format("open {}", open.number));
+      for (const RequestId& open : pending.open_requests()) {
+        digest_.add(fmt::format("open {}", open.number));
+      }
     }
   }
   void arrivals() {
@@ -175,15 +223,21 @@
     proxy::ArrivalBound bound(now);
     for (int turn = 0; turn < kTurns; ++turn) {
       now += draws_.below(draws_.one_in(9) ? 200 : 5);
-      if (bound.marker_wanted() && !draws_.one_in(5)) bound.marker_sent(now);
-      if (draws_.one_in(3)) bound.none_ready(now - draws_.below(4));
+      if (bound.marker_wanted() && !draws_.one_in(5)) {
+        bound.marker_sent(now);
+      }
+      if (draws_.one_in(3)) {
+        bound.none_ready(now - draws_.below(4));
+      }
       if (draws_.one_in(3)) {
         bound.sleeps(now, now + draws_.below(40));
         now += draws_.below(60);
         bound.wakes(now);
       }
       digest_.add(fmt::format("{} {:.3f}", bound.marker_wanted(), bound.earliest(now)));
-      if (draws_.one_in(2)) bound.marker_returned();
+      if (draws_.one_in(2)) {
+        bound.marker_returned();
+      }
     }
   }
 
--- a/tests/digests/quota.cpp
+++ b/tests/digests/quota.cpp
@@ -21,13 +21,19 @@
     Options charge;
     charge.place = {front};
     charge.fleet = kFronts;
-    if (odd_) charge.lease = 1200;
-    if (odd_) charge.kept = 400;
+    if (odd_) {
+      charge.lease = 1200;
+    }
+    if (odd_) {
+      charge.kept = 400;
+    }
     return charge;
   }
   std::unique_ptr<QuotaManager> make(int front) override {
     Options charge = membership_options(front);
-    if (draws.one_in(15)) charge.drift = 0.02;
+    if (draws.one_in(15)) {
+      charge.drift = 0.02;
+    }
     uses_[static_cast<std::size_t>(front)] = std::make_unique<Use>(membership_options(front), kConnections);
     return make_quota_manager(charge, static_cast<std::uint64_t>(draws.below(1000000)));
   }
@@ -44,8 +50,11 @@
       at(front).core->enqueue(Leaving{});
     } else if (kind < 8) {
       PeersChanged fellows;
-      for (int other = 0; other < kFronts; ++other)
-        if (other != front && (at(other).core || draws.one_in(10))) fellows.there.insert({other});
+      for (int other = 0; other < kFronts; ++other) {
+        if (other != front && (at(other).core || draws.one_in(10))) {
+          fellows.there.insert({other});
+        }
+      }
       at(front).core->enqueue(fellows);
     } else if (kind < 20) {
       const int need = draws.below(60);
@@ -87,8 +96,9 @@
     question_in(bytes);
   }
   void take(int front) override {
-    for (const auto& decision : at(front).core->process(clock(front)))
+    for (const auto& decision : at(front).core->process(clock(front))) {
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
+    }
   }
   void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
   void take(int front, const RequestWakeup& wanted) {
--- a/tests/discovery_properties.cpp
+++ b/tests/discovery_properties.cpp
@@ -44,16 +44,20 @@
     Poller poller(*rc::gen::inRange<std::uint64_t>(1, 100000));
     Service service;
     poller.note(Watch{});
-    Millis now = 0, reachable_since = 0;
+    Millis now = 0;
+    Millis reachable_since = 0;
     std::map<long long, Millis> changed_at{{1, 0}};
     Millis second = 0;
     int calls_for_nothing = 0;  // in a second: failed, or with no news
     const auto for_nothing = [&] {
-      if (now - second >= 1000) second = now, calls_for_nothing = 0;
+      if (now - second >= 1000) {
+        second = now, calls_for_nothing = 0;
+      }
       ++calls_for_nothing;
     };
     const int steps = *rc::gen::inRange(500, 4000);
-    Millis next_change = *rc::gen::inRange(0, 4000), next_manner = *rc::gen::inRange(0, 4000);
+    Millis next_change = *rc::gen::inRange(0, 4000);
+    Millis next_manner = *rc::gen::inRange(0, 4000);
     for (int step = 0; step < steps; ++step, now += kStep) {
       if (now >= next_change) {
         changed_at[++service.revision] = now;
@@ -65,11 +69,17 @@
         const auto reachable = [](Service::Manner manner) {
           return manner == Service::Manner::answers || manner == Service::Manner::slow;
         };
-        if (reachable(service.manner) && !reachable(before)) reachable_since = now;
-        if (!reachable(service.manner)) reachable_since = 1e18;
+        if (reachable(service.manner) && !reachable(before)) {
+          reachable_since = now;
+        }
+        if (!reachable(service.manner)) {
+          reachable_since = 1e18;
+        }
         next_manner = now + *rc::gen::inRange(100, 12000);
       }
-      if (*rc::gen::inRange(0, 2000) == 0) poller.note(Doubted{});
+      if (*rc::gen::inRange(0, 2000) == 0) {
+        poller.note(Doubted{});
+      }
       if (Service::Open* const open = service.call.get()) {
         using Manner = Service::Manner;
         const bool news = !open->call.since || *open->call.since < service.revision;
@@ -80,11 +90,15 @@
           poller.note(CallFailed{"no", false});
         } else if (open->manner != Manner::silent && due) {
           const Millis takes = open->manner == Manner::slow ? 1500 : 20;
-          if (!open->done) open->done = now + takes;
+          if (!open->done) {
+            open->done = now + takes;
+          }
           poller.note(BytesCame{64 * 1024});
           if (now >= *open->done) {
             const bool whole = !open->call.since;
-            if (!news) for_nothing();
+            if (!news) {
+              for_nothing();
+            }
             service.call.reset();
             poller.note(AnswerWhole{});
             poller.note(ListTaken{service.revision, whole});
@@ -96,13 +110,19 @@
           RC_ASSERT(!service.call);
           service.call = std::make_unique<Service::Open>(*call, now, service.manner, std::nullopt);
         }
-        if (std::holds_alternative<GiveUpCall>(decision)) service.call.reset();
+        if (std::holds_alternative<GiveUpCall>(decision)) {
+          service.call.reset();
+        }
       }
       RC_ASSERT(calls_for_nothing <= 12);
-      for (const auto& [revision, at] : changed_at)
-        if (now - std::max(at, reachable_since) > kCountsAsTold) RC_ASSERT(poller.revision() >= revision);
-      while (changed_at.size() > 1 && changed_at.begin()->first <= poller.revision())
+      for (const auto& [revision, at] : changed_at) {
+        if (now - std::max(at, reachable_since) > kCountsAsTold) {
+          RC_ASSERT(poller.revision() >= revision);
+        }
+      }
+      while (changed_at.size() > 1 && changed_at.begin()->first <= poller.revision()) {
         changed_at.erase(changed_at.begin());
+      }
     }
   });
 }
@@ -119,40 +139,52 @@
 
 void apply(View& view, const ListedEndpoint& row) {
   view[row.entry.id.address] = {row.entry.state, row.entry.size};
-  if (row.entry.state == ServerState::gone) view.erase(row.entry.id.address);
+  if (row.entry.state == ServerState::gone) {
+    view.erase(row.entry.id.address);
+  }
 }
 
 bool table_follows_lists() {
   return rc::check("what the table hands on makes the lists that ended, and of others just what leaves", [] {
     ServerTable table(1000);
-    View held, wanted;
+    View held;
+    View wanted;
     const int lists = *rc::gen::inRange(1, 12);
     for (int list = 0; list < lists; ++list) {
-      const bool whole = *rc::gen::arbitrary<bool>(), ends = *rc::gen::inRange(0, 4) > 0;
+      const bool whole = *rc::gen::arbitrary<bool>();
+      const bool ends = *rc::gen::inRange(0, 4) > 0;
       table.begin();
       View next = whole ? View{} : wanted;
       View leaving = wanted;
       const int rows = *rc::gen::inRange(0, 12);
       for (int number = 0; number < 12; ++number) {
-        if (*rc::gen::inRange(0, 12) >= rows) continue;
+        if (*rc::gen::inRange(0, 12) >= rows) {
+          continue;
+        }
         const auto state = static_cast<ServerState>(*rc::gen::inRange(0, whole ? 2 : 3));
         const ListedEndpoint row = server(number, state, *rc::gen::inRange(1, 3));
         apply(next, row);
         if (const auto known = leaving.find(row.entry.id.address);
             known != leaving.end() && state != ServerState::ready) {
           known->second.first = state;
-          if (state == ServerState::gone) leaving.erase(known);
+          if (state == ServerState::gone) {
+            leaving.erase(known);
+          }
         }
         if (const auto now = table.take(row)) {
           RC_ASSERT(now->entry.state != ServerState::ready);
           apply(held, *now);
         }
       }
-      if (ends) table.end(whole);
+      if (ends) {
+        table.end(whole);
+      }
       while (table.has_parts()) {
         const auto part = table.next_part(3);
         RC_ASSERT(!part.empty() && part.size() <= 3);
-        for (const ListedEndpoint& row : part) apply(held, row);
+        for (const ListedEndpoint& row : part) {
+          apply(held, row);
+        }
       }
       wanted = ends ? next : leaving;
       RC_ASSERT(held == wanted);
@@ -166,11 +198,12 @@
                    [&names] {
                      std::string text = R"({"rev": 7, "all": true, "more": [{"x": [1, null]}], "targets": [)";
                      const int rows = *rc::gen::inRange(0, 6);
-                     for (int row = 0; row < rows; ++row)
+                     for (int row = 0; row < rows; ++row) {
                        text += fmt::format(
                            "{}{{\"uid\": \"s{}\",\n  \"endpoint\": \"10.0.0.1:{}\", \"pod_group\": {}, "
                            "\"state\": \"active\"}}",
                            row ? "," : "", row, 1000 + row, row);
+                     }
                      text += "]}";
                      std::vector<std::string> read;
                      ListReader reader(names, [&read](ListedEndpoint row, const ListReader::Head& head) {
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -27,14 +27,20 @@
  public:
   void line(const std::string& text) {
     std::istringstream words(text);
-    std::string word, rest;
-    int front = 0, other = 0;
+    std::string word;
+    std::string rest;
+    int front = 0;
+    int other = 0;
     words >> word;
-    if (word.empty() || word == "#") return;
+    if (word.empty() || word == "#") {
+      return;
+    }
     if (word == "fleet") {
       words >> front;
       Options charge;
-      for (std::string key; words >> key;) key == "forget" ? void(words >> charge.forget) : give_up(text);
+      for (std::string key; words >> key;) {
+        key == "forget" ? void(words >> charge.forget) : give_up(text);
+      }
       fleet_ = std::make_unique<VirtualFleet>(front, charge, 7);
       fleet_->on([this](Millis at, int by, const Change& change) { seen(at, by, change); },
                  [this](Millis, int by, const Found& found) {
@@ -43,16 +49,22 @@
       fleet_->passes = [this](int from, int to) { return !cut_.contains({from, to}); };
       fleet_->extra_delay = [this](int from, int to) { return std::max(slow_[from], slow_[to]); };
     } else if (word == "start" || word == "kill" || word == "leave" || word == "stop" || word == "wake") {
-      while (words >> rest)
-        for (const int each : fronts(rest)) act(word, each);
+      while (words >> rest) {
+        for (const int each : fronts(rest)) {
+          act(word, each);
+        }
+      }
     } else if (word == "cut" || word == "mend") {  // "cut 1>2" one way, "cut 0-2 3-5" both ways
       words >> word >> rest;
       const bool one_way = word.find('>') != std::string::npos;
       const std::size_t sign = word.find('>');
       const auto from = fronts(one_way ? word.substr(0, sign) : word);
       const auto to = fronts(one_way ? word.substr(sign + 1) : rest);
-      for (const int a : from)
-        for (const int b : to) cut_.insert({a, b}), one_way ? void() : void(cut_.insert({b, a}));
+      for (const int a : from) {
+        for (const int b : to) {
+          cut_.insert({a, b}), one_way ? void() : void(cut_.insert({b, a}));
+        }
+      }
     } else if (word == "healed") {
       cut_.clear();
     } else if (word == "loss") {
@@ -76,9 +88,10 @@
       fleet_->hear(front, other, kept_);
     } else if (word == "garbage") {
       words >> front >> other >> rest;
-      for (int turn = 0; turn < std::stoi(rest); ++turn)
+      for (int turn = 0; turn < std::stoi(rest); ++turn) {
         fleet_->hear(front, other,
                      kept_.substr(0, kept_.size() / 2) + std::string(1, static_cast<char>(turn)));
+      }
     } else if (word == "dropped") {
       words >> front;
       const Dropped dropped = fleet_->view(front).dropped;
@@ -87,9 +100,10 @@
     } else if (word == "view") {
       words >> front;
       std::cout << (fleet_->view(front).fellows.empty() ? "  nobody" : " ");
-      for (const PeerView& fellow : fleet_->view(front).fellows)
+      for (const PeerView& fellow : fleet_->view(front).fellows) {
         std::cout << fmt::format(" {}@{}{}", fellow.name, fellow.place.number,
                                  std::string(static_cast<std::size_t>(fellow.standing), '?'));
+      }
       std::cout << '\n';
     } else if (word == "run") {
       Millis span = 0;
@@ -113,25 +127,39 @@
 
   static std::vector<int> fronts(const std::string& text) {  // "3" or "0-4"
     const std::size_t dash = text.find('-');
-    const int from = std::stoi(text),
-              to = dash == std::string::npos ? from : std::stoi(text.substr(dash + 1));
+    const int from = std::stoi(text);
+    const int to = dash == std::string::npos ? from : std::stoi(text.substr(dash + 1));
     std::vector<int> all;
-    for (int front = from; front <= to; ++front) all.push_back(front);
+    for (int front = from; front <= to; ++front) {
+      all.push_back(front);
+    }
     return all;
   }
 
   void act(const std::string& word, int front) {
-    if (word == "start") fleet_->start(front);
-    if (word == "kill") fleet_->kill(front);
-    if (word == "leave") fleet_->leave(front);
-    if (word == "stop") fleet_->stop(front);
-    if (word == "wake") fleet_->wake(front);
+    if (word == "start") {
+      fleet_->start(front);
+    }
+    if (word == "kill") {
+      fleet_->kill(front);
+    }
+    if (word == "leave") {
+      fleet_->leave(front);
+    }
+    if (word == "stop") {
+      fleet_->stop(front);
+    }
+    if (word == "wake") {
+      fleet_->wake(front);
+    }
   }
 
   void seen(Millis at, int by, const Change& change) {
     const std::pair key(fmt::format("{} {}", change.name, word_of(change.happening)), change.place.number);
     const auto [sight, first] = sights_.try_emplace(key, Sight{at, at, by, {}});
-    if (first) order_.push_back(key);
+    if (first) {
+      order_.push_back(key);
+    }
     sight->second.last = at, sight->second.all.insert(by);
   }
 
@@ -144,9 +172,12 @@
       std::cout << fmt::format("  {} in the eyes of {}, at {:.1f} to {:.1f} s\n", key.first, sight.all.size(),
                                (sight.first - from) / 1000, (sight.last - from) / 1000);
     }
-    for (const auto& [finding, times] : found_)
+    for (const auto& [finding, times] : found_) {
       std::cout << fmt::format("  n{} {}\n", finding.second, finding.first);
-    if (fleet_->agreed()) std::cout << "  all agree\n";
+    }
+    if (fleet_->agreed()) {
+      std::cout << "  all agree\n";
+    }
     sights_.clear(), order_.clear(), found_.clear();
   }
 
@@ -161,11 +192,13 @@
 
 }  // namespace
 
-int main(int, char** words) {
+int main(int /*unused*/, char** words) {
   std::ifstream file(words[1]);
   Play play;
   for (std::string line; std::getline(file, line);) {
-    if (line.starts_with("  ")) continue;
+    if (line.starts_with("  ")) {
+      continue;
+    }
     std::cout << line << '\n';
     play.line(line);
   }
--- a/tests/membership_properties.cpp
+++ b/tests/membership_properties.cpp
@@ -39,11 +39,15 @@
         fleet.passes = [&](int from, int to) { return !cut.contains({from, to}); };
         const auto restart = [&](int front) {
           std::erase_if(held, [&](const auto& entry) { return entry.first.first == front; });
-          if (!fleet.up(front)) fleet.start(front);
+          if (!fleet.up(front)) {
+            fleet.start(front);
+          }
         };
         const auto look = [&] {
           for (int front = 0; front < fronts; ++front) {
-            if (!fleet.up(front)) continue;
+            if (!fleet.up(front)) {
+              continue;
+            }
             for (const PeerView& fellow : fleet.view(front).fellows) {
               Incarnation& last = held[{front, fellow.name}];
               RC_ASSERT(last <= fellow.incarnation);
@@ -51,35 +55,61 @@
             }
           }
         };
-        for (int front = 0; front < fronts; ++front) fleet.start(front);
+        for (int front = 0; front < fronts; ++front) {
+          fleet.start(front);
+        }
         for (const Fault& fault : struck) {
           const bool up = fleet.up(fault.front);
-          if (fault.kind == 0 && up) fleet.kill(fault.front);
-          if (fault.kind == 1) restart(fault.front);
-          if (fault.kind == 2 && up) fleet.stop(fault.front);
-          if (fault.kind == 3) fleet.wake(fault.front);
-          if (fault.kind == 4 || fault.kind == 5) cut.insert({fault.front, fault.other});
-          if (fault.kind == 4) cut.insert({fault.other, fault.front});
-          if (fault.kind == 6) cut.clear();
+          if (fault.kind == 0 && up) {
+            fleet.kill(fault.front);
+          }
+          if (fault.kind == 1) {
+            restart(fault.front);
+          }
+          if (fault.kind == 2 && up) {
+            fleet.stop(fault.front);
+          }
+          if (fault.kind == 3) {
+            fleet.wake(fault.front);
+          }
+          if (fault.kind == 4 || fault.kind == 5) {
+            cut.insert({fault.front, fault.other});
+          }
+          if (fault.kind == 4) {
+            cut.insert({fault.other, fault.front});
+          }
+          if (fault.kind == 6) {
+            cut.clear();
+          }
           fleet.network.loss = fault.kind == 7 ? 0.3 : 0;
           fleet.run(fault.span);
           look();
         }
         cut.clear(), fleet.network.loss = 0;
-        for (int front = 0; front < fronts; ++front) fleet.wake(front), restart(front);
+        for (int front = 0; front < fronts; ++front) {
+          fleet.wake(front), restart(front);
+        }
         fleet.run(30000);
         look();
         RC_ASSERT(fleet.agreed());
         // What the dead said once brings nobody back.
         const int dead = *rc::gen::inRange(0, fronts);
-        for (int front = 0; front < fronts; ++front)
-          if (front != dead) said.push_back(fleet.last_heard(front));
+        for (int front = 0; front < fronts; ++front) {
+          if (front != dead) {
+            said.push_back(fleet.last_heard(front));
+          }
+        }
         fleet.kill(dead);
         fleet.run(40000);
-        for (int front = 0; front < fronts; ++front)
-          for (const std::string& bytes : said)
-            if (front != dead)
-              for (int from = 0; from < fronts; ++from) fleet.hear(front, from, bytes);
+        for (int front = 0; front < fronts; ++front) {
+          for (const std::string& bytes : said) {
+            if (front != dead) {
+              for (int from = 0; from < fronts; ++from) {
+                fleet.hear(front, from, bytes);
+              }
+            }
+          }
+        }
         fleet.run(5000);
         RC_ASSERT(fleet.agreed());
       });
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -8,27 +8,38 @@
 
 #include "operators/file.hpp"
 
-int main(int, char** argv) {
+int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
   for (std::string line; std::getline(file, line);) {
-    if (line.starts_with("  ")) continue;
+    if (line.starts_with("  ")) {
+      continue;
+    }
     std::cout << line << '\n';
-    if (!line.starts_with("file")) continue;
-    std::string text, wanted;
+    if (!line.starts_with("file")) {
+      continue;
+    }
+    std::string text;
+    std::string wanted;
     std::istringstream words(line.substr(4));
     words >> wanted;
     for (std::string inner; std::getline(file, inner);) {
       std::cout << inner << '\n';
-      if (inner == "end") break;
+      if (inner == "end") {
+        break;
+      }
       text += inner + '\n';
     }
     try {
       for (const std::string& shown :
-           reedspindle::operators::show(reedspindle::operators::read_text(text, "FILE")))
-        if (shown.find("default") == std::string::npos || (!wanted.empty() && shown.starts_with(wanted)))
+           reedspindle::operators::show(reedspindle::operators::read_text(text, "FILE"))) {
+        if (shown.find("default") == std::string::npos || (!wanted.empty() && shown.starts_with(wanted))) {
           std::cout << "  " << shown << '\n';
+        }
+      }
     } catch (const reedspindle::operators::InvalidFile& faulty) {
-      for (const std::string& one : faulty.lines) std::cout << "  " << one << '\n';
+      for (const std::string& one : faulty.lines) {
+        std::cout << "  " << one << '\n';
+      }
     }
   }
 }
