--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -49,8 +49,8 @@
   int fd = -1;
   std::string held;  // read and not yet taken
   bool started = false, ended = false, greeted = false;
-  std::string asked;     // by the front, not yet answered
-  std::string key = {};  // by which a request of a client is cancelled
+  std::string asked;  // by the front, not yet answered
+  std::string key = {};    // by which a request of a client is cancelled
   bool dropped = false;
 };
 
@@ -79,11 +79,14 @@
 
 // An address of this process alone, with a port that is free.
 int listen_at(std::string& text) {
-  const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
+  const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in address = address_of(text);
   socklen_t size = sizeof address;
-  if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 || listen(fd, 64) != 0) give_up("no port");
+  if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 || listen(fd, 64) != 0) {
+    give_up("no port");
+  }
   getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   text = text.substr(0, text.find(':') + 1) + std::to_string(ntohs(address.sin_port));
   return fd;
@@ -93,7 +96,9 @@
   std::size_t done = 0;
   while (done < bytes.size()) {
     const ssize_t count = write(fd, bytes.data() + done, bytes.size() - done);
-    if (count <= 0) return;
+    if (count <= 0) {
+      return;
+    }
     done += static_cast<std::size_t>(count);
   }
 }
@@ -102,7 +107,9 @@
 bool fill(Link& link) {
   char bytes[65536];
   const ssize_t count = read(link.fd, bytes, sizeof bytes);
-  if (count <= 0) return false;
+  if (count <= 0) {
+    return false;
+  }
   link.held.append(bytes, static_cast<std::size_t>(count));
   return true;
 }
@@ -110,7 +117,9 @@
 std::string message(char type, std::string body) {
   const std::size_t length = body.size() + 4;
   std::string out(1, type);
-  for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(length >> shift & 0xff);
+  for (int shift = 24; shift >= 0; shift -= 8) {
+    out += static_cast<char>(length >> shift & 0xff);
+  }
   return out + body;
 }
 
@@ -144,7 +153,8 @@
  public:
   explicit Stage(std::string front) : program_(std::move(front)), config_(Json::parse(kPlacement)) {
     // Each party at an address of its own: the front's port is free again until the front takes it.
-    std::string listen = place(64), discovery = place(96);
+    std::string listen = place(64);
+    std::string discovery = place(96);
     close(listen_at(listen));
     config_["listen"] = listen_ = listen;
     discovery_listening_ = listen_at(discovery);
@@ -155,7 +165,9 @@
     close(listen_at(other));
     peer_ = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = address_of(other);
-    if (bind(peer_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) give_up("no port");
+    if (bind(peer_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+      give_up("no port");
+    }
     config_["peer_listen"] = listen;
     config_["peers"] = {listen, other};
     config_["peers_all"] = other;
@@ -164,12 +176,16 @@
     path_ = "/proc/" + std::to_string(getpid()) + "/fd/" + std::to_string(file_);
   }
   ~Stage() {
-    if (child_ > 0) kill(child_, SIGKILL);
+    if (child_ > 0) {
+      kill(child_, SIGKILL);
+    }
   }
 
   void play(const std::string& text) {
     std::istringstream line(text);
-    std::string who, what, rest;
+    std::string who;
+    std::string what;
+    std::string rest;
     line >> who;
     if (who == "given") {
       line >> what;
@@ -177,7 +193,9 @@
       rest == " none" ? void(config_.erase(what))
                       : void(config_[Json::json_pointer(what)] = Json::parse(rest));
     } else if (who == "stores") {
-      while (line >> what) add_store(what);
+      while (line >> what) {
+        add_store(what);
+      }
       config_["known"] = Json::parse(list_of(41, true));
     } else if (who == "start") {
       start();
@@ -197,7 +215,8 @@
       line >> what;
       discovery(what, remainder(line));
     } else if (who == "crowd") {
-      int count = 0, turned_away = 0;
+      int count = 0;
+      int turned_away = 0;
       line >> count >> what >> turned_away;
       crowd(count, what, turned_away);
     } else if (who == "peer") {
@@ -256,19 +275,26 @@
   }
   std::string list_of(int rev, bool all, const std::string& only = "") {
     Json targets = Json::array();
-    for (const auto& [name, row] : rows_)
-      if (all || name == only) targets.push_back(row);
+    for (const auto& [name, row] : rows_) {
+      if (all || name == only) {
+        targets.push_back(row);
+      }
+    }
     return Json{{"rev", rev}, {"all", all}, {"targets", targets}}.dump();
   }
 
   void write_placement(const std::string& other = "") {
     const std::string text = other.empty() ? config_.dump() : other;
-    if (ftruncate(file_, 0) != 0 || pwrite(file_, text.data(), text.size(), 0) < 0) give_up("no file");
+    if (ftruncate(file_, 0) != 0 || pwrite(file_, text.data(), text.size(), 0) < 0) {
+      give_up("no file");
+    }
   }
   void start_child() {
     write_placement();
     int errors[2];
-    if (pipe(errors) != 0) give_up("no pipe");
+    if (pipe(errors) != 0) {
+      give_up("no pipe");
+    }
     child_ = fork();
     if (child_ == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -276,8 +302,9 @@
       dup2(errors[1], STDERR_FILENO);
       close(errors[0]), close(errors[1]);
       setenv("ROUTER_CONFIG", path_.c_str(), 1);
-      if (config_.contains("discovery"))  // as old as the process
+      if (config_.contains("discovery")) {  // as old as the process
         setenv("ROUTER_DISCOVERY", config_["discovery"].get<std::string>().c_str(), 1);
+      }
       if (signalled_) {  // pending, and kept over the start of the program
         sigset_t signals;
         sigemptyset(&signals);
@@ -295,14 +322,18 @@
     start_child();
     wait_for("the front to listen", [this] {
       const int fd = connect_to(listen_);
-      if (fd >= 0) close(fd);
+      if (fd >= 0) {
+        close(fd);
+      }
       return fd >= 0;
     });
   }
   int connect_to(const std::string& text) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = address_of(text);
-    if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) return fd;
+    if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) {
+      return fd;
+    }
     close(fd);
     return -1;
   }
@@ -316,14 +347,18 @@
     hear_log();
     child_ = 0;
     std::cout << "  exit code " << (WIFEXITED(status) ? WEXITSTATUS(status) : -1) << '\n';
-    if (said_.starts_with("reedspindle: ")) std::cout << "  " << said_;
+    if (said_.starts_with("reedspindle: ")) {
+      std::cout << "  " << said_;
+    }
   }
   const std::string& hear_log() {
     char bytes[4096];
     pollfd out{errors_, POLLIN, 0};
     while (poll(&out, 1, 0) == 1) {
       const ssize_t count = read(errors_, bytes, sizeof bytes);
-      if (count <= 0) break;
+      if (count <= 0) {
+        break;
+      }
       said_.append(bytes, static_cast<std::size_t>(count));
     }
     return said_;
@@ -333,35 +368,58 @@
   void wait_for(const std::string& what, const std::function<bool()>& there) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (!there()) {
-      for (const int fd : floods_)
-        for (int i = 0; i < 100; ++i) send(fd, kFlood.data(), kFlood.size(), MSG_DONTWAIT);
-      if (std::chrono::steady_clock::now() > end) give_up("waited for " + what);
+      for (const int fd : floods_) {
+        for (int i = 0; i < 100; ++i) {
+          send(fd, kFlood.data(), kFlood.size(), MSG_DONTWAIT);
+        }
+      }
+      if (std::chrono::steady_clock::now() > end) {
+        give_up("waited for " + what);
+      }
       turn();
     }
   }
   void turn() {
     std::vector<pollfd> fds;
     for (auto& [name, store] : stores_) {
-      if (store.listening >= 0) fds.push_back({store.listening, POLLIN, 0});
-      for (Link& link : store.links)
-        if (!link.ended) fds.push_back({link.fd, POLLIN, 0});
+      if (store.listening >= 0) {
+        fds.push_back({store.listening, POLLIN, 0});
+      }
+      for (Link& link : store.links) {
+        if (!link.ended) {
+          fds.push_back({link.fd, POLLIN, 0});
+        }
+      }
+    }
+    for (auto& [name, link] : clients_) {
+      if (!link.ended) {
+        fds.push_back({link.fd, POLLIN, 0});
+      }
     }
-    for (auto& [name, link] : clients_)
-      if (!link.ended) fds.push_back({link.fd, POLLIN, 0});
     poll(fds.data(), fds.size(), 5);
     const auto readable = [&](int fd) {
-      for (const pollfd& at : fds)
-        if (at.fd == fd) return at.revents != 0;
+      for (const pollfd& at : fds) {
+        if (at.fd == fd) {
+          return at.revents != 0;
+        }
+      }
       return false;
     };
-    for (auto& [name, link] : clients_)
-      if (!link.ended && readable(link.fd)) link.ended = !fill(link);
+    for (auto& [name, link] : clients_) {
+      if (!link.ended && readable(link.fd)) {
+        link.ended = !fill(link);
+      }
+    }
     for (auto& [name, store] : stores_) {
-      for (Link& link : store.links)
-        if (!link.ended && readable(link.fd)) serve(store, link);
-      if (store.listening >= 0 && readable(store.listening))
+      for (Link& link : store.links) {
+        if (!link.ended && readable(link.fd)) {
+          serve(store, link);
+        }
+      }
+      if (store.listening >= 0 && readable(store.listening)) {
         store.links.push_back(
             {accept4(store.listening, nullptr, nullptr, SOCK_CLOEXEC), "", false, false, false, ""});
+      }
     }
   }
   void serve(Store& store, Link& link) {
@@ -374,14 +432,19 @@
       const auto read =
           link.started ? postgres::read_from_client(link.held) : postgres::read_startup(link.held);
       const auto* got = std::get_if<postgres::Message>(&read);
-      if (!got) return;
+      if (!got) {
+        return;
+      }
       const std::string text(got->body.substr(0, got->body.find('\0')));
       const std::size_t size = got->bytes.size();
       if (!std::exchange(link.started, true)) {
         link.greeted = store.manner == "welcomes";
-        if (link.greeted) put(link.fd, postgres::welcome());
-        if (store.manner == "full")
+        if (link.greeted) {
+          put(link.fd, postgres::welcome());
+        }
+        if (store.manner == "full") {
           put(link.fd, postgres::error(postgres::Severity::fatal, "53300", "too many connections"));
+        }
       } else if (text.empty()) {
         put(link.fd, postgres::empty_answer() + std::exchange(store.behind_empty, ""));
       } else if (text == "SHOW vitals") {
@@ -401,9 +464,10 @@
   }
   // NOW stands for the time in ms, in vitals in seconds.
   static std::string with_now(std::string text, bool seconds = false) {
-    if (const std::size_t at = text.find("NOW"); at != std::string::npos)
+    if (const std::size_t at = text.find("NOW"); at != std::string::npos) {
       text.replace(at, 3,
                    seconds ? std::to_string(static_cast<double>(now()) / 1000) : std::to_string(now()));
+    }
     return text;
   }
 
@@ -413,7 +477,9 @@
       clients_.erase(name);
       return;
     }
-    if (what == "hears") return hears(clients_.at(name));
+    if (what == "hears") {
+      return hears(clients_.at(name));
+    }
     if (what == "cancels") {  // what client NAME has asked, on a connection of its own
       Link link;
       link.fd = connect_to(listen_);
@@ -427,7 +493,9 @@
     if (what == "finds") {  // "finds nobody": the front listens no more
       wait_for("the front to listen no more", [this] {
         const int fd = connect_to(listen_);
-        if (fd >= 0) close(fd);
+        if (fd >= 0) {
+          close(fd);
+        }
         return fd < 0;
       });
       return;
@@ -435,11 +503,19 @@
     if (!clients_.contains(name)) {
       Link& link = clients_[name];
       link.fd = connect_to(listen_);
-      if (link.fd < 0) give_up("no connection to the front");
-      if (what != "opens") put(link.fd, postgres::startup("svc", "main")), link.started = true;
+      if (link.fd < 0) {
+        give_up("no connection to the front");
+      }
+      if (what != "opens") {
+        put(link.fd, postgres::startup("svc", "main")), link.started = true;
+      }
+    }
+    if (what == "asks") {
+      put(clients_[name].fd, postgres::query(with_now(rest)));
+    }
+    if (what == "sends") {
+      put(clients_[name].fd, unescaped(rest));
     }
-    if (what == "asks") put(clients_[name].fd, postgres::query(with_now(rest)));
-    if (what == "sends") put(clients_[name].fd, unescaped(rest));
     if (what == "asks-many") {  // "asks-many 3 TEXT": a number each in the place of NUMBER
       const std::size_t space = rest.find(' ');
       std::string all;
@@ -449,17 +525,29 @@
       }
       put(clients_[name].fd, all);
     }
-    if (what == "hangs-up") shutdown(clients_[name].fd, SHUT_WR);
-    if (what == "sends-long") put(clients_[name].fd, postgres::query(std::string(std::stoul(rest), 'x')));
+    if (what == "hangs-up") {
+      shutdown(clients_[name].fd, SHUT_WR);
+    }
+    if (what == "sends-long") {
+      put(clients_[name].fd, postgres::query(std::string(std::stoul(rest), 'x')));
+    }
     if (what == "sends-often") {
       const std::size_t space = rest.find(' ');
       std::string all;
-      for (int i = 0; i < std::stoi(rest); ++i) all += postgres::query(rest.substr(space + 1));
+      for (int i = 0; i < std::stoi(rest); ++i) {
+        all += postgres::query(rest.substr(space + 1));
+      }
       put(clients_[name].fd, all);
     }
-    if (what == "floods") floods_.push_back(clients_[name].fd);
-    if (what == "ends") wait_for("the end", [&] { return clients_[name].ended; });
-    if (what == "opens" && !rest.empty()) put(clients_[name].fd, unescaped(rest));
+    if (what == "floods") {
+      floods_.push_back(clients_[name].fd);
+    }
+    if (what == "ends") {
+      wait_for("the end", [&] { return clients_[name].ended; });
+    }
+    if (what == "opens" && !rest.empty()) {
+      put(clients_[name].fd, unescaped(rest));
+    }
   }
 
   // Prints answers up to the next that is whole.
@@ -477,18 +565,32 @@
         return !std::holds_alternative<postgres::Partial>(read = from_front(link.held)) || link.ended;
       });
       const auto* got = std::get_if<postgres::Message>(&read);
-      if (!got) return void(std::cout << "  end\n");
-      if (got->type == 'K') link.key = got->body;
+      if (!got) {
+        return void(std::cout << "  end\n");
+      }
+      if (got->type == 'K') {
+        link.key = got->body;
+      }
       whole = got->type == 'Z' && link.greeted;
-      if (got->type == 'Z') link.greeted = true;
-      if (got->type == 'I') std::cout << "  empty\n";
-      if (got->type == 'D') std::cout << "  row " << *postgres::read_row(got->body) << '\n';
-      if (got->type == 'C') std::cout << "  " << got->body.substr(0, got->body.find('\0')) << '\n';
+      if (got->type == 'Z') {
+        link.greeted = true;
+      }
+      if (got->type == 'I') {
+        std::cout << "  empty\n";
+      }
+      if (got->type == 'D') {
+        std::cout << "  row " << *postgres::read_row(got->body) << '\n';
+      }
+      if (got->type == 'C') {
+        std::cout << "  " << got->body.substr(0, got->body.find('\0')) << '\n';
+      }
       if (got->type == 'E') {
         const auto fault = *postgres::read_error(got->body);
         const std::size_t detail = got->body.find(std::string("\0D", 2));
         std::cout << "  " << got->body.substr(1, 5) << ' ' << fault.code << ' ' << fault.text;
-        if (detail != std::string::npos) std::cout << ", D " << got->body.data() + detail + 2;
+        if (detail != std::string::npos) {
+          std::cout << ", D " << got->body.data() + detail + 2;
+        }
         std::cout << '\n';
       }
       link.held.erase(0, got->bytes.size());
@@ -496,7 +598,8 @@
   }
 
   void store(Store& store, const std::string& what, std::istringstream& line) {
-    std::string id, text;
+    std::string id;
+    std::string text;
     if (what == "gets") {
       wait_for("a send", [&] { return !store.gets.empty(); });
       std::cout << "  " << checked(store.gets.front()) << '\n';
@@ -522,31 +625,53 @@
       store.gets.erase(store.gets.begin(), store.gets.begin() + static_cast<std::ptrdiff_t>(count));
       return;
     }
-    if (what == "adds") return void(store.behind_empty = unescaped(remainder(line)));
+    if (what == "adds") {
+      return void(store.behind_empty = unescaped(remainder(line)));
+    }
     if (what == "dialed" || what == "greets") {  // those that it let hang, one at least
       const auto hangs = [](const Link& at) { return at.started && !at.ended && !at.greeted; };
       wait_for("a connection that hangs", [&] { return std::ranges::any_of(store.links, hangs); });
-      for (Link& at : store.links)
-        if (what == "greets" && hangs(at)) put(at.fd, postgres::welcome()), at.greeted = true;
+      for (Link& at : store.links) {
+        if (what == "greets" && hangs(at)) {
+          put(at.fd, postgres::welcome()), at.greeted = true;
+        }
+      }
       return;
     }
-    if (what == "tells") return void(store.vitals = remainder(line));
+    if (what == "tells") {
+      return void(store.vitals = remainder(line));
+    }
     if (what == "drops") {  // every connection, without a word until something is sent there
-      for (Link& at : store.links) at.dropped = true;
+      for (Link& at : store.links) {
+        at.dropped = true;
+      }
       return;
     }
-    if (what == "refuses") return void(close(std::exchange(store.listening, -1)));
-    if (what == "welcomes" || what == "full" || what == "hangs") return void(store.manner = what);
+    if (what == "refuses") {
+      return void(close(std::exchange(store.listening, -1)));
+    }
+    if (what == "welcomes" || what == "full" || what == "hangs") {
+      return void(store.manner = what);
+    }
     line >> id;
     Link* link = nullptr;
-    for (Link& at : store.links)
-      if (at.asked.find("id=" + id + ",") != std::string::npos) link = &at;
-    if (!link) give_up("no send with that id");
+    for (Link& at : store.links) {
+      if (at.asked.find("id=" + id + ",") != std::string::npos) {
+        link = &at;
+      }
+    }
+    if (!link) {
+      give_up("no send with that id");
+    }
     if (what == "acks") {  // "acks 7 VALUE rank copy as_of NOW"
-      std::string answer, name, value;
+      std::string answer;
+      std::string name;
+      std::string value;
       line >> text;
       answer = row_of(text);
-      while (line >> name >> value) answer += message('S', name + '\0' + with_now(value) + '\0');
+      while (line >> name >> value) {
+        answer += message('S', name + '\0' + with_now(value) + '\0');
+      }
       put(link->fd, answer + postgres::ready());
       link->asked.clear();
     } else if (what == "says") {
@@ -570,12 +695,16 @@
   // The patience passed on varies by what has gone by: it may only be shorter than the client's. A position
   // is a time.
   static std::string checked(std::string text) {
-    const std::size_t at = text.find(",d=") + 3, end = text.find_first_not_of("0123456789", at);
+    const std::size_t at = text.find(",d=") + 3;
+    const std::size_t end = text.find_first_not_of("0123456789", at);
     const long patience = std::stol(text.substr(at, end - at));
     text.replace(at, end - at, patience > 0 && patience <= 9000 ? "(left)" : "(too long)");
     const std::size_t after = text.find(",after=");
-    if (after == std::string::npos) return text;
-    const std::size_t digits = after + 7, behind = text.find_first_not_of("0123456789", digits);
+    if (after == std::string::npos) {
+      return text;
+    }
+    const std::size_t digits = after + 7;
+    const std::size_t behind = text.find_first_not_of("0123456789", digits);
     const long long age = now() - std::stoll(text.substr(digits, behind - digits));
     return age >= 0 && age < 60000 ? text.replace(digits, behind - digits, "(now)") : text;
   }
@@ -587,10 +716,13 @@
     for (int i = 0; i < count; ++i) {
       links.push_back({connect_to(listen_), "", true, false, false, ""});
       std::string text = postgres::startup("svc", "main");
-      if (way == "stays") text += postgres::query("SET a");
-      if (way == "asks")
+      if (way == "stays") {
+        text += postgres::query("SET a");
+      }
+      if (way == "asks") {
         text += postgres::query(
             fmt::format("SELECT v FROM records WHERE k = 'k' /* id=c{},c=look,d=9000,cluster=3 */", i));
+      }
       put(links.back().fd, text);
     }
     const auto told = [&] {
@@ -600,17 +732,24 @@
     };
     if (turned_away > 0) {
       wait_for("so many to hear it", [&] {
-        for (Link& link : links)
-          if (pollfd at{link.fd, POLLIN, 0}; !link.ended && poll(&at, 1, 0) == 1) link.ended = !fill(link);
+        for (Link& link : links) {
+          if (pollfd at{link.fd, POLLIN, 0}; !link.ended && poll(&at, 1, 0) == 1) {
+            link.ended = !fill(link);
+          }
+        }
         return told() >= turned_away;
       });
       std::cout << "  " << told() << " told\n";
     }
     for (Link& link : links) {
-      while (turned_away == 0 && fill(link)) continue;
+      while (turned_away == 0 && fill(link)) {
+        continue;
+      }
       close(link.fd);
     }
-    if (turned_away == 0) std::cout << "  all ended\n";
+    if (turned_away == 0) {
+      std::cout << "  all ended\n";
+    }
   }
 
   // The other front of the tier: "hears" prints what a message is like, "says" sends one.
@@ -626,25 +765,32 @@
     wait_for("a message", [&] { return (count = recv(peer_, bytes, sizeof bytes, MSG_DONTWAIT)) > 0; });
     std::cout << "  " << std::string(bytes, 2) << (count <= 256 ? ", fits" : ", too long");
     bool load = false;  // the last of a member's 7 digits is above '3' where its load is known
-    for (ssize_t at = 13; at < count; at += 7) load |= bytes[at] > '3';
+    for (ssize_t at = 13; at < count; at += 7) {
+      load |= bytes[at] > '3';
+    }
     std::cout << (load ? ", with load" : "") << '\n';
   }
 
   // A front whose watch has heard nothing for its time has asked anew: what is told now goes there.
   void renew_discovery() {
     pollfd at{discovery_.fd, POLLIN, 0};
-    if (discovery_.fd < 0 || poll(&at, 1, 0) != 1 || fill(discovery_)) return;
+    if (discovery_.fd < 0 || poll(&at, 1, 0) != 1 || fill(discovery_)) {
+      return;
+    }
     close(std::exchange(discovery_.fd, -1));
     wait_for("the call anew", [&] { return called(); });
     discovery_.held.clear();
   }
   bool called() {
     pollfd at{discovery_.fd >= 0 ? discovery_.fd : discovery_listening_, POLLIN, 0};
-    if (poll(&at, 1, 0) != 1) return false;
-    if (discovery_.fd < 0)
+    if (poll(&at, 1, 0) != 1) {
+      return false;
+    }
+    if (discovery_.fd < 0) {
       discovery_.fd = accept4(discovery_listening_, nullptr, nullptr, SOCK_CLOEXEC);
-    else if (!fill(discovery_))
+    } else if (!fill(discovery_)) {
       close(std::exchange(discovery_.fd, -1));
+    }
     return discovery_.held.find("\r\n\r\n") != std::string::npos;
   }
 
@@ -652,12 +798,20 @@
   // before its last byte, and the connection stays.
   void tell_long(const std::string& rest) {
     std::istringstream line(rest);
-    int rev = 0, more = 0, over = 0;
-    std::string name, state, how;
+    int rev = 0;
+    int more = 0;
+    int over = 0;
+    std::string name;
+    std::string state;
+    std::string how;
     line >> rev >> more >> over >> name >> state >> how;
-    if (!name.empty()) rows_.at(name)["state"] = state;
+    if (!name.empty()) {
+      rows_.at(name)["state"] = state;
+    }
     Json targets = Json::array();
-    for (const auto& [own, row] : rows_) targets.push_back(row);
+    for (const auto& [own, row] : rows_) {
+      targets.push_back(row);
+    }
     for (int number = 0; number < more; ++number) {
       Json row = rows_.begin()->second;
       row["uid"] = fmt::format("long-{:08x}", number);
@@ -680,8 +834,12 @@
   }
 
   void discovery(const std::string& what, const std::string& rest) {
-    if (what == "adds") return void(behind_list_ = unescaped(rest));  // to the next answer, in one segment
-    if (what == "tells" || what == "says") renew_discovery();
+    if (what == "adds") {
+      return void(behind_list_ = unescaped(rest));  // to the next answer, in one segment
+    }
+    if (what == "tells" || what == "says") {
+      renew_discovery();
+    }
     if (what == "gets") {
       wait_for("a call", [&] { return called(); });
       std::cout << "  " << discovery_.held.substr(0, discovery_.held.find("\r\n")) << '\n';
@@ -689,9 +847,13 @@
     } else if (what == "tells") {  // "tells 43 changes b leaving", "tells 43 all"
       std::istringstream line(rest);
       int rev = 0;
-      std::string kind, name, state;
+      std::string kind;
+      std::string name;
+      std::string state;
       line >> rev >> kind >> name >> state;
-      if (!state.empty()) rows_.at(name)["state"] = state;
+      if (!state.empty()) {
+        rows_.at(name)["state"] = state;
+      }
       const std::string body = list_of(rev, kind == "all", name);
       put(discovery_.fd, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                              body + std::exchange(behind_list_, ""));
@@ -732,13 +894,17 @@
 };
 }  // namespace
 
-int main(int, char** argv) {
+int main(int /*unused*/, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   std::ifstream file(argv[2]);
   Stage stage(argv[1]);
   for (std::string text; std::getline(file, text);) {
-    if (text.starts_with("  ")) continue;
+    if (text.starts_with("  ")) {
+      continue;
+    }
     std::cout << text << std::endl;
-    if (!text.empty() && text[0] != '#') stage.play(text);
+    if (!text.empty() && text[0] != '#') {
+      stage.play(text);
+    }
   }
 }
--- a/tests/quota_properties.cpp
+++ b/tests/quota_properties.cpp
@@ -51,7 +51,9 @@
     };
     fleet.stepped = [&](Millis) {
       int sum = 0;
-      for (int front = 0; front < fronts; ++front) sum += fleet.part(front).hold;
+      for (int front = 0; front < fronts; ++front) {
+        sum += fleet.part(front).hold;
+      }
       RC_ASSERT(sum <= fronts * quota::kSlot);
     };
     // Steady clocks as far apart in their rates as the charge allows, wall clocks anywhere.
@@ -65,29 +67,52 @@
     for (const Fault& fault : struck) {
       const bool up = fleet.up(fault.front);
       const std::string kind = kKinds[fault.kind];
-      if ((kind == "kill" || kind == "restart") && up) fleet.kill(fault.front);
+      if ((kind == "kill" || kind == "restart") && up) {
+        fleet.kill(fault.front);
+      }
       if ((kind == "start" || kind == "restart") && !fleet.up(fault.front)) {
         fleet.start(fault.front);
         fleet.want(fault.front, {quota::kSlot * fronts, 0});
       }
-      if (kind == "stop" && up) fleet.stop(fault.front);
-      if (kind == "wake") fleet.wake(fault.front);
-      if (kind == "cut" || kind == "one way") cut.insert({fault.front, fault.other});
-      if (kind == "cut") cut.insert({fault.other, fault.front});
-      if (kind == "alone")
-        for (int other = 0; other < fronts; ++other)
+      if (kind == "stop" && up) {
+        fleet.stop(fault.front);
+      }
+      if (kind == "wake") {
+        fleet.wake(fault.front);
+      }
+      if (kind == "cut" || kind == "one way") {
+        cut.insert({fault.front, fault.other});
+      }
+      if (kind == "cut") {
+        cut.insert({fault.other, fault.front});
+      }
+      if (kind == "alone") {
+        for (int other = 0; other < fronts; ++other) {
           cut.insert({fault.front, other}), cut.insert({other, fault.front});
-      if (kind == "heal") cut.clear(), slow.clear();
-      if (kind == "delay") slow.insert(fault.front);
+        }
+      }
+      if (kind == "heal") {
+        cut.clear(), slow.clear();
+      }
+      if (kind == "delay") {
+        slow.insert(fault.front);
+      }
       fleet.network.loss = kind == "loss" ? 0.3 : 0;
-      if (kind == "want" && up) fleet.want(fault.front, {quota::kSlot * fault.other, 0});
-      if (kind == "lend" && up) fleet.want(fault.front, {0, 100 * (1 + fault.other)});
-      if (kind == "leave" && up) fleet.leave(fault.front);
+      if (kind == "want" && up) {
+        fleet.want(fault.front, {quota::kSlot * fault.other, 0});
+      }
+      if (kind == "lend" && up) {
+        fleet.want(fault.front, {0, 100 * (1 + fault.other)});
+      }
+      if (kind == "leave" && up) {
+        fleet.leave(fault.front);
+      }
       fleet.run(fault.span);
     }
   });
   const bool use = rc::check("what the dead leave is in use soon, and theirs again when they are back", [] {
-    const int fronts = *rc::gen::inRange(3, 9), dead = *rc::gen::inRange(1, (fronts + 1) / 2);
+    const int fronts = *rc::gen::inRange(3, 9);
+    const int dead = *rc::gen::inRange(1, (fronts + 1) / 2);
     VirtualFleet fleet(fronts, brisk(), static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
     quota::Options share;
     share.fleet = fronts;
@@ -97,8 +122,12 @@
       fleet.want(front, {quota::kSlot, 0});
     }
     fleet.run(10000);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == quota::kSlot);
-    for (int front = 0; front < dead; ++front) fleet.kill(front);
+    for (int front = 0; front < fronts; ++front) {
+      RC_ASSERT(fleet.part(front).open == quota::kSlot);
+    }
+    for (int front = 0; front < dead; ++front) {
+      fleet.kill(front);
+    }
     fleet.run(12000);
     int sum = 0;
     for (int front = dead; front < fronts; ++front) {
@@ -112,9 +141,13 @@
       fleet.want(front, {quota::kSlot, 0});
     }
     fleet.run(200);
-    for (int front = 0; front < dead; ++front) RC_ASSERT(fleet.part(front).open >= share.kept);
+    for (int front = 0; front < dead; ++front) {
+      RC_ASSERT(fleet.part(front).open >= share.kept);
+    }
     fleet.run(10000);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).open == quota::kSlot);
+    for (int front = 0; front < fronts; ++front) {
+      RC_ASSERT(fleet.part(front).open == quota::kSlot);
+    }
   });
   const bool lent = rc::check("what some don't use others have, and give back soon", [] {
     const int fronts = *rc::gen::inRange(3, 9);
@@ -123,16 +156,24 @@
     quota::Options share;
     share.fleet = fronts;
     fleet.share(share);
-    for (int front = 0; front < fronts; ++front) fleet.start(front);
+    for (int front = 0; front < fronts; ++front) {
+      fleet.start(front);
+    }
     fleet.run(10000);
     fleet.want(fronts - 1, {2 * quota::kSlot, 0});
-    for (int front = 0; front + 1 < fronts; ++front) fleet.want(front, {0, 600});
+    for (int front = 0; front + 1 < fronts; ++front) {
+      fleet.want(front, {0, 600});
+    }
     fleet.run(10000);
     RC_ASSERT(fleet.part(fronts - 1).open > quota::kSlot);
     // Back within two leases of the last word that it was lent.
-    for (int front = 0; front + 1 < fronts; ++front) fleet.want(front, {0, 0});
+    for (int front = 0; front + 1 < fronts; ++front) {
+      fleet.want(front, {0, 0});
+    }
     fleet.run(2 * share.lease * (1 + 3 * share.drift) + 1);
-    for (int front = 0; front < fronts; ++front) RC_ASSERT(fleet.part(front).hold >= quota::kSlot);
+    for (int front = 0; front < fronts; ++front) {
+      RC_ASSERT(fleet.part(front).hold >= quota::kSlot);
+    }
   });
   return !(sums && use && lent);
 }
--- a/tests/routing.cpp
+++ b/tests/routing.cpp
@@ -44,7 +44,9 @@
 struct Printer {
   void operator()(const StartAttempt& d) const {
     std::cout << "  send " << d.request.number << " to " << d.server.address;
-    if (d.start_within) std::cout << ", begun within " << *d.start_within;
+    if (d.start_within) {
+      std::cout << ", begun within " << *d.start_within;
+    }
     std::cout << '\n';
   }
   void operator()(const CancelAttempt& d) const {
@@ -55,10 +57,10 @@
               << '\n';
   }
   void operator()(const FailRequest& d) const { std::cout << "  error reply " << d.request.number << '\n'; }
-  void operator()(const SetTimer&) const {}
+  void operator()(const SetTimer& /*unused*/) const {}
   void operator()(const StartProbe& d) const { std::cout << "  probe " << d.server.address << '\n'; }
   void operator()(const ForgetServer& d) const { std::cout << "  forget " << d.server.address << '\n'; }
-  void operator()(const WatchEndpoints&) const { std::cout << "  watch the list\n"; }
+  void operator()(const WatchEndpoints& /*unused*/) const { std::cout << "  watch the list\n"; }
   void operator()(const BroadcastToPeers& d) const { std::cout << "  tell " << d.text << '\n'; }
   void operator()(const LogMessage& d) const { std::cout << "  log " << d.text << '\n'; }
 };
@@ -69,10 +71,15 @@
   for (const ServerView& view : views) {
     std::cout << "  " << view.entry.id.address << (view.primary ? " primary" : "")
               << words[static_cast<int>(view.unavailability)];
-    if (view.slow_start_fraction < 1) std::cout << " warm " << view.slow_start_fraction;
-    if (view.position >= 0) std::cout << " at " << view.position << " seen " << view.sampled_at;
-    for (const FreshnessWindow& fresh : view.fresh)
+    if (view.slow_start_fraction < 1) {
+      std::cout << " warm " << view.slow_start_fraction;
+    }
+    if (view.position >= 0) {
+      std::cout << " at " << view.position << " seen " << view.sampled_at;
+    }
+    for (const FreshnessWindow& fresh : view.fresh) {
       std::cout << ", for " << fresh.bound << " until " << fresh.until;
+    }
     std::cout << '\n';
   }
 }
@@ -84,8 +91,11 @@
 AttemptOutcome ending_of(const std::string& word) {
   const char* words[] = {"acked", "errored",    "full",       "timed-out", "unconnected",
                          "reset", "called-off", "never-sent", "untouched"};
-  for (int i = 0; i < 9; ++i)
-    if (word == words[i]) return static_cast<AttemptOutcome>(i);
+  for (int i = 0; i < 9; ++i) {
+    if (word == words[i]) {
+      return static_cast<AttemptOutcome>(i);
+    }
+  }
   throw std::runtime_error("unknown ending " + word);
 }
 
@@ -93,7 +103,8 @@
 // "ended 1/0 a acked replica 9900 took 40", "probed b replica 9950 busy 0.5", "unprobed b", "gone 1", "among
 // 1,2 of 0.6 no-writes no-reads", "wake".
 Event event_of(std::istream& line, const std::string& word) {
-  std::string text, rest;
+  std::string text;
+  std::string rest;
   char slash;
   if (word == "list") {
     EndpointListReceived read;
@@ -127,14 +138,20 @@
     ended.outcome = ending_of(text);
     ended.request_completed = ended.outcome == AttemptOutcome::acknowledged;
     ended.sample.role = role_of(rest);
-    if (!(line >> ended.sample.position)) ended.sample.position = -1;
-    if (!(line >> text >> ended.latency)) ended.latency = 40;
+    if (!(line >> ended.sample.position)) {
+      ended.sample.position = -1;
+    }
+    if (!(line >> text >> ended.latency)) {
+      ended.latency = 40;
+    }
     return ended;
   }
   if (word == "probed") {
     ProbeCompleted ended;
     line >> ended.server.address >> text >> ended.sample.position;
-    if (!(line >> rest >> ended.sample.utilization)) ended.sample.utilization = -1;
+    if (!(line >> rest >> ended.sample.utilization)) {
+      ended.sample.utilization = -1;
+    }
     ended.answered = true;
     ended.sample.role = role_of(text);
     return ended;
@@ -158,44 +175,61 @@
     FleetViewChanged among;
     line >> text >> rest >> among.fleet_share;
     std::istringstream peers(text);
-    for (std::string peer; std::getline(peers, peer, ',');)
-      if (peer != "none") among.alive_peers.insert(std::stoi(peer));
-    while (line >> text) (text == "no-writes" ? among.primary_only_allowed : among.reads_allowed) = false;
+    for (std::string peer; std::getline(peers, peer, ',');) {
+      if (peer != "none") {
+        among.alive_peers.insert(std::stoi(peer));
+      }
+    }
+    while (line >> text) {
+      (text == "no-writes" ? among.primary_only_allowed : among.reads_allowed) = false;
+    }
     return among;
   }
-  if (word == "wake") return TimerExpired{};
+  if (word == "wake") {
+    return TimerExpired{};
+  }
   throw std::runtime_error("unknown event " + word);
 }
 }  // namespace
 
-int main(int, char** argv) {
+int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
   Settings values = usual();
   std::unique_ptr<reedspindle::Router> router;
   for (std::string text; std::getline(file, text);) {
-    if (text.starts_with("  ")) continue;
+    if (text.starts_with("  ")) {
+      continue;
+    }
     std::cout << text << '\n';
     std::istringstream line(text);
-    std::string word, name;
+    std::string word;
+    std::string name;
     line >> word;
-    if (word.empty() || word == "#") continue;
+    if (word.empty() || word == "#") {
+      continue;
+    }
     if (word == "given") {  // a value that differs from the usual: "given checks turns_away"
       line >> name >> word;
-      if (word.find_first_not_of("0123456789.") == std::string::npos)
+      if (word.find_first_not_of("0123456789.") == std::string::npos) {
         values[name] = std::stod(word);
-      else
+      } else {
         values[name] = word;
+      }
       continue;
     }
     if (word == "view") {
       print(router->view());
       continue;
     }
-    if (!router) router = reedspindle::make_router(values, 7);
+    if (!router) {
+      router = reedspindle::make_router(values, 7);
+    }
     if (word == "at") {  // "at 10000" settles what came before; events may follow on later lines
       double now = 0;
       line >> now;
-      for (const auto& decision : router->process(now)) std::visit(Printer{}, decision);
+      for (const auto& decision : router->process(now)) {
+        std::visit(Printer{}, decision);
+      }
     } else {
       router->enqueue(event_of(line, word));
     }
--- a/tests/routing_properties.cpp
+++ b/tests/routing_properties.cpp
@@ -45,11 +45,13 @@
           }
           for (const bool probes_count : {true, false}) {
             double anew = 0;
-            for (const Replica& one : replicas)
+            for (const Replica& one : replicas) {
               if (one.condition && now - one.condition->cold_since >= kWarmWithin &&
                   one.condition->sendable && !one.condition->failed_by_requests &&
-                  !(probes_count && one.condition->failed_by_probes))
+                  !(probes_count && one.condition->failed_by_probes)) {
                 anew += one.condition->size;
+              }
+            }
             RC_ASSERT(capacity.sum(now, probes_count) == anew);
           }
         }
@@ -70,12 +72,17 @@
       } else {
         index.add(marks[which] = *rc::gen::inRange(0, 9), replicas[which]);
       }
-      if (*rc::gen::arbitrary<bool>()) continue;
+      if (*rc::gen::arbitrary<bool>()) {
+        continue;
+      }
       for (long mark = 0; mark < 9; ++mark) {
         int* anew = nullptr;
         int count = 0;
-        for (const auto& [number, has] : marks)
-          if (has == mark) anew = &replicas[number], ++count;
+        for (const auto& [number, has] : marks) {
+          if (has == mark) {
+            anew = &replicas[number], ++count;
+          }
+        }
         RC_ASSERT(index.find(mark) == (count == 1 ? anew : nullptr));
       }
     }
@@ -98,12 +105,19 @@
       }
       now += *rc::gen::inRange(0, 10);
       std::vector<int> due;
-      for (const auto& [one, at] : anew)
-        if (at <= now) due.push_back(one);
+      for (const auto& [one, at] : anew) {
+        if (at <= now) {
+          due.push_back(one);
+        }
+      }
       RC_ASSERT(times.take_due(now) == due);
-      for (const int one : due) anew.erase(one);
+      for (const int one : due) {
+        anew.erase(one);
+      }
       std::optional<Millis> next;
-      for (const auto& [one, at] : anew) next = std::min(at, next.value_or(at));
+      for (const auto& [one, at] : anew) {
+        next = std::min(at, next.value_or(at));
+      }
       RC_ASSERT(times.next() == next);
     }
   });
--- a/tests/snapshot.cpp
+++ b/tests/snapshot.cpp
@@ -32,18 +32,24 @@
 
   std::vector<std::string> names() override {
     std::vector<std::string> all;
-    for (const auto& [name, file] : names_) all.push_back(name);
+    for (const auto& [name, file] : names_) {
+      all.push_back(name);
+    }
     return all;
   }
-  std::optional<std::string> read(const std::string& name, std::size_t) override {
+  std::optional<std::string> read(const std::string& name, std::size_t /*most*/) override {
     return names_.at(name)->now;
   }
   void write(const std::string& name, std::string_view bytes) override {
     auto& file = names_[name];
-    if (!file) file = std::make_shared<File>();
+    if (!file) {
+      file = std::make_shared<File>();
+    }
     file->now = bytes.substr(0, room);
     step();
-    if (bytes.size() > room) throw DiskFault("write: no space left");
+    if (bytes.size() > room) {
+      throw DiskFault("write: no space left");
+    }
   }
   void sync(const std::string& name) override {
     step();
@@ -64,10 +70,14 @@
   }
   // The machine comes back with what lasts, and with any part of what does not.
   void come_back() {
-    if (chance() % 2) lasting_ = names_;
+    if (chance() % 2) {
+      lasting_ = names_;
+    }
     names_ = lasting_;
     for (auto& [name, file] : names_) {
-      if (file->now != file->lasting) file->now = file->now.substr(0, chance() % (file->now.size() + 1));
+      if (file->now != file->lasting) {
+        file->now = file->now.substr(0, chance() % (file->now.size() + 1));
+      }
       file->lasting = file->now;
     }
     steps_left = 1'000'000;
@@ -75,7 +85,9 @@
 
  private:
   void step() {
-    if (steps_left-- <= 0) throw Crash{};
+    if (steps_left-- <= 0) {
+      throw Crash{};
+    }
   }
 };
 
@@ -84,8 +96,10 @@
 // A crash before each step of the third save; the state found has to be the second or the third, never
 // another, and the save after it goes through.
 void crashes() {
-  int second = 0, third = 0, wrong = 0;
-  for (long steps = 0; steps < 6; ++steps)
+  int second = 0;
+  int third = 0;
+  int wrong = 0;
+  for (long steps = 0; steps < 6; ++steps) {
     for (unsigned seed = 1; seed <= 200; ++seed) {
       ScriptedDisk disk;
       disk.chance.seed(seed);
@@ -109,6 +123,7 @@
       reader.save(state_of(4));
       wrong += Store(disk).load().state != state_of(4);
     }
+  }
   std::cout << "crashes at each step: some kept the state before " << (second > 0 ? "yes" : "no")
             << ", some the new one " << (third > 0 ? "yes" : "no") << ", wrong " << wrong << '\n';
 }
@@ -120,8 +135,10 @@
   writer.load();
   writer.save(state_of(1));
   writer.save(state_of(2));
-  const std::string newest = disk.names().back(), whole = disk.names_.at(newest)->now;
-  int cut = 0, flipped = 0;
+  const std::string newest = disk.names().back();
+  const std::string whole = disk.names_.at(newest)->now;
+  int cut = 0;
+  int flipped = 0;
   for (std::size_t at = 0; at < whole.size(); ++at) {
     disk.names_.at(newest)->now = whole.substr(0, at);
     const Loaded loaded = Store(disk).load();
@@ -142,7 +159,9 @@
   std::cout << "older format: " << Store(disk).load().damaged.front().why << '\n';
   disk.names_.at(newest)->now = disk.names_.begin()->second->now;
   std::cout << "copied over: " << Store(disk).load().damaged.front().why << '\n';
-  for (auto& [name, file] : disk.names_) file->now = "";
+  for (auto& [name, file] : disk.names_) {
+    file->now = "";
+  }
   const Loaded lost = Store(disk).load();
   std::cout << "all damaged: state " << (lost.state ? "found" : "none") << ", said of " << lost.damaged.size()
             << "; then save " <<
@@ -178,7 +197,9 @@
   int wrong = 0;
   for (int round = 0; round < 20; ++round) {
     int said[2];
-    if (pipe(said) != 0) std::exit(1);
+    if (pipe(said) != 0) {
+      std::exit(1);
+    }
     const pid_t child = fork();
     if (child == 0) {
       FolderDisk disk(folder);
@@ -186,18 +207,24 @@
       store.load();
       for (;;) {
         const std::uint64_t next = store.save(fmt::format("of {}", round));
-        if (write(said[1], &next, sizeof next) != sizeof next) _exit(1);
+        if (write(said[1], &next, sizeof next) != sizeof next) {
+          _exit(1);
+        }
       }
     }
     close(said[1]);
-    std::uint64_t last = 0, read_one = 0;
+    std::uint64_t last = 0;
+    std::uint64_t read_one = 0;
     const int until = 1 + round;  // saves it lives through at least
     for (int count = 0; count < until && read(said[0], &read_one, sizeof read_one) == sizeof read_one;
-         ++count)
+         ++count) {
       last = read_one;
+    }
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
-    while (read(said[0], &read_one, sizeof read_one) == sizeof read_one) last = read_one;
+    while (read(said[0], &read_one, sizeof read_one) == sizeof read_one) {
+      last = read_one;
+    }
     close(said[0]);
     FolderDisk disk(folder);
     const Loaded loaded = Store(disk).load();
@@ -213,7 +240,9 @@
 
 int main() {
   char folder[] = "/tmp/reedspindle-keep-XXXXXX";
-  if (!mkdtemp(folder)) return 1;
+  if (!mkdtemp(folder)) {
+    return 1;
+  }
   std::cout << "first start: " << (Store(*std::make_unique<ScriptedDisk>()).load().state ? "a state" : "none")
             << '\n';
   crashes();
--- a/tests/stored_forms.cpp
+++ b/tests/stored_forms.cpp
@@ -30,7 +30,9 @@
 
 std::string hex(const std::string& bytes) {
   std::string text;
-  for (const char byte : bytes) text += fmt::format("{:02x}", static_cast<unsigned char>(byte));
+  for (const char byte : bytes) {
+    text += fmt::format("{:02x}", static_cast<unsigned char>(byte));
+  }
   return text;
 }
 
@@ -70,29 +72,37 @@
   const snapshot::Loaded loaded = store.load();
   std::cout << fmt::format("snapshot: generation {}, whole {}, damaged {}\n", loaded.generation,
                            loaded.state.has_value(), loaded.damaged.size());
-  if (!loaded.state) return;
+  if (!loaded.state) {
+    return;
+  }
   const control::RegistryState kept = control::registry_state_in(*loaded.state);
   std::cout << fmt::format("revision {}\n", kept.revision);
-  for (const control::RegistryEntry& one : kept.members)
+  for (const control::RegistryEntry& one : kept.members) {
     std::cout << fmt::format("{} {} {} zone {} group {} kind {} state {} size {:.3f} up since {:.3f}\n",
                              one.listed.id.address, one.endpoint, one.zone, one.listed.zone.number,
                              one.listed.group.number, one.listed.kind, static_cast<int>(one.listed.state),
                              one.listed.size, one.listed.started_at);
+  }
   std::cout << fmt::format("the same text: {}\n", control::text_of(kept) == *loaded.state);
   std::cout << fmt::format("the text of the state: {}\n", control::text_of(state()) == *loaded.state);
   const auto again = scratch / "again";
   write(again.string(), control::text_of(kept));
   const auto written = files_of(again);
   std::cout << fmt::format("the same files: {}\n", written == files_of(fixture));
-  for (const auto& [name, bytes] : written) std::cout << fmt::format("{} {}\n", name, hex(bytes));
+  for (const auto& [name, bytes] : written) {
+    std::cout << fmt::format("{} {}\n", name, hex(bytes));
+  }
 }
 
 void operators_file(const std::filesystem::path& fixture) {
   try {
-    for (const std::string& line : operators::show(operators::read_file(fixture.string())))
+    for (const std::string& line : operators::show(operators::read_file(fixture.string()))) {
       std::cout << line << '\n';
+    }
   } catch (const operators::InvalidFile& faulty) {
-    for (const std::string& line : faulty.lines) std::cout << "faulty: " << line << '\n';
+    for (const std::string& line : faulty.lines) {
+      std::cout << "faulty: " << line << '\n';
+    }
   }
 }
 
@@ -105,7 +115,9 @@
   }
   const std::filesystem::path fixtures = words[1];
   std::string name = (std::filesystem::temp_directory_path() / "stored_forms-XXXXXX").string();
-  if (!mkdtemp(name.data())) return 1;
+  if (!mkdtemp(name.data())) {
+    return 1;
+  }
   const std::filesystem::path scratch = name;
   check_snapshot(fixtures / "snapshot-58f40b9", scratch);
   std::filesystem::remove_all(scratch);
--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -42,7 +42,9 @@
 // One group: a primary and replicas.
 void one_group(std::vector<StoreState>& states) {
   states[0].primary = true;
-  for (StoreState& state : states) state.group = 0;
+  for (StoreState& state : states) {
+    state.group = 0;
+  }
 }
 
 bool names(const Proxy& proxy, const std::string& assignment, const std::string& member,
@@ -54,10 +56,16 @@
 std::string healthy_in(const Proxy& proxy, const std::string& assignment) {
   std::string text;
   std::map<unsigned, std::set<std::string>> by_priority;
-  for (const Handed& handed : proxy.assignment(assignment).value_or(std::vector<Handed>{}))
-    if (handed.healthy) by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
-  for (const auto& [priority, members] : by_priority)
-    for (const std::string& member : members) text += fmt::format(" {}:{}", priority, member);
+  for (const Handed& handed : proxy.assignment(assignment).value_or(std::vector<Handed>{})) {
+    if (handed.healthy) {
+      by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
+    }
+  }
+  for (const auto& [priority, members] : by_priority) {
+    for (const std::string& member : members) {
+      text += fmt::format(" {}:{}", priority, member);
+    }
+  }
   return text;
 }
 bool any_empty(const Proxy& proxy) {
@@ -74,7 +82,8 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  Proxy whole("w", service.target(), kWhole, kNames), changes("c", service.target(), kChanges, kNames);
+  Proxy whole("w", service.target(), kWhole, kNames);
+  Proxy changes("c", service.target(), kChanges, kNames);
   for (Proxy* proxy : {&whole, &changes}) {
     say("told", proxy->wait([](const Proxy& p) {
       return settled(p) && names(p, "group-0.within-1500ms", "s-003") && names(p, "group-0.any", "s-003");
@@ -85,19 +94,22 @@
     say(fmt::format("clusters: {}", clusters.size()));
   }
   world.quietly([](auto& states) { states[1].lag = 60000; });
-  for (Proxy* proxy : {&whole, &changes})
+  for (Proxy* proxy : {&whole, &changes}) {
     say("the lagging one is out of bounded reads",
         proxy->wait([](const Proxy& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
+  }
   world.change([](auto& states) { states[3].draining = true; });
-  for (Proxy* proxy : {&whole, &changes})
+  for (Proxy* proxy : {&whole, &changes}) {
     say("the draining one is out", proxy->wait([](const Proxy& p) {
       return !names(p, "group-0.any", "s-003") && names(p, "group-0.members", "s-003", false);
     }));
+  }
   world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  for (Proxy* proxy : {&whole, &changes})
+  for (Proxy* proxy : {&whole, &changes}) {
     say("the new primary is followed", proxy->wait([](const Proxy& p) {
       return names(p, "group-0.primary", "s-002") && !names(p, "group-0.primary", "s-000");
     }));
+  }
   service.end(SIGTERM);
   say("one told to stop says so", service.says("stops name=a"));
 }
@@ -109,39 +121,53 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  std::atomic<bool> drained = false, brought_back = false, empty = false;
+  std::atomic<bool> drained = false;
+  std::atomic<bool> brought_back = false;
+  std::atomic<bool> empty = false;
   const auto look = [&](Proxy& proxy, const std::string&, double) {
     empty = empty || any_empty(proxy);
-    if (drained && names(proxy, "group-0.any", "s-002")) brought_back = true;
+    if (drained && names(proxy, "group-0.any", "s-002")) {
+      brought_back = true;
+    }
   };
   std::vector<std::unique_ptr<Proxy>> proxies;
-  for (int i = 0; i < 6; ++i)
+  for (int i = 0; i < 6; ++i) {
     proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(),
                                               i % 2 ? kChanges : kWhole, kNames, look));
-  for (auto& proxy : proxies)
-    if (!proxy->wait(settled)) return say("not told");
+  }
+  for (auto& proxy : proxies) {
+    if (!proxy->wait(settled)) {
+      return say("not told");
+    }
+  }
   // Down, then heard by the next start alone.
   service.end(SIGKILL);
   world.change([](auto& states) { states[2].draining = true; });
   service.start();
   say("heard by the next start", service.says("hands out"));
-  for (auto& proxy : proxies)
-    if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }))
+  for (auto& proxy : proxies) {
+    if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); })) {
       return say("a proxy still has it");
+    }
+  }
   drained = true;
   // The store has it now; with discovery silent the next start goes by that.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   world.discovery(Manner::silent);
   for (int round = 0; round < 3; ++round) {
     std::vector<int> before;
-    for (auto& proxy : proxies) before.push_back(static_cast<int>(proxy->responses()));
+    for (auto& proxy : proxies) {
+      before.push_back(static_cast<int>(proxy->responses()));
+    }
     service.end(SIGKILL);
     service.start();
-    for (std::size_t i = 0; i < proxies.size(); ++i)
+    for (std::size_t i = 0; i < proxies.size(); ++i) {
       if (!proxies[i]->wait([&](const Proxy& p) {
             return static_cast<int>(p.responses()) > before[i] + 1 && names(p, "group-0.any", "s-001");
-          }))
+          })) {
         return say("a proxy was not told again");
+      }
+    }
   }
   say("brought back", brought_back);
   say("an empty roster", empty);
@@ -153,41 +179,55 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  std::atomic<bool> empty = false, fell = false, sends_to_drained = false;
+  std::atomic<bool> empty = false;
+  std::atomic<bool> fell = false;
+  std::atomic<bool> sends_to_drained = false;
   std::atomic<int> drained = -1;
   std::mutex mutex;
   std::map<std::string, std::pair<long long, long long>> last;  // epoch and change, by proxy
   std::vector<std::unique_ptr<Proxy>> proxies;
   const auto look = [&](Proxy& proxy, const std::string& type, double) {
     empty = empty || any_empty(proxy);
-    long long revision = 0, epoch = 0, change = 0;
-    if (!type.ends_with("Assignment")) return;
-    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change) != 3)
+    long long revision = 0;
+    long long epoch = 0;
+    long long change = 0;
+    if (!type.ends_with("Assignment")) {
+      return;
+    }
+    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change) != 3) {
       fell = true;
+    }
     const std::lock_guard lock(mutex);
     auto& of = last[proxy.node()];
     fell = fell || std::pair(epoch, change) < of;
     of = {epoch, change};
   };
-  for (int i = 0; i < 4; ++i)
+  for (int i = 0; i < 4; ++i) {
     proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(), kWhole, kNames, look));
+  }
   std::minstd_rand chance(11);
   for (int kill = 0; kill < 25; ++kill) {
     const int out = 1 + static_cast<int>(chance() % 5);
     world.change([out](auto& states) {
-      for (int i = 1; i < 6; ++i) states[static_cast<std::size_t>(i)].draining = i == out;
+      for (int i = 1; i < 6; ++i) {
+        states[static_cast<std::size_t>(i)].draining = i == out;
+      }
     });
     std::this_thread::sleep_for(std::chrono::microseconds(chance() % 120000));
     service.end(SIGKILL);
     service.start();
-    if (kill % 5 != 4) continue;
+    if (kill % 5 != 4) {
+      continue;
+    }
     // Let it come up and see that everyone has the latest.
-    for (auto& proxy : proxies)
+    for (auto& proxy : proxies) {
       if (!proxy->wait([&](const Proxy& p) {
             return !names(p, "group-0.any", world.name_of(out)) &&
                    names(p, "group-0.members", world.name_of(out), false);
-          }))
+          })) {
         return say("a proxy was not told");
+      }
+    }
   }
   say("an empty roster", empty);
   say("a version that fell", fell);
@@ -201,16 +241,23 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  if (!service.says("hands out")) return say("not started");
+  if (!service.says("hands out")) {
+    return say("not started");
+  }
   world.change([](auto& states) { states[2].draining = true; });
-  if (!service.says("member=s-002")) return say("not heard");
+  if (!service.says("member=s-002")) {
+    return say("not heard");
+  }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   service.end(SIGKILL);
   world.discovery(Manner::silent);
   const auto newest_first = [&] {
     std::vector<std::string> files;
-    for (const auto& entry : std::filesystem::directory_iterator(service.keep()))
-      if (entry.path().filename().string().starts_with("state.")) files.push_back(entry.path());
+    for (const auto& entry : std::filesystem::directory_iterator(service.keep())) {
+      if (entry.path().filename().string().starts_with("state.")) {
+        files.push_back(entry.path());
+      }
+    }
     std::ranges::sort(files, std::greater());
     return files;
   };
@@ -221,7 +268,9 @@
       proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
   say("it is said", service.says("its length is not the one it states"));
   service.end(SIGKILL);
-  for (const std::string& file : newest_first()) std::ofstream(file) << "RSKEEP\r\nolder";
+  for (const std::string& file : newest_first()) {
+    std::ofstream(file) << "RSKEEP\r\nolder";
+  }
   service.start();
   say("all lost is said", service.says("it is cut short"));
   Proxy fresh("f", service.target(), kWhole, kNames);
@@ -264,17 +313,23 @@
 // Two services side by side, of which one hears of a drain and the other does not: a proxy that changes to
 // the other in mid-drain is left with what it knows, until that one has heard, too.
 void two_services() {
-  World world(4), behind(4);
+  World world(4);
+  World behind(4);
   world.change(one_group), behind.change(one_group);
   ServiceProcess one(program, folder, "a", world.discovery_address());
   ServiceProcess other(program, folder, "b", behind.discovery_address());
   one.start(), other.start();
-  if (!one.says("hands out") || !other.says("hands out")) return say("not started");
+  if (!one.says("hands out") || !other.says("hands out")) {
+    return say("not started");
+  }
   for (const ProxyCan& can : {kWhole, kChanges}) {
     world.change([](auto& states) { states[2].draining = false; });
-    std::atomic<bool> drained = false, back = false;
+    std::atomic<bool> drained = false;
+    std::atomic<bool> back = false;
     Proxy proxy("p", one.target(), can, kNames, [&](Proxy& p, const std::string&, double) {
-      if (drained && names(p, "group-0.any", "s-002")) back = true;
+      if (drained && names(p, "group-0.any", "s-002")) {
+        back = true;
+      }
     });
     say("told by the first", proxy.wait(settled));
     world.change([](auto& states) { states[2].draining = true; });
@@ -303,15 +358,19 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (unread 1s))");
   service.start();
-  Proxy well("well", service.target(), kWhole, kNames), deaf("deaf", service.target(), kWhole, kNames),
-      mute("mute", service.target(), kWhole, kNames),
-      contrary("contrary", service.target(), kChanges, kNames);
-  for (Proxy* proxy : {&well, &deaf, &mute, &contrary}) say("told", proxy->wait(settled));
+  Proxy well("well", service.target(), kWhole, kNames);
+  Proxy deaf("deaf", service.target(), kWhole, kNames);
+  Proxy mute("mute", service.target(), kWhole, kNames);
+  Proxy contrary("contrary", service.target(), kChanges, kNames);
+  for (Proxy* proxy : {&well, &deaf, &mute, &contrary}) {
+    say("told", proxy->wait(settled));
+  }
   deaf.reads = false, mute.answers = false, contrary.turns_down = true;
   for (int turn = 0; turn < 30; ++turn) {
     world.change([turn](auto& states) { states[2].draining = turn % 2 == 0; });
-    if (!well.wait([turn](const Proxy& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); }))
+    if (!well.wait([turn](const Proxy& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
       return say("the well one was not told");
+    }
   }
   say("the mute one is let go", service.says("node=mute why=\"it does not answer\""));
   const auto before = contrary.responses();
@@ -337,27 +396,37 @@
   inet_pton(AF_INET, target.substr(0, target.rfind(':')).c_str(), &address.sin_addr);
   for (int i = 0; i < 200; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+    if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
       return say("not reached");
+    }
     std::string noise = i % 3 == 0 ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
-    for (unsigned n = chance() % 2000; n > 0; --n) noise += static_cast<char>(chance());
-    if (send(fd, noise.data(), noise.size(), MSG_NOSIGNAL) < 0) say("not sent");
+    for (unsigned n = chance() % 2000; n > 0; --n) {
+      noise += static_cast<char>(chance());
+    }
+    if (send(fd, noise.data(), noise.size(), MSG_NOSIGNAL) < 0) {
+      say("not sent");
+    }
     open.push_back(fd);
   }
   std::vector<std::string> many;
-  for (int i = 0; i < 5000; ++i) many.push_back(fmt::format("nobody-{}", i));
+  for (int i = 0; i < 5000; ++i) {
+    many.push_back(fmt::format("nobody-{}", i));
+  }
   Proxy greedy("greedy", target, kChanges, many);
   say("the greedy one is let go", service.says("node=greedy why=\"more than 100 names\""));
   greedy.stop();
   std::vector<std::unique_ptr<Proxy>> crowd;
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 8; ++i) {
     crowd.push_back(std::make_unique<Proxy>(fmt::format("crowd-{}", i), target, kWhole, kNames));
+  }
   say("the crowd is limited", service.says("not taken"));
   world.change([](auto& states) { states[2].draining = true; });
   say("the well one is told all the same",
       well.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
   say("one stream from the start", well.streams() == 1);
-  for (const int fd : open) close(fd);
+  for (const int fd : open) {
+    close(fd);
+  }
 }
 
 // Stand-in proxies send reads by what they were handed while replicas stall and streams are cut; what they
@@ -368,7 +437,7 @@
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
   std::vector<std::unique_ptr<Proxy>> proxies;
-  for (int i = 0; i < 6; ++i)
+  for (int i = 0; i < 6; ++i) {
     proxies.push_back(std::make_unique<Proxy>(
         fmt::format("p{}", i), service.target(),
         i % 3 == 2 ? ProxyCan{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "stand-in"}
@@ -376,33 +445,53 @@
                    : kWhole,
         std::vector<std::string>{"group-0.within-1500ms", "group-0.within-1500ms.replicas",
                                  "group-0.primary"}));
-  for (auto& proxy : proxies)
-    if (!proxy->wait([](const Proxy& p) { return names(p, "group-0.primary", "s-000"); }))
+  }
+  for (auto& proxy : proxies) {
+    if (!proxy->wait([](const Proxy& p) { return names(p, "group-0.primary", "s-000"); })) {
       return say("not told");
+    }
+  }
   std::map<std::string, int> stores;
-  for (int store = 0; store < world.size(); ++store) stores[world.address_of(store)] = store;
+  for (int store = 0; store < world.size(); ++store) {
+    stores[world.address_of(store)] = store;
+  }
   std::minstd_rand chance(5);
-  long reads = 0, on_replicas = 0, nowhere = 0, too_old = 0;
+  long reads = 0;
+  long on_replicas = 0;
+  long nowhere = 0;
+  long too_old = 0;
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(8);
   for (unsigned turn = 0; std::chrono::steady_clock::now() < end; ++turn) {
     if (turn % 400 == 0) {
       world.quietly([&](auto& states) {
         for (std::size_t i = 1; i < states.size(); ++i) {
           const bool stalls = chance() % 3 == 0;
-          if (stalls && states[i].stalled_at < 0) states[i].stalled_at = now_ms() - states[i].lag;
-          if (!stalls) states[i].stalled_at = -1;
+          if (stalls && states[i].stalled_at < 0) {
+            states[i].stalled_at = now_ms() - states[i].lag;
+          }
+          if (!stalls) {
+            states[i].stalled_at = -1;
+          }
         }
       });
       proxies[chance() % proxies.size()]->come_back();
     }
-    if (turn == 4000) kill(service.pid(), SIGSTOP);  // nothing more is heard of us
-    if (turn == 9000) kill(service.pid(), SIGCONT);
+    if (turn == 4000) {
+      kill(service.pid(), SIGSTOP);  // nothing more is heard of us
+    }
+    if (turn == 9000) {
+      kill(service.pid(), SIGCONT);
+    }
     const std::vector<double> positions = world.positions();
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       const double now = now_ms();
       auto to = proxies[i]->pick("group-0.within-1500ms", now, turn);
-      if (!to) to = proxies[i]->pick("group-0.within-1500ms.replicas", now, turn);
-      if (!to) to = proxies[i]->pick("group-0.primary", now, turn);
+      if (!to) {
+        to = proxies[i]->pick("group-0.within-1500ms.replicas", now, turn);
+      }
+      if (!to) {
+        to = proxies[i]->pick("group-0.primary", now, turn);
+      }
       ++reads;
       if (!to) {
         ++nowhere;
@@ -426,10 +515,13 @@
   World world(3);
   world.change(one_group);
   const auto run = [](const std::string& command) {
-    if (std::system((command + " >/dev/null 2>&1").c_str()) != 0) say("failed: " + command);
+    if (std::system((command + " >/dev/null 2>&1").c_str()) != 0) {
+      say("failed: " + command);
+    }
   };
   const auto issue = [&](const std::string& name, const std::string& by, const std::string& subject) {
-    const std::string at = folder + "/" + name, from = folder + "/" + by;
+    const std::string at = folder + "/" + name;
+    const std::string from = folder + "/" + by;
     run(fmt::format("openssl req -newkey rsa:2048 -nodes -keyout {0}.key -out {0}.csr -subj /CN={1}", at,
                     subject));
     std::ofstream(at + ".ext") << "subjectAltName=DNS:" << subject << "\n";
@@ -458,12 +550,15 @@
           "(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") (proxies \"{0}/ours.pem\"))",
           folder));
   service.start();
-  if (!service.says("hands out")) return say("not started");
+  if (!service.says("hands out")) {
+    return say("not started");
+  }
   const auto proxy_of = [&](const std::string& name) {
     grpc::SslCredentialsOptions options;
     options.pem_root_certs = read("ours.pem");
-    if (!name.empty())
+    if (!name.empty()) {
       options.pem_private_key = read(name + ".key"), options.pem_cert_chain = read(name + ".pem");
+    }
     auto target = std::make_unique<Proxy>("p", service.target(), kWhole, kNames, Proxy::Applied{},
                                           grpc::SslCredentials(options));
     return target;
@@ -550,7 +645,8 @@
     context.set_wait_for_ready(true);
     context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(5));
     grpc::CompletionQueue queue;
-    grpc::ByteBuffer asked(nullptr, 0), answer;
+    grpc::ByteBuffer asked(nullptr, 0);
+    grpc::ByteBuffer answer;
     auto reader = stub.PrepareUnaryCall(&context, "/stores/Say", asked, &queue);
     reader->StartCall();
     grpc::Status status;
@@ -559,7 +655,9 @@
     bool ok = false;
     queue.Next(&tag, &ok);
     queue.Shutdown();
-    while (queue.Next(&tag, &ok)) continue;
+    while (queue.Next(&tag, &ok)) {
+      continue;
+    }
     const auto& trailing = context.GetServerTrailingMetadata();
     const auto store = trailing.find("store");
     return store == trailing.end() ? status.error_message()
@@ -567,14 +665,20 @@
   };
   const auto reached = [&](const std::string& type, int calls) {
     std::set<std::string> stores;
-    for (int i = 0; i < calls; ++i) stores.insert(call(type));
+    for (int i = 0; i < calls; ++i) {
+      stores.insert(call(type));
+    }
     std::string text;
-    for (const std::string& store : stores) text += " " + store;
+    for (const std::string& store : stores) {
+      text += " " + store;
+    }
     return text;
   };
   const auto becomes = [&](const std::string& type, const std::string& wanted) {
     for (int turn = 0; turn < 100; ++turn) {
-      if (reached(type, 12) == wanted) return true;
+      if (reached(type, 12) == wanted) {
+        return true;
+      }
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
     say(type + " reaches" + reached(type, 12));
@@ -610,18 +714,28 @@
 }  // namespace
 
 int main(int count, char** words) {
-  if (count != 3) return 2;
+  if (count != 3) {
+    return 2;
+  }
   program = words[1];
   std::signal(SIGPIPE, SIG_IGN);
   char made[] = "/tmp/reedspindle-proxies-XXXXXX";
-  if (!mkdtemp(made)) return 1;
+  if (!mkdtemp(made)) {
+    return 1;
+  }
   folder = made;
   std::ifstream file(words[2]);
   for (std::string line; std::getline(file, line);) {
-    if (line.starts_with("  ")) continue;
+    if (line.starts_with("  ")) {
+      continue;
+    }
     std::cout << line << std::endl;
     const auto scenario = kScenarios.find(line);
-    if (scenario != kScenarios.end()) scenario->second();
+    if (scenario != kScenarios.end()) {
+      scenario->second();
+    }
+  }
+  if (!std::getenv("REEDSPINDLE_KEEP_LOGS")) {
+    std::filesystem::remove_all(folder);
   }
-  if (!std::getenv("REEDSPINDLE_KEEP_LOGS")) std::filesystem::remove_all(folder);
 }
--- a/testservers/service.cpp
+++ b/testservers/service.cpp
@@ -29,10 +29,11 @@
       name_(std::move(name)),
       address_(own_address()) {
   file_ = folder_ + "/" + name_ + ".sexp", log_ = folder_ + "/" + name_ + ".log";
-  if (other_lists.empty())
+  if (other_lists.empty()) {
     other_lists =
         "(op-type (name save) (needs write)) (op-type (name browse) (needs bounded) (bound 1500ms))"
         "(op-type (name own) (needs session)) (op-type (name report) (needs any))";
+  }
   std::ofstream(file_) << fmt::format(
       "(reedspindle (log (lines-of-a-kind 100000)) {}\n (control (name {}) (listen \"{}\")\n"
       "  (discovery \"{}\") (keep \"{}\") {}))\n",
@@ -40,12 +41,16 @@
 }
 
 ServiceProcess::~ServiceProcess() {
-  if (pid_ > 0) end(SIGKILL);
+  if (pid_ > 0) {
+    end(SIGKILL);
+  }
 }
 
 void ServiceProcess::start() {
   pid_ = fork();
-  if (pid_ != 0) return;
+  if (pid_ != 0) {
+    return;
+  }
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int log = open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   dup2(log, STDERR_FILENO);
@@ -73,7 +78,9 @@
 
 bool ServiceProcess::says(const std::string& text) const {
   for (int turn = 0; turn < 1000; ++turn) {
-    if (log().find(text) != std::string::npos) return true;
+    if (log().find(text) != std::string::npos) {
+      return true;
+    }
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   return false;
@@ -83,16 +90,23 @@
   Cost cost;
   std::ifstream status(fmt::format("/proc/{}/status", pid_));
   for (std::string line; std::getline(status, line);) {
-    if (line.starts_with("VmRSS:")) cost.resident = std::stol(line.substr(6));
-    if (line.starts_with("VmHWM:")) cost.most = std::stol(line.substr(6));
+    if (line.starts_with("VmRSS:")) {
+      cost.resident = std::stol(line.substr(6));
+    }
+    if (line.starts_with("VmHWM:")) {
+      cost.most = std::stol(line.substr(6));
+    }
   }
   std::ifstream stat(fmt::format("/proc/{}/stat", pid_));
   std::string text((std::istreambuf_iterator<char>(stat)), {});
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string field;
   double ticks = 0;
-  for (int at = 3; fields >> field && at <= 15; ++at)
-    if (at == 14 || at == 15) ticks += std::stod(field);
+  for (int at = 3; fields >> field && at <= 15; ++at) {
+    if (at == 14 || at == 15) {
+      ticks += std::stod(field);
+    }
+  }
   cost.processor = ticks * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
   return cost;
 }
--- a/testservers/world.cpp
+++ b/testservers/world.cpp
@@ -50,16 +50,23 @@
 std::string World::name_of(int store) const { return fmt::format("s-{:03}", store); }
 std::string World::address_of(int store) const { return config::text_of(stores_.at(store)); }
 int World::store_at(const std::string& address) const {
-  for (int store = 0; store < size(); ++store)
-    if (address_of(store) == address) return store;
+  for (int store = 0; store < size(); ++store) {
+    if (address_of(store) == address) {
+      return store;
+    }
+  }
   return -1;
 }
 
 void World::apply(const std::function<void(std::vector<StoreState>&)>& by) {
   std::vector<StoreState> states;
-  for (int store = 0; store < size(); ++store) states.push_back(stores_.state(store));
+  for (int store = 0; store < size(); ++store) {
+    states.push_back(stores_.state(store));
+  }
   by(states);
-  for (int store = 0; store < size(); ++store) stores_.state(store) = states[static_cast<std::size_t>(store)];
+  for (int store = 0; store < size(); ++store) {
+    stores_.state(store) = states[static_cast<std::size_t>(store)];
+  }
 }
 
 double World::change(const std::function<void(std::vector<StoreState>&)>& by) {
@@ -92,7 +99,9 @@
 std::vector<double> World::positions() const {
   std::vector<double> positions;
   on_loop([&] {
-    for (int store = 0; store < size(); ++store) positions.push_back(stores_.position(store));
+    for (int store = 0; store < size(); ++store) {
+      positions.push_back(stores_.position(store));
+    }
   });
   return positions;
 }
@@ -111,7 +120,9 @@
   nlohmann::json targets = nlohmann::json::array();
   for (int store = 0; manner_ != Manner::empty_list && store < size(); ++store) {
     const StoreState& state = stores_.state(store);
-    if (!state.listed) continue;
+    if (!state.listed) {
+      continue;
+    }
     targets.push_back({{"uid", name_of(store)},
                        {"endpoint", address_of(store)},
                        {"az", "a"},
