--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -16,6 +16,7 @@
 #include "routing/mark_index.hpp"
 #include "routing/probe_leader.hpp"
 #include "routing/replica_samples.hpp"
+#include "routing/router_options.hpp"
 #include "routing/warm_capacity.hpp"
 
 namespace reedspindle {
@@ -26,61 +27,6 @@
 constexpr Millis kProbePeriod = 200;    // the design's pace of probing
 constexpr Millis kLagThreshold = 2000;  // for reads without a bound: the figure the design's source uses
 
-enum class Effect { retryable, tokened, non_retryable };
-enum class Needs { any, bounded, session, current, write };
-
-struct RequestClass {
-  Effect effect = Effect::non_retryable;
-  Needs needs = Needs::write;
-  bool group_tokens = true, long_work = false;
-  double target = 0, request_timeout = 0, bound = 0, token_memory = 0, value = 1, late_value = 0;
-  [[nodiscard]] bool primary_only() const { return needs == Needs::write || needs == Needs::current; }
-  // Value for the time it takes, for which the latency target stands: both are known before anything has run.
-  [[nodiscard]] double density() const { return value / std::max(1.0, target); }
-};
-
-// What the deployment states at start.
-struct Catalog {
-  explicit Catalog(const Settings& values) : values_(values) {
-    std::vector<Millis> targets;
-    for (int i = 0; i < static_cast<int>(number("op_types", 0)); ++i) {
-      const std::string at = "op_type." + std::to_string(i) + ".";
-      RequestClass& request_class = request_classes.emplace_back();
-      request_class.effect = static_cast<Effect>(place(word(at + "effect", ""), {"retryable", "tokened"}));
-      request_class.needs =
-          static_cast<Needs>(place(word(at + "needs", ""), {"any", "bounded", "session", "current"}));
-      request_class.group_tokens = word(at + "token_scope", "group") != "all";
-      targets.push_back(request_class.target = number(at + "latency_target", 1000));
-      request_class.request_timeout = number(at + "op_timeout"),
-      request_class.token_memory = number(at + "token_memory");
-      request_class.bound = number(at + "bound"), request_class.late_value = number(at + "late_value");
-      request_class.value = number(at + "value", 1);
-    }
-    std::ranges::sort(targets);
-    // Long work: wanted far later than the usual op; five times the median sets reports apart from look-ups.
-    for (RequestClass& request_class : request_classes) {
-      request_class.long_work = request_class.target > 5 * targets[targets.size() / 2];
-    }
-  }
-  [[nodiscard]] double number(const std::string& name, double other = 0) const { return pick(name, other); }
-  [[nodiscard]] std::string word(const std::string& name, const std::string& other) const {
-    return pick(name, other);
-  }
-  std::vector<RequestClass> request_classes;
-
- private:
-  template <typename T>
-  [[nodiscard]] T pick(const std::string& name, const T& other) const {
-    const auto found = values_.find(name);
-    const T* value = found == values_.end() ? nullptr : std::get_if<T>(&found->second);
-    return value ? *value : other;
-  }
-  static long place(const std::string& word, std::initializer_list<const char*> words) {
-    return std::ranges::find(words, word) - words.begin();
-  }
-  Settings values_;
-};
-
 template <typename T>
 void keep(std::deque<T>& last, const std::type_identity_t<T>& sample, std::size_t most) {
   last.push_back(sample);
@@ -89,6 +35,11 @@
   }
 }
 
+using routing::Consistency;
+using routing::RequestClass;
+using routing::RetrySafety;
+using routing::RouterOptions;
+
 struct Group;
 
 struct Server {
@@ -154,13 +105,8 @@
 class Steering final : public Router {
  public:
   Steering(const Settings& values, std::uint64_t seed)
-      : catalog_(values), chance_(static_cast<std::minstd_rand::result_type>(seed)) {
-    for (const RequestClass& request_class : catalog_.request_classes) {
-      if (request_class.primary_only()) {
-        primary_density_ = std::max(primary_density_, request_class.density());
-      }
-    }
-  }
+      : options_(routing::parse_router_options(values)),
+        chance_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
   void enqueue(Event event) override { noted_.push_back(std::move(event)); }
 
@@ -180,9 +126,9 @@
   // The same tests as an op's, told with the time up to which they hold.
   [[nodiscard]] std::vector<ServerView> view() const override {
     std::set<Millis> bounds{kLagThreshold};
-    for (const RequestClass& request_class : catalog_.request_classes) {
-      if (request_class.needs == Needs::bounded) {
-        bounds.insert(request_class.bound);
+    for (const RequestClass& request_class : options_.request_classes) {
+      if (request_class.consistency == Consistency::bounded) {
+        bounds.insert(request_class.staleness_bound);
       }
     }
     std::vector<ServerView> views;
@@ -190,7 +136,8 @@
       ServerView& view = views.emplace_back(server.entry);
       const auto group = groups_.find(server.entry.group);
       view.primary = group != groups_.end() && primary_of(group->second) == &server;
-      view.unavailability = server.entry.state == ServerState::gone && bound_by_gone_ ? Unavailability::gone
+      view.unavailability = server.entry.state == ServerState::gone && options_.gone_is_excluded
+                                ? Unavailability::gone
                             : !sendable(server) ? Unavailability::draining
                             : down(server)      ? Unavailability::down
                             : !usable(server)   ? Unavailability::backing_off
@@ -210,11 +157,9 @@
   }
 
  private:
-  Catalog catalog_;
+  const RouterOptions options_;
   std::minstd_rand chance_;
-  const double all_ = std::max(1.0, catalog_.number("instances", 1));
-  const int rank_ = static_cast<int>(catalog_.number("rank"));
-  double instances_ = all_;                     // that share what is for all
+  double instances_ = options_.instances;       // that share what is for all
   std::optional<FleetViewChanged> fleet_view_;  // none: nobody says who is there
 
   double roll() { return static_cast<double>(chance_() - 1) / static_cast<double>(chance_.max()); }
@@ -306,7 +251,7 @@
   void judge_listing(Server& server) {
     recount(server);
     const bool gone = server.entry.state == ServerState::gone;
-    if (!gone || std::exchange(server.was_gone, true) || !bound_by_gone_) {
+    if (!gone || std::exchange(server.was_gone, true) || !options_.gone_is_excluded) {
       return;
     }
     // One that was never there is forgotten at once.
@@ -360,7 +305,7 @@
   void learn(const RequestReceived& arrived) {
     Request& request = requests_[arrived.request] = {arrived.request_class, arrived.group, arrived.session};
     request.half = now_ + arrived.remaining / 2, request.end = now_ + arrived.remaining;
-    request.wanted_by = now_ + class_of(request.request_class).target - waited(arrived);
+    request.wanted_by = now_ + class_of(request.request_class).latency_objective - waited(arrived);
     // A millisecond to the cautious side: positions are rounded down, ages may be rounded either way.
     if (arrived.token_age != 0) {
       request.token = now_ - std::floor(arrived.token_age) + 1;
@@ -375,7 +320,7 @@
 
   void count_request(GroupId id) {
     const auto found = groups_.find(id);
-    if (found == groups_.end() || connection_idle_ <= 0) {
+    if (found == groups_.end() || options_.connection_idle <= 0) {
       return;
     }
     Group& group = found->second;
@@ -383,13 +328,13 @@
     group.requests_at = now_;
   }
   [[nodiscard]] double requests_of_late(const Group& group) const {
-    return group.requests * std::exp(-std::max(0.0, now_ - group.requests_at) / connection_idle_);
+    return group.requests * std::exp(-std::max(0.0, now_ - group.requests_at) / options_.connection_idle);
   }
-  const Millis connection_idle_ = catalog_.number("allow.connection_idle");  // 0: not stated
   // Guards against probing for nobody: a group costs what its requests cost, not that it is there. Which
   // front keeps the pace by the fleet's view does so for the others, too.
   [[nodiscard]] bool in_use(const Group& group) const {
-    return connection_idle_ <= 0 || group.turn == 0 || now_ - group.requests_at < connection_idle_;
+    return options_.connection_idle <= 0 || group.turn == 0 ||
+           now_ - group.requests_at < options_.connection_idle;
   }
 
   // How long the client has been asking already, the latency target running since its first try. First tries
@@ -417,8 +362,9 @@
     if (std::abs(arrived.remaining - usual) > 3 * kJitter) {
       return std::max(0.0, request_class.request_timeout - arrived.remaining);
     }
-    return arrived.is_retry ? std::clamp(request_class.request_timeout - usual, 0.0, request_class.target)
-                            : 0;
+    return arrived.is_retry
+               ? std::clamp(request_class.request_timeout - usual, 0.0, request_class.latency_objective)
+               : 0;
   }
 
   void learn(const AttemptCompleted& ended) {
@@ -439,7 +385,7 @@
       good(server);
       const bool dated = ended.sample.role == Role::primary && ended.sample.position >= 0;
       see(server, ended.sample, dated ? ended.sample.position : now_, now_,
-          is(AttemptOutcome::acknowledged) && request_class.needs == Needs::write);
+          is(AttemptOutcome::acknowledged) && request_class.consistency == Consistency::write);
     }
     server.answered_at =
         is(AttemptOutcome::acknowledged, AttemptOutcome::failed, AttemptOutcome::rejected_not_executed)
@@ -470,10 +416,10 @@
     }
     Request& request = found->second;
     const bool untouched = is(AttemptOutcome::rejected_not_executed);
-    if (untouched && request_class.needs == Needs::write) {
+    if (untouched && request_class.consistency == Consistency::write) {
       server.replica_at = now_;
     }
-    if (untouched && request_class.needs != Needs::write) {
+    if (untouched && request_class.consistency != Consistency::write) {
       // The store's word replaces what was thought of its lag: where it stands, or that it is too far behind.
       const Millis at = server.samples.empty() ? now_ : server.samples.back().second;
       server.samples = {{ended.sample.position >= 0
@@ -500,7 +446,7 @@
       group.wait = roll();
     }
     // All instances together go on probing a failing member as one would; where others tell, rarer still.
-    const double sharing = std::min(instances_, may_tell_ ? 64.0 : 16.0);
+    const double sharing = std::min(instances_, options_.may_gossip ? 64.0 : 16.0);
     if (!ended.answered) {
       server.next_probe = now_ + kProbePeriod * sharing * (0.9 + 0.2 * roll());
     }
@@ -511,7 +457,7 @@
     // own answers don't, either: others would take its silence for its death.
     const bool due = now_ - (group.mine ? server.told : server.heard) > kProbePeriod * (group.mine ? 0.5 : 1);
     const bool first = !std::exchange(server.unanswered, !ended.answered);  // told of it once, others know
-    if (may_tell_ && due && (ended.answered ? ended.sample.position >= 0 : first)) {
+    if (options_.may_gossip && due && (ended.answered ? ended.sample.position >= 0 : first)) {
       if (want_tells_.empty()) {
         untold_since_ = now_;
       }
@@ -538,7 +484,7 @@
       touch(id).turn = -1;
     }
     groups_kept_ = 0;
-    fleet_view_ = among, instances_ = std::max(1.0, all_ * among.fleet_share);
+    fleet_view_ = among, instances_ = std::max(1.0, options_.instances * among.fleet_share);
   }
 
   // A position once shown holds whoever saw it, so samples are shared; health is not, it is of the path.
@@ -590,7 +536,7 @@
     return group.turn < 0 ? drawn : group.turn < kReady ? 50 * group.turn : 50 * (kReady - 1) + drawn;
   }
   [[nodiscard]] bool keeps_before(const Group& group, int peer) const {
-    return fleet_view_ ? consistency::precedes(group.id, rank_, peer) : rank_ < peer;
+    return fleet_view_ ? consistency::precedes(group.id, options_.rank, peer) : options_.rank < peer;
   }
   static constexpr int kReady = 2;  // who keeps and who is ready to: two that die in one pace are rare
 
@@ -598,16 +544,12 @@
   // others of it. Not a word of any group for two paces and the way of a message: what goes on elsewhere is
   // not known here, nor whether anyone listens. One whose turn it is everywhere need not hear anybody.
   [[nodiscard]] bool hears() const {
-    return may_tell_ &&
+    return options_.may_gossip &&
            (now_ - std::max(peer_heard_, born_) < 2 * kProbePeriod + 50 ||
             (fleet_view_ && !fleet_view_->alive_peers.empty() && groups_kept_ == groups_.size()));
   }
   std::size_t groups_kept_ = 0;  // those in which it is this instance's turn
 
-  const bool may_probe_ = catalog_.number("allow.probes") > 0;
-  const Millis probe_wait_ = catalog_.number("allow.connect_time_out", 250);  // a new connection included
-  const bool may_tell_ = instances_ > 1 && catalog_.number("allow.peers") > 0;
-
   // A primary stands at the present, so the position it claims dates the claim.
   void see(Server& server, const ReplicaSample& sample, Millis date, Millis at, bool commit = false) {
     server.heard = at, server.unanswered = false;
@@ -631,7 +573,8 @@
   // that binds every session: replicas will soon have applied it.
   void remember(const std::string& session, const AttemptCompleted& ended,
                 const RequestClass& request_class) {
-    if (request_class.needs != Needs::write || ended.sample.position < 0 || !remembers_) {
+    if (request_class.consistency != Consistency::write || ended.sample.position < 0 ||
+        !options_.remember_tokens) {
       return;
     }
     Millis& mine = remembered_.try_emplace(session, kNever).first->second;
@@ -640,7 +583,6 @@
       remembered_floor_ = now_, remembered_.clear();
     }
   }
-  const bool remembers_ = catalog_.word("tokens", "") == "remembered";
 
   // Guards against pushing over a member that restarted before the list told of it: one that answers after
   // its ops failed and nobody heard of it for two seconds is taken for cold. Harm: one cut off is, too.
@@ -663,24 +605,24 @@
   void pace(Server& server, RequestClassId id, Millis took) {
     const RequestClass& request_class = class_of(id);
     keep(latencies_[id], took, 32), usual_latency_[id] = quantile(latencies_[id], 0.75, 0);
-    keep(work_, {request_class.long_work, took}, 256);
-    if (!request_class.long_work) {
+    keep(work_, {request_class.long_running, took}, 256);
+    if (!request_class.long_running) {
       keep(server.latencies, took, 16);
       keep(short_latencies_, took, 32);
       // Guards against taking one op's own slowness for its member's: a first late answer of one that shows
       // processors free says nothing, a second in a row does. Of members that show 0.7 or more in use, every
       // fifth op and more came late, below that far fewer (whole fleet, join).
       const bool has_free = now_ - server.utilization_at < kSampleAge && server.utilization < 0.7;
-      const bool late = took > request_class.target;
+      const bool late = took > request_class.latency_objective;
       const bool again = std::exchange(server.was_late, late);
       if (late && (again || !has_free)) {
         yield(server);
       }
-      if (took < 0.5 * request_class.target && server.limit < 1) {
+      if (took < 0.5 * request_class.latency_objective && server.limit < 1) {
         server.limit = std::min(1.0, server.limit + 0.3);
       }
     }
-    server.paces.push_back(took / std::max(1.0, request_class.target));
+    server.paces.push_back(took / std::max(1.0, request_class.latency_objective));
     if (server.paces.size() < 10) {
       return;
     }
@@ -709,7 +651,7 @@
   [[nodiscard]] double floor() const { return 4 / instances_; }  // what any server runs at once, shared
 
   [[nodiscard]] const RequestClass& class_of(RequestClassId request_class) const {
-    return catalog_.request_classes.at(static_cast<std::size_t>(request_class.number));
+    return options_.request_classes.at(static_cast<std::size_t>(request_class.number));
   }
 
   static double quantile(std::deque<Millis> samples, double share, double other) {
@@ -727,7 +669,7 @@
     for (const auto& [key, attempt] : attempts_) {
       Server& server = *attempt.server;
       touch(server);
-      if (class_of(attempt.request.request_class).long_work || attempt.cancelled) {
+      if (class_of(attempt.request.request_class).long_running || attempt.cancelled) {
         continue;
       }
       if (server.oldest_out == kNever || attempt.sent < server.oldest_out) {
@@ -735,12 +677,11 @@
       }
     }
     for (auto& [key, attempt] : attempts_) {
-      attempt.want_cancel = !attempt.cancelled && may_cancel_ &&
-                            class_of(attempt.request.request_class).effect == Effect::retryable &&
+      attempt.want_cancel = !attempt.cancelled && options_.may_cancel &&
+                            class_of(attempt.request.request_class).retry_safety == RetrySafety::idempotent &&
                             silent(*attempt.server);
     }
   }
-  const bool may_cancel_ = catalog_.number("allow.call_off") > 0;
 
   // No answer of any kind for longer than its answers usually take, with an op out all that time.
   [[nodiscard]] bool overdue(const Server& server, double times = 3) const {
@@ -768,9 +709,8 @@
   }
 
   [[nodiscard]] bool sendable(const Server& server) const {
-    return !server.drained && (server.entry.state != ServerState::gone || !bound_by_gone_);
+    return !server.drained && (server.entry.state != ServerState::gone || !options_.gone_is_excluded);
   }
-  const bool bound_by_gone_ = catalog_.number("rule.only_draining_binds") <= 0;
 
   // Guards against trusting failed probes over answered ops: where only probes say that a member is down, or
   // its ops failed a second ago, one op at a time may find out where nothing better is left.
@@ -782,13 +722,12 @@
   // The share of its capacity that a cold member has at least.
   [[nodiscard]] double slow_start_fraction(const Server& server) const {
     const Millis age = now_ - server.cold_since;
-    if (age >= warm_within_ || warm_within_ <= 0) {
+    if (age >= options_.slow_start_window || options_.slow_start_window <= 0) {
       return 1;
     }
-    return cold_from_ + (1 - cold_from_) * std::max(0.0, age) / warm_within_;
+    return options_.slow_start_minimum +
+           (1 - options_.slow_start_minimum) * std::max(0.0, age) / options_.slow_start_window;
   }
-  const double warm_within_ = catalog_.number("rule.warm_within"),
-               cold_from_ = catalog_.number("rule.cold_from");
 
   // Guards against pushing over a cold member: in a millisecond this instance sends it at most the rule's
   // multiple of its share of what a warm member of its size answered this instance of late, which is less
@@ -819,12 +758,11 @@
     if (warm <= 0) {
       return 0;
     }
-    return slow_start_fraction(server) * fall_multiple_ * static_cast<double>(acked_.size()) / kCarried *
-           server.entry.size / warm;
+    return slow_start_fraction(server) * options_.slow_start_multiple * static_cast<double>(acked_.size()) /
+           kCarried * server.entry.size / warm;
   }
   static constexpr Millis kCarried = 5000;  // long enough for some ops of an idle instance
   std::deque<Millis> acked_;                // when warm members last acked
-  const double fall_multiple_ = catalog_.number("rule.fall_multiple", 2);
 
   bool has_room(Server& server, const Request& request, bool long_work, double part) {
     const double share = std::min(1.0, slow_start_fraction(server) * more(server));
@@ -859,7 +797,8 @@
     if (server.samples.empty()) {
       return false;
     }
-    const Millis threshold = request_class.needs == Needs::bounded ? request_class.bound : kLagThreshold;
+    const Millis threshold =
+        request_class.consistency == Consistency::bounded ? request_class.staleness_bound : kLagThreshold;
     return now_ < passes_until(server, threshold) && server.proven >= request.token;
   }
   static Millis passes_until(const Server& server, Millis threshold) {  // 1 ms to the cautious side
@@ -868,17 +807,18 @@
 
   // How far behind a replica may be at a time to do for an op.
   static Millis wanted_lag(const Request& request, const RequestClass& request_class, Millis at) {
-    if (request_class.needs == Needs::any) {
+    if (request_class.consistency == Consistency::any) {
       return kForever;
     }
-    return request_class.needs == Needs::bounded ? request_class.bound : at - request.token;
+    return request_class.consistency == Consistency::bounded ? request_class.staleness_bound
+                                                             : at - request.token;
   }
 
   // Where stores check reads themselves, a replica is tried when it would pass if it now lags as it did in
   // the best of its last samples (reports are old), of any age: the store's own word costs no probe.
   [[nodiscard]] bool likely(const Server& server, const Request& request,
                             const RequestClass& request_class) const {
-    if (!stores_check_ || request.turned_away > 1) {
+    if (!options_.servers_check || request.turned_away > 1) {
       return false;
     }
     Millis lag = server.samples.empty() ? 0 : kForever;
@@ -888,9 +828,6 @@
     return lag <= wanted_lag(request, request_class, now_);
   }
 
-  const bool stores_check_ = catalog_.word("checks", "none") != "none";
-  const double zone_ = catalog_.number("zone"), zone_price_ = catalog_.number("price.cross_zone");
-
   Server* choose(const Request& request, const RequestClass& request_class) {
     Group& group = touch(request.group);
     Server* primary = primary_of(group);
@@ -899,34 +836,35 @@
     }
     const bool primary_usable = primary && usable(*primary);
     if (request_class.primary_only()) {
-      return primary_usable && has_room(*primary, request, request_class.long_work, 1) ? primary : nullptr;
+      return primary_usable && has_room(*primary, request, request_class.long_running, 1) ? primary : nullptr;
     }
     Server* best = nullptr;
     std::tuple<int, bool, long> best_rank;
     // While no primary is known every replica may name it.
     const bool enough_connections = primary && !more_connections_wanted(group, primary);
     const double servers = static_cast<double>(group.servers.size());
-    long kept = std::max(std::lround(long_part_ * servers), request_class.long_work ? 1L : 0L);
+    long kept = std::max(std::lround(long_part_ * servers), request_class.long_running ? 1L : 0L);
     for (Server* server : group.servers) {
       if (server == primary) {
         continue;
       }
       const bool keeps = sendable(*server) && !down(*server) && kept-- > 0;
-      if (!usable(*server) || !has_room(*server, request, request_class.long_work, 1)) {
+      if (!usable(*server) || !has_room(*server, request, request_class.long_running, 1)) {
         continue;
       }
       const bool fits = passes(*server, request, request_class) || likely(*server, request, request_class);
       // Beyond the threshold, but proven all the same: better than asking a busy primary.
-      const bool will_do = request_class.needs == Needs::any ||
-                           (request_class.needs == Needs::session && server->proven >= request.token);
+      const bool will_do =
+          request_class.consistency == Consistency::any ||
+          (request_class.consistency == Consistency::session && server->proven >= request.token);
       if (!fits && !will_do) {
         continue;
       }
       int tier = (!fits || keeps) + 4 * down(*server);
-      if (zone_price_ > 0 && server->entry.zone.number != zone_) {
+      if (options_.cross_zone_price > 0 && server->entry.zone.number != options_.zone_number) {
         tier += 2;
       }
-      const std::tuple<int, bool, long> rank{request_class.long_work ? tier / 4 * 4 + !keeps : tier,
+      const std::tuple<int, bool, long> rank{request_class.long_running ? tier / 4 * 4 + !keeps : tier,
                                              enough_connections && !connected(*server), server->turn};
       if (!best || rank < best_rank) {
         best = server, best_rank = rank;
@@ -935,23 +873,25 @@
     if (best && std::get<0>(best_rank) < 4) {
       return best;
     }
-    group.asked = group.asked || (!best && !stores_check_);
+    group.asked = group.asked || (!best && !options_.servers_check);
     // A primary takes reads into half its limit, up to 0.8 of it as they come to be of as much value for
     // their time as what only it can do. Guards the primary when replicas fall behind.
-    const double part = 0.5 + 0.3 * std::min(1.0, request_class.density() / primary_density_);
-    return primary_usable && has_room(*primary, request, request_class.long_work, part) ? primary : best;
+    const double part =
+        0.5 + 0.3 * std::min(1.0, request_class.value_density() / options_.highest_primary_density);
+    return primary_usable && has_room(*primary, request, request_class.long_running, part) ? primary : best;
   }
 
   // A connection that stands idle is closed before the server would close it, at nine tenths of the stated
   // time.
   [[nodiscard]] bool connected(const Server& server) const {
-    return server.answered_at > server.cold_since && now_ - server.answered_at < 0.9 * connection_idle_;
+    return server.answered_at > server.cold_since &&
+           now_ - server.answered_at < 0.9 * options_.connection_idle;
   }
   // Guards against a new connection for nearly every request where a front has few requests for each of many
   // groups: in a group as many replicas are used as have some requests each in the time that a connection may
   // stand idle.
   bool more_connections_wanted(const Group& group, const Server* primary) const {
-    if (connection_idle_ <= 0) {
+    if (options_.connection_idle <= 0) {
       return true;
     }
     const auto open = std::ranges::count_if(
@@ -983,8 +923,10 @@
       const RequestClass& request_class = class_of(request.request_class);
       // The earliest latency target first, nearer for ops of more value for their time; late ones last.
       const Millis left = request.wanted_by - now_;
-      held.emplace_back(left > 0 ? left * std::sqrt(primary_density_ / request_class.density()) : 1e9 - left,
-                        id);
+      held.emplace_back(
+          left > 0 ? left * std::sqrt(options_.highest_primary_density / request_class.value_density())
+                   : 1e9 - left,
+          id);
     }
     std::sort(held.begin(), held.end());
     if (!held.empty()) {
@@ -1000,32 +942,37 @@
     const bool ran = request.may_have_run != kNever;
     const Millis useful_until =
         request_class.late_value > 0 ? request.end : std::min(request.end, request.wanted_by);
-    const bool remembered = request_class.effect == Effect::tokened && memory_left(request) > 0;
+    const bool remembered =
+        request_class.retry_safety == RetrySafety::deduplicated && memory_left(request) > 0;
     const bool cut_off = fleet_view_ && !(request_class.primary_only() ? fleet_view_->primary_only_allowed
                                                                        : fleet_view_->reads_allowed);
     const bool again = request.sends > request.turned_away;  // untouched sends cost the store nothing
-    const bool may_send = request.sends < most_sends_ && !cut_off && !(again && resends_ < 1) &&
-                          (!ran || request_class.effect == Effect::retryable || remembered);
+    const bool may_send = request.sends < options_.max_attempts && !cut_off && !(again && resends_ < 1) &&
+                          (!ran || request_class.retry_safety == RetrySafety::idempotent || remembered);
     // What can't be answered in time by the usual latency (its upper quartile) is ended. Never by over 0.6 of
     // the latency target: samples of a bad time would lock everything out.
-    const Millis expected = std::min(usual_latency_[request.request_class], request_class.target * 0.6);
-    if (!may_send || now_ + std::max(expected, 2 * tick_) > useful_until) {
-      const bool harmless = !ran || request_class.effect == Effect::retryable ||
-                            (request_class.effect == Effect::tokened && !request_class.group_tokens);
+    const Millis expected =
+        std::min(usual_latency_[request.request_class], request_class.latency_objective * 0.6);
+    if (!may_send || now_ + std::max(expected, 2 * options_.tick) > useful_until) {
+      const bool harmless = !ran || request_class.retry_safety == RetrySafety::idempotent ||
+                            (request_class.retry_safety == RetrySafety::deduplicated &&
+                             !request_class.token_valid_in_group_only);
       return void(request.want = harmless ? Want::busy_reply : Want::error_reply);
     }
     Server* to = request.to = choose(request, request_class);
     // Guards against sitting on an op its client could ask for again: unsent at half its patience, it ends.
     if (!to) {
-      return void(request.want = request.sends == 0 && now_ + 3 * tick_ > request.half ? Want::busy_reply
-                                                                                       : request.want);
+      return void(request.want = request.sends == 0 && now_ + 3 * options_.tick > request.half
+                                     ? Want::busy_reply
+                                     : request.want);
     }
     request.want = Want::send;
     // Guards stores that fail for all against being asked again by all: first sends fill a bucket for resends
     // (as in gRPC's A6 and Finagle's RetryBudget), so over the fleet they are at most that share, and a
     // burst.
-    if (resend_share_ > 0) {
-      resends_ = again ? resends_ - 1 : std::min(resends_ + resend_share_, burst_);
+    if (options_.retry_budget_ratio > 0) {
+      resends_ = again ? resends_ - 1
+                       : std::min(resends_ + options_.retry_budget_ratio, options_.retry_budget_burst);
     }
     ++to->out;
     if (slow_start_fraction(*to) < 1) {
@@ -1035,17 +982,14 @@
   }
   // For how long stores still know a repeat of what may have run. It may be on its way for 50 ms.
   [[nodiscard]] Millis memory_left(const Request& request) const {
-    return request.may_have_run + class_of(request.request_class).token_memory - 50 - now_;
+    return request.may_have_run + class_of(request.request_class).idempotency_window - 50 - now_;
   }
-  const double resend_share_ = catalog_.number("resends.share"),
-               burst_ = std::max(1.0, catalog_.number("resends.burst", 100) / all_);
-  double resends_ = burst_;  // that may be sent now
-  const double most_sends_ = catalog_.number("allow.sends_per_op", 1), tick_ = catalog_.number("tick", 5);
+  double resends_ = options_.retry_budget_burst;  // that may be sent now
 
   // When the next probe of a member is due. The pace is kept by the instance that was the last to tell of the
   // group, or by others when it is left untold; sooner when an op waits for a sample, failed or is overdue.
   [[nodiscard]] Millis probe_at(const Group& group, const Server& server) const {
-    if (!may_probe_ || server.probe_sent_at != kNever || !sendable(server) || !in_use(group)) {
+    if (!options_.may_probe || server.probe_sent_at != kNever || !sendable(server) || !in_use(group)) {
       return kForever;
     }
     // Guards against probing members for the sake of one slow op or one ended connection: of one that others
@@ -1098,7 +1042,7 @@
       group.wait = roll();
     }
     if (fleet_view_ && group.turn < 0 && now_ - grown_at_ > kSampleAge) {
-      group.turn = consistency::turn_of(group.id, rank_, fleet_view_->alive_peers, kReady);
+      group.turn = consistency::turn_of(group.id, options_.rank, fleet_view_->alive_peers, kReady);
       groups_kept_ += group.turn == 0;
     }
     group.mine = group.mine && hears();
@@ -1113,7 +1057,7 @@
       }
     }
     if (fleet_view_ && group.turn < 0) {
-      next = std::min(next, grown_at_ + kSampleAge + tick_);
+      next = std::min(next, grown_at_ + kSampleAge + options_.tick);
     }
     probes_due_.set(group.id, next < kForever ? std::optional(next) : std::nullopt);
     // What this instance tells of a group goes into one message.
@@ -1131,11 +1075,9 @@
     if (next_watch_ == kNever) {
       next_watch_ = now_ + spread();
     }
-    want_watch_ = ask_ && now_ >= next_watch_;
+    want_watch_ = options_.poll_endpoints && now_ >= next_watch_;
   }
-  Millis spread() { return roll() * std::min(25 * (instances_ - 1), ask_within_ / 4); }
-  const bool ask_ = catalog_.word("list", "push") == "ask";
-  const Millis ask_within_ = catalog_.number("rule.ask_within", 10000);
+  Millis spread() { return roll() * std::min(25 * (instances_ - 1), options_.poll_within / 4); }
 
   std::vector<Decision> emit() {
     std::vector<Decision> out;
@@ -1146,7 +1088,7 @@
       out.push_back(WatchEndpoints{}), next_watch_ = kForever;
     }
     for (Server* server : std::exchange(want_probes_, {})) {
-      out.push_back(StartProbe{server->entry.id, probe_wait_});
+      out.push_back(StartProbe{server->entry.id, options_.probe_timeout});
       server->probe_sent_at = server->probed = now_, ++probes_out_;
       server->next_probe = now_ + kProbePeriod * 0.75;
     }
@@ -1162,15 +1104,15 @@
     for (auto& [id, request] : requests_) {
       if (request.want == Want::send) {
         // Guards against a repeat that waits for its connection until the first attempt is forgotten.
-        const bool repeats =
-            request.may_have_run != kNever && class_of(request.request_class).effect == Effect::tokened;
+        const bool repeats = request.may_have_run != kNever &&
+                             class_of(request.request_class).retry_safety == RetrySafety::deduplicated;
         out.push_back(StartAttempt{id, request.to->entry.id, request.end - now_,
                                    repeats ? std::optional(memory_left(request)) : std::nullopt});
         attempts_[{id, {request.sends}}] = {request.to, request, now_};
         ++request.sends, ++request.out;
       }
       if (request.want == Want::busy_reply) {
-        out.push_back(RejectRequest{id, come_back_});
+        out.push_back(RejectRequest{id, options_.retry_after});
       }
       if (request.want == Want::error_reply) {
         out.push_back(FailRequest{id});
@@ -1178,14 +1120,14 @@
     }
     std::erase_if(requests_, [](const auto& item) { return item.second.want > Want::send; });
     const Millis next_probe = probes_due_.next().value_or(kForever);
-    Millis wake = ask_ ? std::min(next_probe, next_watch_) : next_probe;
+    Millis wake = options_.poll_endpoints ? std::min(next_probe, next_watch_) : next_probe;
     if (!requests_.empty()) {
-      wake = std::min(wake, now_ + 3 * tick_);
+      wake = std::min(wake, now_ + 3 * options_.tick);
     }
     if (!want_tells_.empty()) {
       wake = std::min(wake, untold_since_ + kGather);
     }
-    wake = std::clamp(wake, now_ + tick_, now_ + 1000);
+    wake = std::clamp(wake, now_ + options_.tick, now_ + 1000);
     if (armed_ == kNever || wake < armed_) {
       out.push_back(SetTimer{{++armed_as_.number}, armed_ = wake});
     }
@@ -1221,10 +1163,7 @@
     }
   }
 
-  const Millis come_back_ =
-      catalog_.number("allow.longest_come_back") * (catalog_.number("allow.come_back") > 0);
-
-  double primary_density_ = 1e-9, long_part_ = 0;
+  double long_part_ = 0;
   Millis now_ = 0, born_ = kNever, peer_heard_ = kNever, heard_again_ = kNever, grown_at_ = kNever,
          armed_ = kNever, next_watch_ = kNever;
   TimerId armed_as_;
@@ -1240,7 +1179,7 @@
   std::map<GroupId, Group> groups_;
   routing::MarkIndex<Server> marks_;
   std::multimap<Millis, ServerId> gone_;  // by when they went
-  routing::WarmCapacity warm_capacity_{warm_within_};
+  routing::WarmCapacity warm_capacity_{options_.slow_start_window};
   routing::DueTimes<GroupId> probes_due_;
   std::optional<std::pair<bool, bool>> judged_with_;  // whether peers are heard, whether failed probes count
   std::map<RequestId, Request> requests_;
