--- /dev/null
+++ b/src/routing/recent_values.hpp
@@ -0,0 +1,31 @@
+// The last few values of a measurement, and quantiles of them.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <deque>
+#include <type_traits>
+
+#include "core/types.hpp"
+
+namespace reedspindle::routing {
+
+// Appends a value; the oldest is dropped where there are more than `most`.
+template <typename T>
+void keep_last(std::deque<T>& values, const std::type_identity_t<T>& value, std::size_t most) {
+  values.push_back(value);
+  if (values.size() > most) {
+    values.pop_front();
+  }
+}
+
+// The value below which `share` (0 to 1) of them lie; `otherwise` where there are none.
+[[nodiscard]] inline double quantile(std::deque<Millis> values, double share, double otherwise) {
+  if (values.empty()) {
+    return otherwise;
+  }
+  std::sort(values.begin(), values.end());
+  return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
+}
+
+}  // namespace reedspindle::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -13,86 +13,48 @@
 #include <utility>
 
 #include "routing/due_times.hpp"
+#include "routing/eligibility.hpp"
 #include "routing/mark_index.hpp"
 #include "routing/probe_leader.hpp"
+#include "routing/recent_values.hpp"
 #include "routing/replica_samples.hpp"
+#include "routing/replica_state.hpp"
 #include "routing/router_options.hpp"
 #include "routing/warm_capacity.hpp"
 
 namespace reedspindle {
 namespace {
 
-constexpr Millis kNever = -1e18, kForever = 1e18;
-constexpr Millis kSampleAge = 1000;     // the design's limit on the age of a replica's sample
-constexpr Millis kProbePeriod = 200;    // the design's pace of probing
-constexpr Millis kLagThreshold = 2000;  // for reads without a bound: the figure the design's source uses
-
-template <typename T>
-void keep(std::deque<T>& last, const std::type_identity_t<T>& sample, std::size_t most) {
-  last.push_back(sample);
-  if (last.size() > most) {
-    last.pop_front();
-  }
-}
-
+constexpr Millis kProbePeriod = 200;  // the design's pace of probing
 using routing::Consistency;
+using routing::Group;
+using routing::keep_last;
+using routing::kForever;
+using routing::kMaxSampleAge;
+using routing::kNever;
+using routing::quantile;
 using routing::RequestClass;
 using routing::RetrySafety;
 using routing::RouterOptions;
+using routing::Server;
 
-struct Group;
-
-struct Server {
-  ServerEntry entry;
-  Group* group = nullptr;                         // that the list names it in
-  routing::WarmCapacity::Slot warm_slot;          // in the sum of the warm replicas' capacity
-  bool drained = false;                           // stands until it is listed as ready again
-  std::deque<std::pair<Millis, Millis>> samples;  // the last few: position and when seen
-  std::deque<double> paces;  // latency over latency target of the last answers, since the limit last moved
-  std::deque<Millis> latencies;                                     // of the last answers of short work
-  Millis proven = kNever;                                           // a position once shown holds
-  Millis primary_at = kNever, replica_at = kNever, heard = kNever;  // heard: of a sample from anyone
-  Millis told = kNever;   // when this instance or another last told all others of it
-  Millis since = kNever;  // first listed
-  Millis last_good = kNever, probe_failed_at = kNever, request_failed_at = kNever, cold_since = kNever;
-  Millis probe_sent_at = kNever, probed = kNever, next_probe = kNever;
-  Millis oldest_out = kNever;  // sending time of the oldest short op that is out
-  double limit = 0, credit = 0;
-  double more = 1;  // how many times its cold credit it gets, for it shows processors free
-  Millis yielded = kNever, credit_at = kNever, rests_until = kNever, gone_since = kNever, hurt = kNever,
-         utilization_at = kNever;
-  double utilization = 0;       // share of its processors in use
-  bool unanswered = false;      // the last word on it: a probe, of whomever, had no answer
-  bool was_late = false;        // its last answer
-  Millis answered_at = kNever;  // on a connection that has not been seen to break since
-  bool was_gone = false;        // before the list that is being read
-  int out = 0;
-  long turn = 0, mark = 0;
-};
-
-struct Group {
-  std::vector<Server*> servers;         // in the order of their marks
-  double wait = 0;                      // drawn: the share of its patience that this instance waits
-  bool asked = false, touched = false;  // asked: an op waits for a sample
-  bool mine = false;                    // this instance keeps the pace for all
-  GroupId id;
-  double requests = 0;  // of late: an old one counts less, by the time that a connection may stand idle
-  Millis requests_at = kNever;  // when they were counted last
-  int turn = -1;  // how many that are there come before this instance as keepers; below 0: not known
-};
-
-enum class Want { hold, send, busy_reply, error_reply };
+enum class NextStep { wait, attempt, reject, fail };
 
 struct Request {
   RequestClassId request_class;
   GroupId group;
   std::string session;
-  Millis wanted_by = 0, half = 0, end = 0, token = kNever;
-  double chance = 0;             // drawn once
-  Millis may_have_run = kNever;  // when the first send went out that may have run
-  int sends = 0, out = 0, turned_away = 0;
-  Want want = Want::hold;
-  Server* to = nullptr;
+  Millis objective_deadline = 0;         // the end of its latency objective
+  Millis half_deadline = 0;              // when half of the client's patience is over
+  Millis deadline = 0;                   // the client's
+  Millis session_token = kNever;         // the date of the session's last write
+  double admission_draw = 0;             // 0 to 1: compared with concurrency limits below 1
+  Millis possibly_executed_at = kNever;  // when the first attempt started that may have run
+  int attempts = 0;                      // started
+  int in_flight = 0;
+  int not_executed = 0;  // refused by the server, without an effect
+  NextStep next_step = NextStep::wait;
+  Server* target = nullptr;  // of the next attempt
 };
 
 struct Attempt {
@@ -125,7 +87,7 @@
 
   // The same tests as an op's, told with the time up to which they hold.
   [[nodiscard]] std::vector<ServerView> view() const override {
-    std::set<Millis> bounds{kLagThreshold};
+    std::set<Millis> bounds{routing::kDefaultStalenessBound};
     for (const RequestClass& request_class : options_.request_classes) {
       if (request_class.consistency == Consistency::bounded) {
         bounds.insert(request_class.staleness_bound);
@@ -135,7 +97,7 @@
     for (const auto& [id, server] : servers_) {
       ServerView& view = views.emplace_back(server.entry);
       const auto group = groups_.find(server.entry.group);
-      view.primary = group != groups_.end() && primary_of(group->second) == &server;
+      view.primary = group != groups_.end() && routing::primary_of(group->second) == &server;
       view.unavailability = server.entry.state == ServerState::gone && options_.gone_is_excluded
                                 ? Unavailability::gone
                             : !sendable(server) ? Unavailability::draining
@@ -146,9 +108,9 @@
       if (server.samples.empty()) {
         continue;
       }
-      view.position = server.proven, view.sampled_at = server.samples.back().second;
+      view.position = server.applied_position, view.sampled_at = server.samples.back().seen_at;
       for (const Millis bound : bounds) {
-        if (const Millis until = passes_until(server, bound); now_ < until) {
+        if (const Millis until = routing::fresh_until(server, bound); now_ < until) {
           view.fresh.push_back({bound, until});
         }
       }
@@ -168,13 +130,13 @@
   Group& touch(GroupId id) {
     Group& group = groups_[id];
     group.id = id;
-    if (!std::exchange(group.touched, true)) {
+    if (!std::exchange(group.changed, true)) {
       touched_.push_back(&group);
     }
     return group;
   }
   Group& touch(const Server& server) {
-    if (!std::exchange(server.group->touched, true)) {
+    if (!std::exchange(server.group->changed, true)) {
       touched_.push_back(server.group);
     }
     return *server.group;
@@ -214,13 +176,13 @@
         std::erase(server.group->servers, &server);
       }
       server.group = &group;
-      is_new ? add(server) : place_in_group(server);
+      is_new ? add(server) : routing::insert_into_group(server);
     }
     if (entry.state != ServerState::gone) {
-      server.drained = entry.state == ServerState::draining;
+      server.draining = entry.state == ServerState::draining;
     }
     if (entry.started_at > server.cold_since && entry.started_at > 0) {
-      server.cold_since = entry.started_at, server.next_probe = now_;
+      server.cold_since = entry.started_at, server.next_probe_at = now_;
     }
     if (!whole) {
       judge_listing(server);
@@ -229,22 +191,13 @@
 
   void add(Server& server) {
     const ServerId& id = server.entry.id;
-    server.since = now_, server.mark = mark_of(id), std::erase(want_forgets_, id);
+    server.listed_at = now_, server.mark = mark_of(id), std::erase(want_forgets_, id);
     marks_.add(server.mark, server);
-    place_in_group(server);
-    server.limit = std::max(1.0, 8 / instances_);
+    routing::insert_into_group(server);
+    server.concurrency_limit = std::max(1.0, 8 / instances_);
     // By chance, so that instances don't all begin with the same member, nor spend all credit at once.
-    server.credit = roll(), server.credit_at = now_;
-    server.turn = turn_ - static_cast<long>(100 * roll());
-  }
-
-  // In the order of the marks, which is the same at every instance.
-  void place_in_group(Server& server) {
-    const auto order = [](const Server* one, const Server* other) {
-      return std::tie(one->mark, one->entry.id) < std::tie(other->mark, other->entry.id);
-    };
-    std::vector<Server*>& servers = server.group->servers;
-    servers.insert(std::ranges::upper_bound(servers, &server, order), &server);
+    server.slow_start_credit = roll(), server.credit_updated_at = now_;
+    server.last_selected = turn_ - static_cast<long>(100 * roll());
   }
 
   // The list has said something of it, or has it no more.
@@ -255,7 +208,7 @@
       return;
     }
     // One that was never there is forgotten at once.
-    const bool was_there = server.since < now_ || server.out > 0;
+    const bool was_there = server.listed_at < now_ || server.in_flight > 0;
     server.gone_since = was_there ? now_ : now_ - kForgetAfter;
     gone_.emplace(server.gone_since, server.entry.id);
   }
@@ -278,14 +231,14 @@
       if (server.entry.state != ServerState::gone || server.gone_since != since) {
         continue;
       }
-      if (server.out > 0 || server.probe_sent_at != kNever) {
+      if (server.in_flight > 0 || server.probe_sent_at != kNever) {
         server.gone_since = now_;
         gone_.emplace(now_, id);
         continue;
       }
       std::erase(touch(server).servers, &server), marks_.remove(server.mark, server);
       std::erase(want_tells_, &server);
-      warm_capacity_.remove(server.warm_slot);
+      warm_capacity_.remove(server.capacity_slot);
       want_forgets_.push_back(id);
       servers_.erase(found);
     }
@@ -296,25 +249,25 @@
   // Its part in the capacity of the warm replicas, after anything of it has changed that decides on that.
   void recount(Server& server) {
     warm_capacity_.update(
-        server.warm_slot,
-        {server.entry.size, server.cold_since, sendable(server), server.request_failed_at > server.last_good,
-         server.probe_failed_at > server.last_good},
+        server.capacity_slot,
+        {server.entry.size, server.cold_since, sendable(server),
+         server.request_failed_at > server.last_answer_at, server.probe_failed_at > server.last_answer_at},
         now_);
   }
 
   void learn(const RequestReceived& arrived) {
     Request& request = requests_[arrived.request] = {arrived.request_class, arrived.group, arrived.session};
-    request.half = now_ + arrived.remaining / 2, request.end = now_ + arrived.remaining;
-    request.wanted_by = now_ + class_of(request.request_class).latency_objective - waited(arrived);
+    request.half_deadline = now_ + arrived.remaining / 2, request.deadline = now_ + arrived.remaining;
+    request.objective_deadline = now_ + class_of(request.request_class).latency_objective - waited(arrived);
     // A millisecond to the cautious side: positions are rounded down, ages may be rounded either way.
     if (arrived.token_age != 0) {
-      request.token = now_ - std::floor(arrived.token_age) + 1;
+      request.session_token = now_ - std::floor(arrived.token_age) + 1;
     }
-    request.chance = roll();
+    request.admission_draw = roll();
     count_request(request.group);
-    request.token = std::max(request.token, remembered_floor_);
+    request.session_token = std::max(request.session_token, remembered_floor_);
     if (const auto mine = remembered_.find(arrived.session); mine != remembered_.end()) {
-      request.token = std::max(request.token, mine->second);
+      request.session_token = std::max(request.session_token, mine->second);
     }
   }
 
@@ -324,17 +277,18 @@
       return;
     }
     Group& group = found->second;
-    group.requests = 1 + requests_of_late(group);
-    group.requests_at = now_;
+    group.recent_requests = 1 + requests_of_late(group);
+    group.requests_counted_at = now_;
   }
   [[nodiscard]] double requests_of_late(const Group& group) const {
-    return group.requests * std::exp(-std::max(0.0, now_ - group.requests_at) / options_.connection_idle);
+    return group.recent_requests *
+           std::exp(-std::max(0.0, now_ - group.requests_counted_at) / options_.connection_idle);
   }
   // Guards against probing for nobody: a group costs what its requests cost, not that it is there. Which
   // front keeps the pace by the fleet's view does so for the others, too.
   [[nodiscard]] bool in_use(const Group& group) const {
-    return options_.connection_idle <= 0 || group.turn == 0 ||
-           now_ - group.requests_at < options_.connection_idle;
+    return options_.connection_idle <= 0 || group.leader_rank == 0 ||
+           now_ - group.requests_counted_at < options_.connection_idle;
   }
 
   // How long the client has been asking already, the latency target running since its first try. First tries
@@ -343,7 +297,7 @@
   static constexpr Millis kJitter = 10;  // the network varies them by a few milliseconds
   Millis waited(const RequestReceived& arrived) {
     const RequestClass& request_class = class_of(arrived.request_class);
-    keep(deadlines_[arrived.request_class], arrived.remaining, 64);
+    keep_last(deadlines_[arrived.request_class], arrived.remaining, 64);
     std::deque<Millis> sorted = deadlines_[arrived.request_class];
     std::sort(sorted.begin(), sorted.end());
     std::size_t common = 0;
@@ -376,8 +330,8 @@
     Server& server = *was.server;
     touch(server);
     const RequestClass& request_class = class_of(was.request.request_class);
-    if (--server.out == 0) {
-      server.oldest_out = kNever;
+    if (--server.in_flight == 0) {
+      server.oldest_attempt_sent_at = kNever;
     }
     const auto is = [&ended](auto... outcome) { return ((ended.outcome == outcome) || ...); };
     if (is(AttemptOutcome::acknowledged, AttemptOutcome::failed, AttemptOutcome::rejected_overloaded,
@@ -387,19 +341,19 @@
       see(server, ended.sample, dated ? ended.sample.position : now_, now_,
           is(AttemptOutcome::acknowledged) && request_class.consistency == Consistency::write);
     }
-    server.answered_at =
+    server.connection_answered_at =
         is(AttemptOutcome::acknowledged, AttemptOutcome::failed, AttemptOutcome::rejected_not_executed)
             ? now_
             : kNever;
     if (is(AttemptOutcome::acknowledged)) {
       remember(was.request.session, ended, request_class);
       if (slow_start_fraction(server) >= 1) {
-        keep(acked_, now_, 10000);
+        keep_last(acked_, now_, 10000);
       }
     }
     // Guards against taking a member for down by the end of one connection: twice with no answer between.
     if (is(AttemptOutcome::reset, AttemptOutcome::connect_failed) &&
-        std::exchange(server.hurt, now_) > server.last_good) {
+        std::exchange(server.last_error_at, now_) > server.last_answer_at) {
       server.request_failed_at = now_, recount(server);
     }
     if (is(AttemptOutcome::acknowledged, AttemptOutcome::timed_out)) {
@@ -408,7 +362,8 @@
     if (is(AttemptOutcome::rejected_overloaded)) {
       // Guards against a member that turns ops away faster than others work and so draws ever more of them.
       yield(server);
-      server.limit = std::max(floor(), server.limit * 0.85), server.rests_until = now_ + kProbePeriod / 2;
+      server.concurrency_limit = std::max(floor(), server.concurrency_limit * 0.85),
+      server.back_off_until = now_ + kProbePeriod / 2;
     }
     const auto found = requests_.find(ended.request);
     if (found == requests_.end()) {
@@ -417,21 +372,22 @@
     Request& request = found->second;
     const bool untouched = is(AttemptOutcome::rejected_not_executed);
     if (untouched && request_class.consistency == Consistency::write) {
-      server.replica_at = now_;
+      server.replica_claimed_at = now_;
     }
     if (untouched && request_class.consistency != Consistency::write) {
       // The store's word replaces what was thought of its lag: where it stands, or that it is too far behind.
-      const Millis at = server.samples.empty() ? now_ : server.samples.back().second;
-      server.samples = {{ended.sample.position >= 0
-                             ? server.proven
-                             : at - wanted_lag(was.request, request_class, was.sent) - 1,
-                         at}};
-    }
-    --request.out, request.turned_away += untouched;
+      const Millis at = server.samples.empty() ? now_ : server.samples.back().seen_at;
+      server.samples = {
+          {ended.sample.position >= 0
+               ? server.applied_position
+               : at - routing::allowed_lag(request_class, was.request.session_token, was.sent) - 1,
+           at}};
+    }
+    --request.in_flight, request.not_executed += untouched;
     const bool ran = !untouched && !is(AttemptOutcome::rejected_overloaded, AttemptOutcome::connect_failed,
                                        AttemptOutcome::not_sent);
-    if (ran && request.may_have_run == kNever) {
-      request.may_have_run = was.sent;
+    if (ran && request.possibly_executed_at == kNever) {
+      request.possibly_executed_at = was.sent;
     }
     if (ended.request_completed) {
       requests_.erase(found);
@@ -443,31 +399,33 @@
     server.probe_sent_at = kNever;
     Group& group = touch(server);
     if (!hears()) {
-      group.wait = roll();
+      group.probe_delay_share = roll();
     }
     // All instances together go on probing a failing member as one would; where others tell, rarer still.
     const double sharing = std::min(instances_, options_.may_gossip ? 64.0 : 16.0);
     if (!ended.answered) {
-      server.next_probe = now_ + kProbePeriod * sharing * (0.9 + 0.2 * roll());
+      server.next_probe_at = now_ + kProbePeriod * sharing * (0.9 + 0.2 * roll());
     }
     server.probe_failed_at = ended.answered ? kNever : now_;
     recount(server);
     --probes_out_;
     // Probes that were sent for another reason than the pace tell the others nothing they need. A keeper's
     // own answers don't, either: others would take its silence for its death.
-    const bool due = now_ - (group.mine ? server.told : server.heard) > kProbePeriod * (group.mine ? 0.5 : 1);
-    const bool first = !std::exchange(server.unanswered, !ended.answered);  // told of it once, others know
+    const bool due = now_ - (group.leads_probing ? server.gossiped_at : server.sample_seen_at) >
+                     kProbePeriod * (group.leads_probing ? 0.5 : 1);
+    const bool first =
+        !std::exchange(server.probe_unanswered, !ended.answered);  // told of it once, others know
     if (options_.may_gossip && due && (ended.answered ? ended.sample.position >= 0 : first)) {
       if (want_tells_.empty()) {
         untold_since_ = now_;
       }
       want_tells_.push_back(&server);
-      group.mine = hears() && (group.mine || ended.answered);
+      group.leads_probing = hears() && (group.leads_probing || ended.answered);
     }
     if (!ended.answered) {
       return;
     }
-    server.answered_at = now_;
+    server.connection_answered_at = now_;
     good(server);
     see(server, ended.sample, ended.sample.position, now_);
   }
@@ -481,7 +439,7 @@
       grown_at_ = now_;
     }
     for (auto& [id, group] : groups_) {
-      touch(id).turn = -1;
+      touch(id).leader_rank = -1;
     }
     groups_kept_ = 0;
     fleet_view_ = among, instances_ = std::max(1.0, options_.instances * among.fleet_share);
@@ -491,7 +449,7 @@
   // Guards against words over a second late, from the future, or on members that are unknown or share a mark.
   void learn(const PeerMessageReceived& spoke) {
     const auto told = decode_samples(spoke.text, now_);
-    if (!told || now_ - told->then > kSampleAge) {
+    if (!told || now_ - told->then > kMaxSampleAge) {
       return;
     }
     if (!hears()) {
@@ -507,19 +465,20 @@
       Group& group = in_use(*server.group) ? touch(server) : *server.group;
       const bool answered = sample.role != Role::unknown;
       // Of two that keep the pace one goes on.
-      group.mine = group.mine && (!answered || keeps_before(group, spoke.peer));
+      group.leads_probing = group.leads_probing && (!answered || keeps_before(group, spoke.peer));
       if (answered) {
-        server.told = std::max(server.told, told->then);
+        server.gossiped_at = std::max(server.gossiped_at, told->then);
       }
-      if (told->then <= server.heard || (server.unanswered = !answered)) {
+      if (told->then <= server.sample_seen_at || (server.probe_unanswered = !answered)) {
         continue;
       }
       // What another saw outweighs a failed probe of one's own, but not failed ops: those make it look again.
       server.probe_failed_at = kNever, recount(server);
       if (down(server)) {
-        server.next_probe = std::max(now_, server.probed + kProbePeriod * std::min(5.0, instances_));
+        server.next_probe_at =
+            std::max(now_, server.last_probe_at + kProbePeriod * std::min(5.0, instances_));
       }
-      group.wait = roll();
+      group.probe_delay_share = roll();
       see(server, sample, sample.position, told->then);
     }
   }
@@ -529,11 +488,13 @@
   // set two apart. Where none can tell, and for a member that did not answer who looked first, all keep the
   // pace of one together.
   [[nodiscard]] Millis patience(const Group& group, const Server& server) const {
-    if (!hears() || server.unanswered) {
-      return 2 * kProbePeriod * (instances_ - 1) * group.wait;
+    if (!hears() || server.probe_unanswered) {
+      return 2 * kProbePeriod * (instances_ - 1) * group.probe_delay_share;
     }
-    const Millis drawn = 50 + 10 * instances_ * group.wait;
-    return group.turn < 0 ? drawn : group.turn < kReady ? 50 * group.turn : 50 * (kReady - 1) + drawn;
+    const Millis drawn = 50 + 10 * instances_ * group.probe_delay_share;
+    return group.leader_rank < 0        ? drawn
+           : group.leader_rank < kReady ? 50 * group.leader_rank
+                                        : 50 * (kReady - 1) + drawn;
   }
   [[nodiscard]] bool keeps_before(const Group& group, int peer) const {
     return fleet_view_ ? consistency::precedes(group.id, options_.rank, peer) : options_.rank < peer;
@@ -550,23 +511,12 @@
   }
   std::size_t groups_kept_ = 0;  // those in which it is this instance's turn
 
-  // A primary stands at the present, so the position it claims dates the claim.
+  // A primary's position is the present, so the position it claims dates the claim.
   void see(Server& server, const ReplicaSample& sample, Millis date, Millis at, bool commit = false) {
-    server.heard = at, server.unanswered = false;
-    if (sample.role == Role::primary) {
-      server.primary_at = std::max(server.primary_at, date);
-    }
-    if (sample.role == Role::replica) {
-      server.replica_at = std::max(server.replica_at, date);
-    }
+    routing::record_sample(server, sample, date, at, commit);
     if (sample.utilization >= 0) {
-      server.utilization = sample.utilization, server.utilization_at = at, credit_more(server);
+      credit_more(server);
     }
-    if (sample.position < 0) {
-      return;
-    }
-    server.proven = std::max(server.proven, sample.position - (commit ? 1 : 0));  // a commit is rounded up
-    keep(server.samples, {server.proven, at}, 3);
   }
 
   // The design leaves open how long tokens are kept. All are; when there are many, they are folded into one
@@ -587,14 +537,14 @@
   // Guards against pushing over a member that restarted before the list told of it: one that answers after
   // its ops failed and nobody heard of it for two seconds is taken for cold. Harm: one cut off is, too.
   void good(Server& server) {
-    if (server.probe_failed_at > server.last_good) {
+    if (server.probe_failed_at > server.last_answer_at) {
       doubted_ = now_;
     }
-    if (server.request_failed_at > server.last_good &&
-        now_ - std::max(server.last_good, server.heard) > 2000) {
+    if (server.request_failed_at > server.last_answer_at &&
+        now_ - std::max(server.last_answer_at, server.sample_seen_at) > 2000) {
       server.cold_since = now_;
     }
-    server.last_good = now_;
+    server.last_answer_at = now_;
     recount(server);
   }
 
@@ -604,36 +554,36 @@
   // slow. Harm: op types whose latency target says little of their work.
   void pace(Server& server, RequestClassId id, Millis took) {
     const RequestClass& request_class = class_of(id);
-    keep(latencies_[id], took, 32), usual_latency_[id] = quantile(latencies_[id], 0.75, 0);
-    keep(work_, {request_class.long_running, took}, 256);
+    keep_last(latencies_[id], took, 32), usual_latency_[id] = quantile(latencies_[id], 0.75, 0);
+    keep_last(work_, {request_class.long_running, took}, 256);
     if (!request_class.long_running) {
-      keep(server.latencies, took, 16);
-      keep(short_latencies_, took, 32);
+      keep_last(server.recent_latencies, took, 16);
+      keep_last(short_latencies_, took, 32);
       // Guards against taking one op's own slowness for its member's: a first late answer of one that shows
       // processors free says nothing, a second in a row does. Of members that show 0.7 or more in use, every
       // fifth op and more came late, below that far fewer (whole fleet, join).
-      const bool has_free = now_ - server.utilization_at < kSampleAge && server.utilization < 0.7;
+      const bool has_free = now_ - server.utilization_seen_at < kMaxSampleAge && server.utilization < 0.7;
       const bool late = took > request_class.latency_objective;
-      const bool again = std::exchange(server.was_late, late);
+      const bool again = std::exchange(server.last_answer_late, late);
       if (late && (again || !has_free)) {
         yield(server);
       }
-      if (took < 0.5 * request_class.latency_objective && server.limit < 1) {
-        server.limit = std::min(1.0, server.limit + 0.3);
+      if (took < 0.5 * request_class.latency_objective && server.concurrency_limit < 1) {
+        server.concurrency_limit = std::min(1.0, server.concurrency_limit + 0.3);
       }
     }
-    server.paces.push_back(took / std::max(1.0, request_class.latency_objective));
-    if (server.paces.size() < 10) {
+    server.latency_ratios.push_back(took / std::max(1.0, request_class.latency_objective));
+    if (server.latency_ratios.size() < 10) {
       return;
     }
-    const double mean = std::accumulate(server.paces.begin(), server.paces.end(), 0.0) / 10;
+    const double mean = std::accumulate(server.latency_ratios.begin(), server.latency_ratios.end(), 0.0) / 10;
     if (mean > 0.35) {
-      server.limit = std::max(floor(), server.limit * 0.85);
+      server.concurrency_limit = std::max(floor(), server.concurrency_limit * 0.85);
     }
-    if (mean < 0.25 && server.out + 1 >= server.limit * 0.7) {
-      server.limit += 1;
+    if (mean < 0.25 && server.in_flight + 1 >= server.concurrency_limit * 0.7) {
+      server.concurrency_limit += 1;
     }
-    server.paces.clear();
+    server.latency_ratios.clear();
   }
 
   // Where instances are many, each has too few ops at a member to limit by their number. A limit under one is
@@ -644,8 +594,8 @@
     if (floor() >= 1) {
       return;
     }
-    server.limit = std::max(floor(), std::min(server.limit, 1.0) * 0.3);
-    server.yielded = now_;
+    server.concurrency_limit = std::max(floor(), std::min(server.concurrency_limit, 1.0) * 0.3);
+    server.backed_off_at = now_;
   }
 
   [[nodiscard]] double floor() const { return 4 / instances_; }  // what any server runs at once, shared
@@ -654,17 +604,9 @@
     return options_.request_classes.at(static_cast<std::size_t>(request_class.number));
   }
 
-  static double quantile(std::deque<Millis> samples, double share, double other) {
-    if (samples.empty()) {
-      return other;
-    }
-    std::sort(samples.begin(), samples.end());
-    return samples[static_cast<std::size_t>(share * static_cast<double>(samples.size() - 1))];
-  }
-
   void judge_flights() {
     for (const auto& [key, attempt] : attempts_) {
-      attempt.server->oldest_out = kNever;
+      attempt.server->oldest_attempt_sent_at = kNever;
     }
     for (const auto& [key, attempt] : attempts_) {
       Server& server = *attempt.server;
@@ -672,8 +614,8 @@
       if (class_of(attempt.request.request_class).long_running || attempt.cancelled) {
         continue;
       }
-      if (server.oldest_out == kNever || attempt.sent < server.oldest_out) {
-        server.oldest_out = attempt.sent;
+      if (server.oldest_attempt_sent_at == kNever || attempt.sent < server.oldest_attempt_sent_at) {
+        server.oldest_attempt_sent_at = attempt.sent;
       }
     }
     for (auto& [key, attempt] : attempts_) {
@@ -685,17 +627,19 @@
 
   // No answer of any kind for longer than its answers usually take, with an op out all that time.
   [[nodiscard]] bool overdue(const Server& server, double times = 3) const {
-    const Millis mute = now_ - std::max(server.last_good, server.oldest_out);
-    if (server.oldest_out == kNever || mute <= 60) {
+    const Millis mute = now_ - std::max(server.last_answer_at, server.oldest_attempt_sent_at);
+    if (server.oldest_attempt_sent_at == kNever || mute <= 60) {
       return false;
     }
-    return mute > times * quantile(server.latencies.empty() ? short_latencies_ : server.latencies, 0.75, 100);
+    return mute >
+           times * quantile(server.recent_latencies.empty() ? short_latencies_ : server.recent_latencies,
+                            0.75, 100);
   }
 
   // Guards against members that hang, vanish or are cut off. A probe is answered beside the queue: an overdue
   // member whose probe failed or is out for 50 ms is silent; with probes in doubt, one overdue five times.
   [[nodiscard]] bool silent(const Server& server) const {
-    const bool probe_late = server.probe_sent_at > server.last_good && now_ - server.probe_sent_at > 50;
+    const bool probe_late = server.probe_sent_at > server.last_answer_at && now_ - server.probe_sent_at > 50;
     return probes_count() ? overdue(server) && (down(server) || probe_late) : overdue(server, 5);
   }
 
@@ -704,19 +648,19 @@
   [[nodiscard]] bool probes_count() const { return now_ - doubted_ > 5000; }
 
   [[nodiscard]] bool down(const Server& server) const {
-    return server.request_failed_at > server.last_good ||
-           (server.probe_failed_at > server.last_good && probes_count());
+    return server.request_failed_at > server.last_answer_at ||
+           (server.probe_failed_at > server.last_answer_at && probes_count());
   }
 
   [[nodiscard]] bool sendable(const Server& server) const {
-    return !server.drained && (server.entry.state != ServerState::gone || !options_.gone_is_excluded);
+    return !server.draining && (server.entry.state != ServerState::gone || !options_.gone_is_excluded);
   }
 
   // Guards against trusting failed probes over answered ops: where only probes say that a member is down, or
   // its ops failed a second ago, one op at a time may find out where nothing better is left.
   [[nodiscard]] bool usable(const Server& server) const {
-    return sendable(server) && now_ >= server.rests_until && !overdue(server) &&
-           (!down(server) || (server.out == 0 && now_ - server.request_failed_at > 1000));
+    return sendable(server) && now_ >= server.back_off_until && !overdue(server) &&
+           (!down(server) || (server.in_flight == 0 && now_ - server.request_failed_at > 1000));
   }
 
   // The share of its capacity that a cold member has at least.
@@ -739,15 +683,19 @@
     const bool over = slow_start_fraction(server) >= 1 || server.utilization > 0.7;
     const bool spare = !over && accrue(server) >= 1;
     if (over || spare || server.utilization < 0.5) {
-      server.more = std::clamp(server.more * (over ? 0.7 : spare ? 0.9 : 1.1), 1.0, 4.0);
+      server.credit_multiplier = std::clamp(server.credit_multiplier * (over    ? 0.7
+                                                                        : spare ? 0.9
+                                                                                : 1.1),
+                                            1.0, 4.0);
     }
   }
   [[nodiscard]] double more(const Server& server) const {
-    return now_ - server.utilization_at < kSampleAge / 2 ? server.more : 1;
+    return now_ - server.utilization_seen_at < kMaxSampleAge / 2 ? server.credit_multiplier : 1;
   }
   double accrue(Server& server) {
-    const Millis since = std::max(std::exchange(server.credit_at, now_), server.cold_since);
-    return server.credit = std::min(1.0, server.credit + (now_ - since) * cold_rate(server) * more(server));
+    const Millis since = std::max(std::exchange(server.credit_updated_at, now_), server.cold_since);
+    return server.slow_start_credit =
+               std::min(1.0, server.slow_start_credit + (now_ - since) * cold_rate(server) * more(server));
   }
 
   double cold_rate(const Server& server) {
@@ -767,72 +715,30 @@
   bool has_room(Server& server, const Request& request, bool long_work, double part) {
     const double share = std::min(1.0, slow_start_fraction(server) * more(server));
     // With no answer at all a member is back in 100 s.
-    const double limit = server.limit * part * share;
-    const double regained = (now_ - server.yielded) / 100000;
-    if (server.out + 0.5 > std::max(1.0, limit) || request.chance > limit + regained) {
+    const double limit = server.concurrency_limit * part * share;
+    const double regained = (now_ - server.backed_off_at) / 100000;
+    if (server.in_flight + 0.5 > std::max(1.0, limit) || request.admission_draw > limit + regained) {
       return false;
     }
     return slow_start_fraction(server) >= 1 || (!long_work && accrue(server) >= 1);
   }
 
-  // Who claimed it last and was not seen as a replica since; the list counts where no member has spoken.
-  static Server* primary_of(const Group& group) {
-    Server* best = nullptr;
-    Server* by_list = nullptr;
-    for (Server* server : group.servers) {
-      const bool claims = server->primary_at != kNever && server->primary_at > server->replica_at;
-      if (claims && (!best || server->primary_at > best->primary_at)) {
-        best = server;
-      }
-      if (server->entry.state != ServerState::gone && server->entry.primary && server->replica_at == kNever) {
-        by_list = server;
-      }
-    }
-    return best ? best : by_list;
-  }
-
-  // The design's three tests.
-  [[nodiscard]] bool passes(const Server& server, const Request& request,
-                            const RequestClass& request_class) const {
-    if (server.samples.empty()) {
-      return false;
-    }
-    const Millis threshold =
-        request_class.consistency == Consistency::bounded ? request_class.staleness_bound : kLagThreshold;
-    return now_ < passes_until(server, threshold) && server.proven >= request.token;
-  }
-  static Millis passes_until(const Server& server, Millis threshold) {  // 1 ms to the cautious side
-    return std::min(server.samples.back().second + kSampleAge, server.proven + threshold - 1);
-  }
-
-  // How far behind a replica may be at a time to do for an op.
-  static Millis wanted_lag(const Request& request, const RequestClass& request_class, Millis at) {
-    if (request_class.consistency == Consistency::any) {
-      return kForever;
-    }
-    return request_class.consistency == Consistency::bounded ? request_class.staleness_bound
-                                                             : at - request.token;
-  }
-
   // Where stores check reads themselves, a replica is tried when it would pass if it now lags as it did in
   // the best of its last samples (reports are old), of any age: the store's own word costs no probe.
   [[nodiscard]] bool likely(const Server& server, const Request& request,
                             const RequestClass& request_class) const {
-    if (!options_.servers_check || request.turned_away > 1) {
+    if (!options_.servers_check || request.not_executed > 1) {
       return false;
     }
-    Millis lag = server.samples.empty() ? 0 : kForever;
-    for (const auto& [position, sample] : server.samples) {
-      lag = std::min(lag, sample - position);
-    }
-    return lag <= wanted_lag(request, request_class, now_);
+    return routing::smallest_sampled_lag(server) <=
+           routing::allowed_lag(request_class, request.session_token, now_);
   }
 
   Server* choose(const Request& request, const RequestClass& request_class) {
     Group& group = touch(request.group);
-    Server* primary = primary_of(group);
+    Server* primary = routing::primary_of(group);
     if (!primary) {
-      group.asked = true;
+      group.sample_wanted = true;
     }
     const bool primary_usable = primary && usable(*primary);
     if (request_class.primary_only()) {
@@ -852,11 +758,12 @@
       if (!usable(*server) || !has_room(*server, request, request_class.long_running, 1)) {
         continue;
       }
-      const bool fits = passes(*server, request, request_class) || likely(*server, request, request_class);
+      const bool fits = routing::is_fresh(*server, request_class, request.session_token, now_) ||
+                        likely(*server, request, request_class);
       // Beyond the threshold, but proven all the same: better than asking a busy primary.
-      const bool will_do =
-          request_class.consistency == Consistency::any ||
-          (request_class.consistency == Consistency::session && server->proven >= request.token);
+      const bool will_do = request_class.consistency == Consistency::any ||
+                           (request_class.consistency == Consistency::session &&
+                            server->applied_position >= request.session_token);
       if (!fits && !will_do) {
         continue;
       }
@@ -865,7 +772,8 @@
         tier += 2;
       }
       const std::tuple<int, bool, long> rank{request_class.long_running ? tier / 4 * 4 + !keeps : tier,
-                                             enough_connections && !connected(*server), server->turn};
+                                             enough_connections && !connected(*server),
+                                             server->last_selected};
       if (!best || rank < best_rank) {
         best = server, best_rank = rank;
       }
@@ -873,7 +781,7 @@
     if (best && std::get<0>(best_rank) < 4) {
       return best;
     }
-    group.asked = group.asked || (!best && !options_.servers_check);
+    group.sample_wanted = group.sample_wanted || (!best && !options_.servers_check);
     // A primary takes reads into half its limit, up to 0.8 of it as they come to be of as much value for
     // their time as what only it can do. Guards the primary when replicas fall behind.
     const double part =
@@ -884,8 +792,8 @@
   // A connection that stands idle is closed before the server would close it, at nine tenths of the stated
   // time.
   [[nodiscard]] bool connected(const Server& server) const {
-    return server.answered_at > server.cold_since &&
-           now_ - server.answered_at < 0.9 * options_.connection_idle;
+    return server.connection_answered_at > server.cold_since &&
+           now_ - server.connection_answered_at < 0.9 * options_.connection_idle;
   }
   // Guards against a new connection for nearly every request where a front has few requests for each of many
   // groups: in a group as many replicas are used as have some requests each in the time that a connection may
@@ -916,13 +824,13 @@
   void decide_ops() {
     std::vector<std::pair<Millis, RequestId>> held;
     for (auto& [id, request] : requests_) {
-      request.want = Want::hold;
-      if (request.out > 0) {
+      request.next_step = NextStep::wait;
+      if (request.in_flight > 0) {
         continue;
       }
       const RequestClass& request_class = class_of(request.request_class);
       // The earliest latency target first, nearer for ops of more value for their time; late ones last.
-      const Millis left = request.wanted_by - now_;
+      const Millis left = request.objective_deadline - now_;
       held.emplace_back(
           left > 0 ? left * std::sqrt(options_.highest_primary_density / request_class.value_density())
                    : 1e9 - left,
@@ -939,15 +847,16 @@
 
   void decide(Request& request) {
     const RequestClass& request_class = class_of(request.request_class);
-    const bool ran = request.may_have_run != kNever;
-    const Millis useful_until =
-        request_class.late_value > 0 ? request.end : std::min(request.end, request.wanted_by);
+    const bool ran = request.possibly_executed_at != kNever;
+    const Millis useful_until = request_class.late_value > 0
+                                    ? request.deadline
+                                    : std::min(request.deadline, request.objective_deadline);
     const bool remembered =
         request_class.retry_safety == RetrySafety::deduplicated && memory_left(request) > 0;
     const bool cut_off = fleet_view_ && !(request_class.primary_only() ? fleet_view_->primary_only_allowed
                                                                        : fleet_view_->reads_allowed);
-    const bool again = request.sends > request.turned_away;  // untouched sends cost the store nothing
-    const bool may_send = request.sends < options_.max_attempts && !cut_off && !(again && resends_ < 1) &&
+    const bool again = request.attempts > request.not_executed;  // untouched sends cost the store nothing
+    const bool may_send = request.attempts < options_.max_attempts && !cut_off && !(again && resends_ < 1) &&
                           (!ran || request_class.retry_safety == RetrySafety::idempotent || remembered);
     // What can't be answered in time by the usual latency (its upper quartile) is ended. Never by over 0.6 of
     // the latency target: samples of a bad time would lock everything out.
@@ -957,16 +866,17 @@
       const bool harmless = !ran || request_class.retry_safety == RetrySafety::idempotent ||
                             (request_class.retry_safety == RetrySafety::deduplicated &&
                              !request_class.token_valid_in_group_only);
-      return void(request.want = harmless ? Want::busy_reply : Want::error_reply);
+      return void(request.next_step = harmless ? NextStep::reject : NextStep::fail);
     }
-    Server* to = request.to = choose(request, request_class);
+    Server* to = request.target = choose(request, request_class);
     // Guards against sitting on an op its client could ask for again: unsent at half its patience, it ends.
     if (!to) {
-      return void(request.want = request.sends == 0 && now_ + 3 * options_.tick > request.half
-                                     ? Want::busy_reply
-                                     : request.want);
+      return void(request.next_step =
+                      request.attempts == 0 && now_ + 3 * options_.tick > request.half_deadline
+                          ? NextStep::reject
+                          : request.next_step);
     }
-    request.want = Want::send;
+    request.next_step = NextStep::attempt;
     // Guards stores that fail for all against being asked again by all: first sends fill a bucket for resends
     // (as in gRPC's A6 and Finagle's RetryBudget), so over the fleet they are at most that share, and a
     // burst.
@@ -974,15 +884,15 @@
       resends_ = again ? resends_ - 1
                        : std::min(resends_ + options_.retry_budget_ratio, options_.retry_budget_burst);
     }
-    ++to->out;
+    ++to->in_flight;
     if (slow_start_fraction(*to) < 1) {
-      to->credit -= 1;
+      to->slow_start_credit -= 1;
     }
-    to->turn = ++turn_;
+    to->last_selected = ++turn_;
   }
   // For how long stores still know a repeat of what may have run. It may be on its way for 50 ms.
   [[nodiscard]] Millis memory_left(const Request& request) const {
-    return request.may_have_run + class_of(request.request_class).idempotency_window - 50 - now_;
+    return request.possibly_executed_at + class_of(request.request_class).idempotency_window - 50 - now_;
   }
   double resends_ = options_.retry_budget_burst;  // that may be sent now
 
@@ -995,30 +905,33 @@
     // Guards against probing members for the sake of one slow op or one ended connection: of one that others
     // tell of, only the path can be at fault. It is given four times the time, by when the op is late anyway,
     // and a second failed op. One that is down by its ops is looked at once others tell of it.
-    const bool told_of = hears() && now_ - server.told < 1.5 * kProbePeriod;
-    if (overdue(server, told_of ? 12 : 3) && server.probe_failed_at < server.oldest_out) {
-      return std::max(now_, server.next_probe);
+    const bool told_of = hears() && now_ - server.gossiped_at < 1.5 * kProbePeriod;
+    if (overdue(server, told_of ? 12 : 3) && server.probe_failed_at < server.oldest_attempt_sent_at) {
+      return std::max(now_, server.next_probe_at);
     }
-    const bool look = down(server) ? server.told > server.hurt : !told_of;
-    if (look && server.hurt > std::max(server.last_good, server.probe_failed_at)) {
-      return server.next_probe;
+    const bool look = down(server) ? server.gossiped_at > server.last_error_at : !told_of;
+    if (look && server.last_error_at > std::max(server.last_answer_at, server.probe_failed_at)) {
+      return server.next_probe_at;
     }
     // Patience runs anew for a new member and for who hears again: else all would probe all at once.
-    const Millis anew = std::max(server.since, heard_again_) - kProbePeriod;
-    Millis at = std::max(group.mine ? server.told : server.heard, anew) + kProbePeriod;
-    if (!group.mine) {
+    const Millis anew = std::max(server.listed_at, heard_again_) - kProbePeriod;
+    Millis at =
+        std::max(group.leads_probing ? server.gossiped_at : server.sample_seen_at, anew) + kProbePeriod;
+    if (!group.leads_probing) {
       at += patience(group, server);
     }
-    if (group.asked) {
-      at = std::min(at, server.heard + kSampleAge / 2);
+    if (group.sample_wanted) {
+      at = std::min(at, server.sample_seen_at + kMaxSampleAge / 2);
     }
-    return std::max(at, server.next_probe);
+    return std::max(at, server.next_probe_at);
   }
 
   // When a member that others tell of, and that failed here, is to be judged without them.
   [[nodiscard]] Millis others_silent_at(const Server& server) const {
-    const Millis at = server.told + 1.5 * kProbePeriod;
-    return server.hurt > std::max(server.last_good, server.probe_failed_at) && at > now_ ? at : kForever;
+    const Millis at = server.gossiped_at + 1.5 * kProbePeriod;
+    return server.last_error_at > std::max(server.last_answer_at, server.probe_failed_at) && at > now_
+               ? at
+               : kForever;
   }
 
   void decide_probes() {
@@ -1038,14 +951,14 @@
   }
 
   void judge_probes(Group& group) {
-    if (group.wait == 0) {
-      group.wait = roll();
+    if (group.probe_delay_share == 0) {
+      group.probe_delay_share = roll();
     }
-    if (fleet_view_ && group.turn < 0 && now_ - grown_at_ > kSampleAge) {
-      group.turn = consistency::turn_of(group.id, options_.rank, fleet_view_->alive_peers, kReady);
-      groups_kept_ += group.turn == 0;
+    if (fleet_view_ && group.leader_rank < 0 && now_ - grown_at_ > kMaxSampleAge) {
+      group.leader_rank = consistency::turn_of(group.id, options_.rank, fleet_view_->alive_peers, kReady);
+      groups_kept_ += group.leader_rank == 0;
     }
-    group.mine = group.mine && hears();
+    group.leads_probing = group.leads_probing && hears();
     bool due = false;
     Millis next = kForever;
     for (Server* server : group.servers) {
@@ -1056,17 +969,17 @@
         next = std::min({next, at, others_silent_at(*server)});
       }
     }
-    if (fleet_view_ && group.turn < 0) {
-      next = std::min(next, grown_at_ + kSampleAge + options_.tick);
+    if (fleet_view_ && group.leader_rank < 0) {
+      next = std::min(next, grown_at_ + kMaxSampleAge + options_.tick);
     }
     probes_due_.set(group.id, next < kForever ? std::optional(next) : std::nullopt);
     // What this instance tells of a group goes into one message.
     for (Server* server : group.servers) {
-      if (due && probe_at(group, *server) - (group.mine ? kProbePeriod / 2 : 0) <= now_) {
+      if (due && probe_at(group, *server) - (group.leads_probing ? kProbePeriod / 2 : 0) <= now_) {
         want_probes_.push_back(server);
       }
     }
-    group.touched = group.asked = false;
+    group.changed = group.sample_wanted = false;
   }
 
   // Calls are spread, for the list is one service for all: 25 ms apart, at most over a quarter of the time in
@@ -1089,8 +1002,8 @@
     }
     for (Server* server : std::exchange(want_probes_, {})) {
       out.push_back(StartProbe{server->entry.id, options_.probe_timeout});
-      server->probe_sent_at = server->probed = now_, ++probes_out_;
-      server->next_probe = now_ + kProbePeriod * 0.75;
+      server->probe_sent_at = server->last_probe_at = now_, ++probes_out_;
+      server->next_probe_at = now_ + kProbePeriod * 0.75;
     }
     tell(out);
     for (auto& [key, attempt] : attempts_) {
@@ -1098,27 +1011,27 @@
         continue;
       }
       out.push_back(CancelAttempt{key.first, key.second});
-      attempt.cancelled = true, attempt.server->request_failed_at = attempt.server->hurt = now_;
+      attempt.cancelled = true, attempt.server->request_failed_at = attempt.server->last_error_at = now_;
       recount(*attempt.server);
     }
     for (auto& [id, request] : requests_) {
-      if (request.want == Want::send) {
+      if (request.next_step == NextStep::attempt) {
         // Guards against a repeat that waits for its connection until the first attempt is forgotten.
-        const bool repeats = request.may_have_run != kNever &&
+        const bool repeats = request.possibly_executed_at != kNever &&
                              class_of(request.request_class).retry_safety == RetrySafety::deduplicated;
-        out.push_back(StartAttempt{id, request.to->entry.id, request.end - now_,
+        out.push_back(StartAttempt{id, request.target->entry.id, request.deadline - now_,
                                    repeats ? std::optional(memory_left(request)) : std::nullopt});
-        attempts_[{id, {request.sends}}] = {request.to, request, now_};
-        ++request.sends, ++request.out;
+        attempts_[{id, {request.attempts}}] = {request.target, request, now_};
+        ++request.attempts, ++request.in_flight;
       }
-      if (request.want == Want::busy_reply) {
+      if (request.next_step == NextStep::reject) {
         out.push_back(RejectRequest{id, options_.retry_after});
       }
-      if (request.want == Want::error_reply) {
+      if (request.next_step == NextStep::fail) {
         out.push_back(FailRequest{id});
       }
     }
-    std::erase_if(requests_, [](const auto& item) { return item.second.want > Want::send; });
+    std::erase_if(requests_, [](const auto& item) { return item.second.next_step > NextStep::attempt; });
     const Millis next_probe = probes_due_.next().value_or(kForever);
     Millis wake = options_.poll_endpoints ? std::min(next_probe, next_watch_) : next_probe;
     if (!requests_.empty()) {
@@ -1141,19 +1054,20 @@
       return;
     }
     // While nobody is heard a word now and then will do, from which those who hear again learn of others.
-    if (!hears() && now_ < spoke_at_ + kSampleAge) {
+    if (!hears() && now_ < spoke_at_ + kMaxSampleAge) {
       return want_tells_.clear();
     }
     std::vector<GossipedSample> samples;
     for (Server* server : std::exchange(want_tells_, {})) {
-      if (!server->unanswered) {
-        server->told = now_;
+      if (!server->probe_unanswered) {
+        server->gossiped_at = now_;
       }
-      const bool shown = now_ - server->utilization_at < kSampleAge;
-      const Role role = server->primary_at > server->replica_at ? Role::primary : Role::replica;
-      samples.push_back(
-          {server->mark,
-           {server->unanswered ? Role::unknown : role, server->proven, shown ? server->utilization : -1}});
+      const bool shown = now_ - server->utilization_seen_at < kMaxSampleAge;
+      const Role role =
+          server->primary_claimed_at > server->replica_claimed_at ? Role::primary : Role::replica;
+      samples.push_back({server->mark,
+                         {server->probe_unanswered ? Role::unknown : role, server->applied_position,
+                          shown ? server->utilization : -1}});
       if (samples.size() == kMostSamples) {
         break;  // the rest is told when its turn comes again
       }
