--- /dev/null
+++ b/src/routing/attempts.hpp
@@ -0,0 +1,60 @@
+// The attempts in flight, and cancelling those at servers that hang.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "core/types.hpp"
+#include "routing/replica_state.hpp"
+#include "routing/request_state.hpp"
+#include "routing/router.hpp"
+#include "routing/router_context.hpp"
+#include "routing/server_health.hpp"
+#include "routing/server_registry.hpp"
+#include "routing/slow_start.hpp"
+
+namespace reedspindle::routing {
+
+// An attempt in flight; it may outlive its request.
+struct Attempt {
+  Server* server = nullptr;  // owned by the registry, which keeps it while attempts are in flight
+  RequestClassId request_class;
+  std::string session;
+  Millis session_token = kNever;
+  Millis sent_at = 0;
+  bool cancel_due = false;
+  bool cancelled = false;
+};
+
+class Attempts {
+ public:
+  Attempts(const RouterContext& context, ServerRegistry& registry, const ServerHealth& health,
+           SlowStart& slow_start)
+      : context_(context), registry_(registry), health_(health), slow_start_(slow_start) {}
+
+  // Starts the next attempt of a request at its target; the server has already counted it.
+  void start(RequestId id, Request& request, std::vector<Decision>& decisions);
+
+  // Ends an attempt; none where it is not known.
+  [[nodiscard]] std::optional<Attempt> take(RequestId id, AttemptNumber number);
+
+  // Finds the attempts at unresponsive servers that may be cancelled; once a batch, after all events.
+  void check_servers();
+
+  // Cancels what check_servers() has found.
+  void cancel_due(std::vector<Decision>& decisions);
+
+ private:
+  void update_oldest();
+
+  const RouterContext& context_;
+  ServerRegistry& registry_;
+  const ServerHealth& health_;
+  SlowStart& slow_start_;
+  std::map<std::pair<RequestId, AttemptNumber>, Attempt> attempts_;
+};
+
+}  // namespace reedspindle::routing
--- /dev/null
+++ b/src/routing/endpoint_list.hpp
@@ -0,0 +1,51 @@
+// Lists from discovery: servers are added, change, drain, go and are forgotten.
+#pragma once
+
+#include <map>
+#include <utility>
+#include <vector>
+
+#include "core/types.hpp"
+#include "routing/concurrency_limit.hpp"
+#include "routing/replica_state.hpp"
+#include "routing/router.hpp"
+#include "routing/router_context.hpp"
+#include "routing/sample_exchange.hpp"
+#include "routing/server_registry.hpp"
+#include "routing/slow_start.hpp"
+
+namespace reedspindle::routing {
+
+class EndpointLists {
+ public:
+  EndpointLists(RouterContext& context, ServerRegistry& registry, SlowStart& slow_start,
+                const ConcurrencyLimits& limits, SampleExchange& exchange)
+      : context_(context),
+        registry_(registry),
+        slow_start_(slow_start),
+        limits_(limits),
+        exchange_(exchange) {}
+
+  // Takes in a list that discovery has answered with, of any kind but `failed`.
+  void handle_endpoint_list(const EndpointListReceived& list);
+
+  // The servers that were forgotten since the last call and have not been listed again.
+  [[nodiscard]] std::vector<ServerId> take_forgotten() { return std::exchange(forgotten_, {}); }
+
+ private:
+  void apply(const ServerEntry& entry, bool complete);
+  void add(Server& server);
+  void update_listing(Server& server);
+  void forget_gone();
+  void forget(Server& server);
+
+  RouterContext& context_;
+  ServerRegistry& registry_;
+  SlowStart& slow_start_;
+  const ConcurrencyLimits& limits_;
+  SampleExchange& exchange_;
+  std::multimap<Millis, ServerId> gone_;  // by when they went
+  std::vector<ServerId> forgotten_;
+};
+
+}  // namespace reedspindle::routing
--- a/src/routing/router_context.hpp
+++ b/src/routing/router_context.hpp
@@ -4,10 +4,12 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <random>
 
 #include "core/types.hpp"
 #include "routing/replica_state.hpp"
+#include "routing/router.hpp"
 #include "routing/router_options.hpp"
 
 namespace reedspindle::routing {
@@ -25,6 +27,8 @@
   Millis started_at = kNever;  // of the first batch
   double instances;            // live instances, among which limits for the whole fleet are divided
 
+  std::optional<FleetViewChanged> fleet_view;  // none: the fleet says nothing of the other instances
+
   // A random number, 0 to 1.
   double draw() { return static_cast<double>(random_() - 1) / static_cast<double>(random_.max()); }
 
--- /dev/null
+++ b/src/routing/server_selection.cpp
@@ -0,0 +1,143 @@
+// Reads go to an eligible replica, the primary standing in for missing ones with a part of its limit; all
+// else goes to the primary.
+#include "routing/server_selection.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/eligibility.hpp"
+#include "routing/group_usage.hpp"
+
+namespace reedspindle::routing {
+namespace {
+
+// What makes a replica's tier; the lowest tier is preferred.
+constexpr int kNotPreferred = 1;
+constexpr int kOtherZone = 2;
+constexpr int kDown = 4;
+
+// The part of the primary's limit that is open to reads, by their value density against that of primary-only
+// requests: from the one to the sum of both.
+constexpr double kPrimaryShare = 0.5;
+constexpr double kPrimaryShareByValue = 0.3;
+
+// A connection that has been idle for this part of the stated time is closed before the server closes it.
+constexpr double kIdlePart = 0.9;
+// With so many requests to a connection, the cost of its handshake is lost in what requests vary by.
+constexpr double kRequestsPerConnection = 3;
+
+}  // namespace
+
+Server* ServerSelection::select(const Request& request, const RequestClass& request_class,
+                                double long_running_share) {
+  Group& group = registry_.mark_changed(request.group);
+  Server* const primary = primary_of(group);
+  if (!primary) {
+    group.sample_wanted = true;
+  }
+  const bool primary_available = primary && health_.is_available(*primary);
+  if (request_class.primary_only()) {
+    const bool selected =
+        primary_available && limits_.has_room(*primary, request_class, request.admission_draw);
+    return selected ? primary : nullptr;
+  }
+  const Candidate replica = best_replica(group, primary, request, request_class, long_running_share);
+  if (replica.server && std::get<0>(replica.rank) < kDown) {
+    return replica.server;
+  }
+  if (!replica.server && !context_.options.servers_check) {
+    group.sample_wanted = true;
+  }
+  // The primary must keep room for what only it can do when replicas fall behind.
+  const double relative_value = request_class.value_density() / context_.options.highest_primary_density;
+  const double share = kPrimaryShare + kPrimaryShareByValue * std::min(1.0, relative_value);
+  if (primary_available && limits_.has_room(*primary, request_class, request.admission_draw, share)) {
+    return primary;
+  }
+  return replica.server;
+}
+
+// Long-running requests hold up replication where they run, so they are kept together: on the first replicas
+// of the group's order, which is the same at every instance, and on as many as is their share of all work.
+ServerSelection::Candidate ServerSelection::best_replica(const Group& group, const Server* primary,
+                                                         const Request& request,
+                                                         const RequestClass& request_class,
+                                                         double long_running_share) const {
+  Candidate best;
+  // While no primary is known every replica may name it.
+  const bool save_connections = primary && has_enough_connections(group, primary);
+  const double servers = static_cast<double>(group.servers.size());
+  long reserved_left =
+      std::max(std::lround(long_running_share * servers), request_class.long_running ? 1L : 0L);
+  for (Server* const server : group.servers) {
+    if (server == primary) {
+      continue;
+    }
+    const bool reserved = health_.is_in_service(*server) && !health_.is_down(*server) && reserved_left-- > 0;
+    if (!health_.is_available(*server) || !limits_.has_room(*server, request_class, request.admission_draw)) {
+      continue;
+    }
+    const bool fresh = is_fresh(*server, request_class, request.session_token, context_.now) ||
+                       probably_fresh(*server, request, request_class);
+    // One over the lag threshold that has applied the session's last write is better than a busy primary.
+    const bool acceptable =
+        request_class.consistency == Consistency::any || (request_class.consistency == Consistency::session &&
+                                                          server->applied_position >= request.session_token);
+    if (!fresh && !acceptable) {
+      continue;
+    }
+    const Rank rank{tier_of(*server, request_class, fresh, reserved),
+                    save_connections && !is_connected(*server), server->last_selected};
+    if (!best.server || rank < best.rank) {
+      best = {server, rank};
+    }
+  }
+  return best;
+}
+
+int ServerSelection::tier_of(const Server& server, const RequestClass& request_class, bool fresh,
+                             bool reserved) const {
+  const int down = health_.is_down(server) ? kDown : 0;
+  if (request_class.long_running) {
+    return down + (reserved ? 0 : kNotPreferred);
+  }
+  int tier = down;
+  if (!fresh || reserved) {
+    tier += kNotPreferred;
+  }
+  const RouterOptions& options = context_.options;
+  if (options.cross_zone_price > 0 && server.entry.zone.number != options.zone_number) {
+    tier += kOtherZone;
+  }
+  return tier;
+}
+
+// Where servers check reads themselves, a replica is tried if it would be fresh with the lag that it had in
+// the best of its last samples, of any age: the server's refusal costs no probe.
+bool ServerSelection::probably_fresh(const Server& server, const Request& request,
+                                     const RequestClass& request_class) const {
+  if (!context_.options.servers_check || request.not_executed > 1) {
+    return false;
+  }
+  return smallest_sampled_lag(server) <= allowed_lag(request_class, request.session_token, context_.now);
+}
+
+bool ServerSelection::is_connected(const Server& server) const {
+  const Millis idle = context_.now - server.connection_answered_at;
+  return server.connection_answered_at > server.cold_since &&
+         idle < kIdlePart * context_.options.connection_idle;
+}
+
+// An instance that has few requests for each of many groups would otherwise open a connection for nearly
+// every one: only as many replicas are used as have some requests each while a connection may stand idle.
+bool ServerSelection::has_enough_connections(const Group& group, const Server* primary) const {
+  if (context_.options.connection_idle <= 0) {
+    return false;
+  }
+  const auto connected = std::ranges::count_if(
+      group.servers, [&](const Server* server) { return server != primary && is_connected(*server); });
+  const double wanted = std::max(1.0, recent_requests(group, context_) / kRequestsPerConnection);
+  return static_cast<double>(connected) >= wanted;
+}
+
+}  // namespace reedspindle::routing
--- /dev/null
+++ b/src/routing/server_selection.hpp
@@ -0,0 +1,49 @@
+// Which server of a group a request's next attempt goes to.
+#pragma once
+
+#include <tuple>
+
+#include "core/types.hpp"
+#include "routing/concurrency_limit.hpp"
+#include "routing/replica_state.hpp"
+#include "routing/request_state.hpp"
+#include "routing/router_context.hpp"
+#include "routing/server_health.hpp"
+#include "routing/server_registry.hpp"
+
+namespace reedspindle::routing {
+
+class ServerSelection {
+ public:
+  ServerSelection(const RouterContext& context, ServerRegistry& registry, const ServerHealth& health,
+                  const ConcurrencyLimits& limits)
+      : context_(context), registry_(registry), health_(health), limits_(limits) {}
+
+  // Null: none is eligible, available and has room. `long_running_share` is that of all recent work.
+  Server* select(const Request& request, const RequestClass& request_class, double long_running_share);
+
+ private:
+  // The preference of a replica, the smallest first: its tier, whether a connection would have to be opened,
+  // and when it was selected last.
+  using Rank = std::tuple<int, bool, long>;
+  struct Candidate {
+    Server* server = nullptr;
+    Rank rank;
+  };
+
+  Candidate best_replica(const Group& group, const Server* primary, const Request& request,
+                         const RequestClass& request_class, double long_running_share) const;
+  [[nodiscard]] bool probably_fresh(const Server& server, const Request& request,
+                                    const RequestClass& request_class) const;
+  [[nodiscard]] int tier_of(const Server& server, const RequestClass& request_class, bool fresh,
+                            bool reserved) const;
+  [[nodiscard]] bool is_connected(const Server& server) const;
+  [[nodiscard]] bool has_enough_connections(const Group& group, const Server* primary) const;
+
+  const RouterContext& context_;
+  ServerRegistry& registry_;
+  const ServerHealth& health_;
+  const ConcurrencyLimits& limits_;
+};
+
+}  // namespace reedspindle::routing
--- /dev/null
+++ b/src/routing/session_tokens.cpp
@@ -0,0 +1,32 @@
+// Tokens are kept until there are many; then one token stands for all sessions, which replicas soon reach.
+#include "routing/session_tokens.hpp"
+
+#include <algorithm>
+#include <cstddef>
+
+namespace reedspindle::routing {
+namespace {
+
+constexpr std::size_t kMaxSessions = 10000;
+
+}  // namespace
+
+void SessionTokens::record_acknowledged(const std::string& session, const RequestClass& request_class,
+                                        Millis position) {
+  if (request_class.consistency != Consistency::write || position < 0 || !context_.options.remember_tokens) {
+    return;
+  }
+  Millis& token = tokens_.try_emplace(session, kNever).first->second;
+  token = std::max(token, position);
+  if (tokens_.size() > kMaxSessions) {
+    token_of_all_ = context_.now;
+    tokens_.clear();
+  }
+}
+
+Millis SessionTokens::token_of(const std::string& session) const {
+  const auto found = tokens_.find(session);
+  return found == tokens_.end() ? token_of_all_ : std::max(token_of_all_, found->second);
+}
+
+}  // namespace reedspindle::routing
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -73,7 +73,10 @@
 
 // Groups whose servers are all new would otherwise stay at the estimate, which is 0 without warm servers.
 // Reports are late by one or two samples; what is given too much is taken back.
-void SlowStart::record_utilization(Server& server) {
+void SlowStart::record_utilization(Server& server, const ReplicaSample& sample) {
+  if (sample.utilization < 0) {
+    return;
+  }
   const bool overloaded = fraction(server) >= 1 || server.utilization > kHighUtilization;
   const bool unused = !overloaded && has_credit(server);
   if (!overloaded && !unused && server.utilization >= kLowUtilization) {
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -34,8 +34,8 @@
   // An attempt at the server was acknowledged.
   void record_acknowledged(const Server& server);
 
-  // The server has reported its utilization.
-  void record_utilization(Server& server);
+  // A sample was recorded; takes in the utilization, where the sample states one.
+  void record_utilization(Server& server, const ReplicaSample& sample);
 
   // To be called after any change of its size, start, state or failures.
   void update_capacity(Server& server);
