--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -10,7 +10,7 @@
   if (request.possibly_executed_at != kNever && request_class.retry_safety == RetrySafety::deduplicated) {
     start_within = remaining_idempotency_window(request, request_class, context_.now);
   }
-  decisions.push_back(
+  decisions.emplace_back(
       StartAttempt{id, request.target->entry.id, request.deadline - context_.now, start_within});
   attempts_[{id, {request.attempts}}] = {.server = request.target,
                                          .request_class = request.request_class,
@@ -60,7 +60,7 @@
     if (!attempt.cancel_due || attempt.cancelled) {
       continue;
     }
-    decisions.push_back(CancelAttempt{key.first, key.second});
+    decisions.emplace_back(CancelAttempt{key.first, key.second});
     attempt.cancelled = true;
     attempt.server->request_failed_at = context_.now;
     attempt.server->last_error_at = context_.now;
--- a/src/routing/endpoint_list.cpp
+++ b/src/routing/endpoint_list.cpp
@@ -78,7 +78,7 @@
   insert_into_group(server);
   server.concurrency_limit = limits_.initial_limit();
   slow_start_.add(server, context_.draw());
-  const long back = static_cast<long>(kSelectionSpread * context_.draw());
+  const auto back = static_cast<long>(kSelectionSpread * context_.draw());
   server.last_selected = registry_.last_selection() - back;
 }
 
--- a/src/routing/first_try_estimate.cpp
+++ b/src/routing/first_try_estimate.cpp
@@ -27,7 +27,7 @@
 
 // The largest number of times that lie within the jitter of one another, and the longest of them.
 CommonTime most_common(std::deque<Millis> times) {
-  std::sort(times.begin(), times.end());
+  std::ranges::sort(times);
   CommonTime common;
   std::size_t low = 0;
   for (std::size_t high = 0; high < times.size(); ++high) {
--- a/src/routing/probe_leader.cpp
+++ b/src/routing/probe_leader.cpp
@@ -27,8 +27,8 @@
 
 int turn_of(GroupId group, int front, const std::set<int>& others, int most) {
   int turn = 0;
-  for (const int other : others) {
-    if (other != front && precedes(group, other, front) && ++turn == most) {
+  for (const int candidate : others) {
+    if (candidate != front && precedes(group, candidate, front) && ++turn == most) {
       break;
     }
   }
--- a/src/routing/probing.cpp
+++ b/src/routing/probing.cpp
@@ -115,7 +115,7 @@
 
 void Probing::start_due(std::vector<Decision>& decisions) {
   for (Server* const server : std::exchange(due_, {})) {
-    decisions.push_back(StartProbe{server->entry.id, context_.options.probe_timeout});
+    decisions.emplace_back(StartProbe{server->entry.id, context_.options.probe_timeout});
     server->probe_sent_at = context_.now;
     server->last_probe_at = context_.now;
     server->next_probe_at = context_.now + kMinInterval;
--- a/src/routing/recent_values.hpp
+++ b/src/routing/recent_values.hpp
@@ -24,7 +24,7 @@
   if (values.empty()) {
     return otherwise;
   }
-  std::sort(values.begin(), values.end());
+  std::ranges::sort(values);
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
--- a/src/routing/replica_samples.cpp
+++ b/src/routing/replica_samples.cpp
@@ -23,11 +23,11 @@
 }
 
 // What each character stands for; below 0: it is no digit.
-constexpr std::array<signed char, 256> kValues = [] {
-  std::array<signed char, 256> values{};
+constexpr std::array<int, 256> kValues = [] {
+  std::array<int, 256> values{};
   values.fill(-1);
   for (std::size_t at = 0; at < kDigits.size(); ++at) {
-    values[static_cast<unsigned char>(kDigits[at])] = static_cast<signed char>(at);
+    values[static_cast<unsigned char>(kDigits[at])] = static_cast<int>(at);
   }
   return values;
 }();
@@ -77,7 +77,7 @@
   if (!text.starts_with(kForm) || clock < 0) {
     return {};
   }
-  const double wrap = static_cast<double>(kClock);
+  const auto wrap = static_cast<double>(kClock);
   Millis age = std::fmod(now - static_cast<double>(clock) + wrap, wrap);
   if (age > wrap / 2) {
     age -= wrap;
@@ -97,7 +97,8 @@
       continue;
     }
     const Millis position = lag < kLags - 1 ? sent - static_cast<double>(lag * kLagUnit) : -1;
-    told.samples.push_back({mark, {static_cast<Role>(role), position, busy > 0 ? (busy - 1) / 14.0 : -1}});
+    told.samples.push_back(
+        {mark, {static_cast<Role>(role), position, busy > 0 ? static_cast<double>(busy - 1) / 14.0 : -1}});
   }
   return told;
 }
--- a/src/routing/replica_samples.hpp
+++ b/src/routing/replica_samples.hpp
@@ -27,9 +27,8 @@
 
 // As many of the samples, first ones first, as one message holds.
 std::string text_of(Millis now, const std::vector<GossipedSample>& samples);
-// Guards against peers of another version, or wrong: nothing where it does not read as a whole, or is further
-// from the future than clocks are apart; what is said of a single member in a way that does not read is left
-// out.
+// Peers may be of another version or faulty: none where the text as a whole is not valid, or is further from
+// the future than clocks are apart; single samples that are not valid are left out.
 std::optional<SampleGossip> decode_samples(std::string_view text, Millis now);
 
 }  // namespace reedspindle
--- a/src/routing/request_decisions.cpp
+++ b/src/routing/request_decisions.cpp
@@ -14,9 +14,8 @@
 constexpr double kMaxExpectedPart = 0.6;
 // Requests whose objective has passed come after all others (in milliseconds).
 constexpr Millis kAfterAllOthers = 1e9;
-// An attempt takes so many ticks at least, and a request is looked at again after so many.
+// An attempt takes so many ticks at least.
 constexpr double kShortestAttemptTicks = 2;
-constexpr double kRecheckTicks = 3;
 
 // Whether the client may ask again: no attempt has run, or a repeat does no harm, at another group included.
 bool is_safe_to_reject(const Request& request, const RequestClass& request_class) {
@@ -39,7 +38,7 @@
   if (waiting.empty()) {
     return;
   }
-  std::sort(waiting.begin(), waiting.end());
+  std::ranges::sort(waiting);
   const double long_running_share = latencies_.long_running_share();
   for (const auto& [urgency, id] : waiting) {
     decide(requests.at(id), long_running_share);
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -9,6 +9,9 @@
 
 namespace reedspindle::routing {
 
+// Requests that wait are looked at again after so many ticks.
+constexpr double kRecheckTicks = 3;
+
 // What becomes of a request in this batch.
 enum class NextStep { wait, attempt, reject, fail };
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -33,8 +33,6 @@
 
 // Positions are rounded down, and ages either way: tokens are rounded up by so much, in milliseconds.
 constexpr Millis kTokenRounding = 1;
-// Waiting requests are looked at again after so many ticks.
-constexpr double kRecheckTicks = 3;
 // The longest time between two batches, in milliseconds.
 constexpr Millis kMaxTimer = 1000;
 
@@ -259,14 +257,14 @@
 std::vector<Decision> RouterImpl::take_decisions() {
   std::vector<Decision> decisions;
   for (const ServerId& id : endpoint_lists_.take_forgotten()) {
-    decisions.push_back(ForgetServer{id});
+    decisions.emplace_back(ForgetServer{id});
   }
   if (poll_due_) {
-    decisions.push_back(WatchEndpoints{});
+    decisions.emplace_back(WatchEndpoints{});
   }
   probing_.start_due(decisions);
   if (auto message = exchange_.take_message(probing_.probes_in_flight())) {
-    decisions.push_back(std::move(*message));
+    decisions.emplace_back(std::move(*message));
   }
   attempts_.cancel_due(decisions);
   take_request_decisions(decisions);
@@ -283,10 +281,10 @@
         attempts_.start(id, request, decisions);
         break;
       case NextStep::reject:
-        decisions.push_back(RejectRequest{id, context_.options.retry_after});
+        decisions.emplace_back(RejectRequest{id, context_.options.retry_after});
         break;
       case NextStep::fail:
-        decisions.push_back(FailRequest{id});
+        decisions.emplace_back(FailRequest{id});
         break;
     }
   }
@@ -307,7 +305,7 @@
   if (timer_at_ == kNever || at < timer_at_) {
     timer_at_ = at;
     ++timer_.number;
-    decisions.push_back(SetTimer{timer_, at});
+    decisions.emplace_back(SetTimer{timer_, at});
   }
 }
 
--- a/src/routing/router_context.hpp
+++ b/src/routing/router_context.hpp
@@ -15,12 +15,11 @@
 namespace reedspindle::routing {
 
 // Owned by the router, which alone changes it; the parts hold references to it.
-class RouterContext {
- public:
+struct RouterContext {
   RouterContext(const Settings& settings, std::uint64_t seed)
       : options(parse_router_options(settings)),
         instances(options.instances),
-        random_(static_cast<std::minstd_rand::result_type>(seed)) {}
+        random(static_cast<std::minstd_rand::result_type>(seed)) {}
 
   const RouterOptions options;
   Millis now = 0;              // of the batch
@@ -29,15 +28,17 @@
 
   std::optional<FleetViewChanged> fleet_view;  // none: the fleet says nothing of the other instances
 
+  std::minstd_rand random;  // to be used by draw() alone
+
   // A random number, 0 to 1.
-  double draw() { return static_cast<double>(random_() - 1) / static_cast<double>(random_.max()); }
+  double draw() {
+    const auto drawn = static_cast<double>(random() - 1);
+    return drawn / static_cast<double>(std::minstd_rand::max());
+  }
 
   [[nodiscard]] const RequestClass& class_of(RequestClassId id) const {
     return options.request_classes.at(static_cast<std::size_t>(id.number));
   }
-
- private:
-  std::minstd_rand random_;
 };
 
 }  // namespace reedspindle::routing
--- a/src/routing/server_selection.cpp
+++ b/src/routing/server_selection.cpp
@@ -35,7 +35,7 @@
   if (!primary) {
     group.sample_wanted = true;
   }
-  const bool primary_available = primary && health_.is_available(*primary);
+  const bool primary_available = primary != nullptr && health_.is_available(*primary);
   if (request_class.primary_only()) {
     const bool selected =
         primary_available && limits_.has_room(*primary, request_class, request.admission_draw);
@@ -65,8 +65,8 @@
                                                          double long_running_share) const {
   Candidate best;
   // While no primary is known every replica may name it.
-  const bool save_connections = primary && has_enough_connections(group, primary);
-  const double servers = static_cast<double>(group.servers.size());
+  const bool save_connections = primary != nullptr && has_enough_connections(group, primary);
+  const auto servers = static_cast<double>(group.servers.size());
   long reserved_left =
       std::max(std::lround(long_running_share * servers), request_class.long_running ? 1L : 0L);
   for (Server* const server : group.servers) {
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -46,7 +46,7 @@
   return std::min(1.0, fraction(server) * credit_multiplier(server));
 }
 
-void SlowStart::add(Server& server, double credit) {
+void SlowStart::add(Server& server, double credit) const {
   server.slow_start_credit = credit;
   server.credit_updated_at = context_.now;
 }
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -23,7 +23,7 @@
   [[nodiscard]] double load_fraction(const Server& server) const;
 
   // A newly listed server begins with a credit, 0 to 1.
-  void add(Server& server, double credit);
+  void add(Server& server, double credit) const;
 
   // Adds the credit earned since the last call; whether it pays for an attempt.
   bool has_credit(Server& server);
--- a/src/routing/warm_capacity.cpp
+++ b/src/routing/warm_capacity.cpp
@@ -66,7 +66,8 @@
   if (slot.counted_by_probes_) {
     failed_by_probes_ -= parts_of(slot.condition_.size);
   }
-  slot.counted_ = slot.counted_by_probes_ = false;
+  slot.counted_ = false;
+  slot.counted_by_probes_ = false;
 }
 
 }  // namespace reedspindle::routing
--- a/src/routing/warm_capacity.hpp
+++ b/src/routing/warm_capacity.hpp
@@ -23,7 +23,10 @@
   class Slot {
     friend WarmCapacity;
     Condition condition_;
-    bool warm_ = false, waits_ = false, counted_ = false, counted_by_probes_ = false;
+    bool warm_ = false;
+    bool waits_ = false;
+    bool counted_ = false;
+    bool counted_by_probes_ = false;
     std::multimap<Millis, Slot*>::iterator warming_;
   };
 
@@ -43,7 +46,8 @@
   const Millis warm_within_;
   std::multimap<Millis, Slot*> warming_;  // those that are cold, by when they started
   // In parts of a size, whole numbers: what is added and taken away again leaves nothing behind.
-  std::int64_t all_ = 0, failed_by_probes_ = 0;
+  std::int64_t all_ = 0;
+  std::int64_t failed_by_probes_ = 0;
 };
 
 }  // namespace reedspindle::routing
