--- a/src/routing/probe_leader.cpp
+++ b/src/routing/probe_leader.cpp
@@ -1,3 +1,4 @@
+// Weights by hash of group and instance.
 #include "routing/probe_leader.hpp"
 
 #include <utility>
@@ -5,8 +6,8 @@
 namespace reedspindle::consistency {
 namespace {
 
-// The finalizer of MurmurHash3 (Appleby, in the public domain): each bit told of changes half of all bits, so
-// that fronts with numbers that follow one another get groups evenly.
+// The finalizer of MurmurHash3 (Appleby, in the public domain): each input bit changes half of the output
+// bits, so that instances with consecutive numbers get groups evenly.
 std::uint64_t mixed(std::uint64_t key) {
   key ^= key >> 33;
   key *= 0xff51afd7ed558ccdULL;
@@ -15,20 +16,20 @@
   return key ^ key >> 33;
 }
 
-std::uint64_t weight(GroupId group, int front) {
-  return mixed(mixed(static_cast<std::uint64_t>(group.number)) + static_cast<std::uint64_t>(front) + 1);
+std::uint64_t weight(GroupId group, int instance) {
+  return mixed(mixed(static_cast<std::uint64_t>(group.number)) + static_cast<std::uint64_t>(instance) + 1);
 }
 
 }  // namespace
 
-bool precedes(GroupId group, int front, int other) {
-  return std::pair(weight(group, front), front) > std::pair(weight(group, other), other);
+bool precedes(GroupId group, int first, int second) {
+  return std::pair(weight(group, first), first) > std::pair(weight(group, second), second);
 }
 
-int turn_of(GroupId group, int front, const std::set<int>& others, int most) {
+int turn_of(GroupId group, int instance, const std::set<int>& others, int most) {
   int turn = 0;
   for (const int candidate : others) {
-    if (candidate != front && precedes(group, candidate, front) && ++turn == most) {
+    if (candidate != instance && precedes(group, candidate, instance) && ++turn == most) {
       break;
     }
   }
--- a/src/routing/probe_leader.hpp
+++ b/src/routing/probe_leader.hpp
@@ -1,6 +1,6 @@
-// Which front keeps the pace of probing a group, by rendezvous hashing over those that are there (highest
-// random weight: Thaler, Ravishankar 1998): all who see the same fronts name the same one without a word,
-// and who goes or comes moves only the groups that it keeps. Free of I/O.
+// Which instance leads the probing of a group, by rendezvous hashing over the live instances (highest random
+// weight: Thaler, Ravishankar 1998): all that see the same instances name the same leader without a message,
+// and an instance that joins or leaves moves only the groups that it leads. Free of I/O.
 #pragma once
 
 #include <compare>
@@ -11,9 +11,9 @@
 
 namespace reedspindle::consistency {
 
-// Whether of two fronts the one comes before the other for a group; the same wherever it is asked.
-bool precedes(GroupId group, int front, int other);
-// How many of the others come before a front, up to so many: 0 keeps the group, 1 is ready to.
-int turn_of(GroupId group, int front, const std::set<int>& others, int most);
+// Whether the first of two instances comes before the second for a group; the same wherever it is asked.
+[[nodiscard]] bool precedes(GroupId group, int first, int second);
+// How many of the others come before an instance, up to `most`: 0 leads the group, 1 takes over from it.
+[[nodiscard]] int turn_of(GroupId group, int instance, const std::set<int>& others, int most);
 
 }  // namespace reedspindle::consistency
--- a/src/routing/replica_samples.cpp
+++ b/src/routing/replica_samples.cpp
@@ -1,3 +1,4 @@
+// The text form of gossiped samples.
 #include "routing/replica_samples.hpp"
 
 #include <algorithm>
--- a/src/routing/warm_capacity.cpp
+++ b/src/routing/warm_capacity.cpp
@@ -1,3 +1,4 @@
+// Sums in whole numbers, updated by what changes.
 #include "routing/warm_capacity.hpp"
 
 #include <cmath>
