--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -142,7 +142,7 @@
       list.servers.push_back({entry.listed, entry.zone, *endpoint});
     }
   }
-  members_.learn(list);
+  members_.apply_endpoint_list(list);
   router_->enqueue(roster_.read());
   due_ = noted_ = listed_ = true;
 }
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -249,7 +249,7 @@
 void ProxyServer::list_read(net::EndpointList list) {
   turns_.doing("list");
   turn_is_full_ = !list.servers.empty();
-  members_.learn(list);
+  members_.apply_endpoint_list(list);
   if (tier_) {
     tier_->list_read(list);
   }
@@ -325,10 +325,10 @@
                 {"member", decision.server.address},
                 {"ms", clock_.now() - op.arrived}});
   }
-  members_.send(decision.request, decision, settled_, {op.sends++}, op.text, op.remaining);
+  members_.start_attempt(decision.request, decision, settled_, {op.sends++}, op.text, op.remaining);
 }
 void ProxyServer::carry_out(const CancelAttempt& decision) {
-  members_.call_off(decision.request, decision.attempt);
+  members_.cancel_attempt(decision.request, decision.attempt);
 }
 void ProxyServer::carry_out(const RejectRequest& decision) {
   const std::string come_back = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -1,8 +1,7 @@
-// The stores: connections to them, one op's send or one probe at a time on each, and how each ended.
+// Connections to the servers, with at most one attempt or probe at a time on each.
 #pragma once
 
 #include <asio.hpp>
-#include <deque>
 #include <functional>
 #include <list>
 #include <map>
@@ -10,7 +9,6 @@
 #include <optional>
 #include <string>
 #include <utility>
-#include <vector>
 
 #include "config/instance_config.hpp"
 #include "logging/log.hpp"
@@ -21,86 +19,110 @@
 
 namespace reedspindle::upstream {
 
+struct PendingCall;
+struct ServerConnection;
+struct ServerPool;
+
+// Owns the server pools, their connections, and the attempts and probes on them. Each attempt and each probe
+// that is started is reported exactly once, from the event loop or from the call that ends it.
 class ConnectionPool {
  public:
-  // How a send ended; with acked, the row as the store's messages gave it.
+  // How an attempt ended. Acknowledged: the row holds the server's messages up to CommandComplete.
   using AttemptDone = std::function<void(AttemptCompleted, std::string row)>;
   using ProbeDone = std::function<void(ProbeCompleted)>;
 
+  // The references have to outlive the pool.
   ConnectionPool(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
-                 const config::InstanceConfig& config, AttemptDone send_done, ProbeDone probe_done);
-
+                 const config::InstanceConfig& config, AttemptDone attempt_done, ProbeDone probe_done);
   ~ConnectionPool();
 
-  void learn(const net::EndpointList& list);
-  // The times of the decision run from when it was taken.
-  void send(RequestId op, const StartAttempt& decision, Millis decided, AttemptNumber number,
-            std::shared_ptr<const std::string> text, postgres::TextSpan patience);
-  void call_off(RequestId op, AttemptNumber number);
-  // The op has ended: what is not written of it yet never will be.
-  void forget(RequestId op);
-  // Nothing is out at the store, and nothing more will be.
-  void forget(const ServerId& member);
-  void probe(const ServerId& member, Millis time_out);
-
-  // How many connections to one store there may be: new ones up to the first figure, none beyond the second.
+  // Adds and updates servers. Closes idle connections that can't be used any more, and ends the queued calls
+  // of servers that are not ready.
+  void apply_endpoint_list(const net::EndpointList& list);
+
+  // Queues one attempt. The decision's times count from `decided`, in Unix milliseconds. `patience` says
+  // where the text states the client's remaining time, which is replaced by what is left when the query is
+  // sent.
+  void start_attempt(RequestId request, const StartAttempt& decision, Millis decided, AttemptNumber number,
+                     std::shared_ptr<const std::string> text, postgres::TextSpan patience);
+  // Ends an attempt early. Nothing happens where it has ended already.
+  void cancel_attempt(RequestId request, AttemptNumber number);
+  // The request has ended: its attempts that are still queued are never sent.
+  void forget(RequestId request);
+  // Removes a server on which no attempt or probe is open, with its connections.
+  void forget(const ServerId& server);
+  // Queues one probe with a timeout in milliseconds from now.
+  void probe(const ServerId& server, Millis timeout);
+
+  // Sets how many connections each server may have: new ones are opened up to `open`, and none are kept
+  // beyond `hold`.
   void limit(std::size_t open, std::size_t hold);
-  // The most that any store has needed at once since the last call, those not had for the limit included.
+  // The largest number of connections that any server has needed at once since the last call, including those
+  // that the limit did not allow.
   std::size_t take_need() { return std::exchange(need_, 0); }
 
+  // Closes all connections and reports nothing more of what was on them.
   void stop();
 
  private:
-  struct Work;
-  struct Store;
-  struct Connection;
-  using Connected = std::shared_ptr<Connection>;
-
-  void add(Store& store, std::unique_ptr<Work> work, Millis from, Millis time_out,
-           std::optional<Millis> start_within = {});
-  void dispatch(Store& store);
-  void open(Store& store);
-  void opened_not(Connection& connection, AttemptOutcome ending);
-  void begin(Connection& connection, std::unique_ptr<Work> work);
-  void write_rest(Connection& connection, std::size_t written);
-  void read(const Connected& connection);
-  bool take(Connection& connection, const postgres::Message& message);
-  static bool outlived(const Connection& connection);
-
-  void settle(Connection& connection);
-  void broken(Connection& connection);
-  void spoilt(Connection& connection);
-  void out_of_time(Work& work);
-  std::unique_ptr<Work> take_first(Store& store);
-  std::unique_ptr<Work> take_waiting(Work& work);
-  void end(std::unique_ptr<Work> work);
-  void end(std::unique_ptr<Work> work, AttemptOutcome ending);
-  void end_overdue(Store& store);
-  void ready(Connection& connection);
-  void rest(Connection& connection);
-  std::unique_ptr<Work> give_back(Connection& connection);
-  void sweep();
-  void shrink(Store& store);
-  void count(const Store& store);
-  void stop_idling(Connection& connection);
-  // Gives back the connection that has been idle longest, of any store. False: none is idle.
-  bool close_an_idle_one();
+  using ConnectionPtr = std::shared_ptr<ServerConnection>;
+  using CallPtr = std::unique_ptr<PendingCall>;
+  static constexpr std::size_t kUnlimited = static_cast<std::size_t>(-1);
+
+  // Calls (connection_pool.cpp).
+  void enqueue(ServerPool& server, CallPtr call, Millis started, Millis timeout,
+               std::optional<Millis> start_within = {});
+  void dispatch(ServerPool& server);
+  void record_need(const ServerPool& server);
+  void call_timed_out(PendingCall& call);
+  void drop_overdue(ServerPool& server);
+  static CallPtr take_first_queued(ServerPool& server);
+  static CallPtr take_queued(PendingCall& call);
+  void complete(CallPtr call);
+  void complete(CallPtr call, AttemptOutcome outcome);
+
+  // The number of connections (connection_pool.cpp).
+  void close_surplus(ServerPool& server);
+  void close_expired_idle();
+  bool close_longest_idle();
+  CallPtr close(ServerConnection& connection);
+  void remove_from_idle(ServerConnection& connection);
+
+  // The life of one connection (server_connection.cpp).
+  void open(ServerPool& server);
+  void connect_completed(const ConnectionPtr& connection, const asio::error_code& error);
+  void fail_open(ServerConnection& connection, AttemptOutcome outcome);
+  void send_query(ServerConnection& connection, CallPtr call);
+  void write_rest(ServerConnection& connection, std::size_t written);
+  void read(const ConnectionPtr& connection);
+  void read_completed(const ConnectionPtr& connection, const asio::error_code& error, std::size_t count);
+  bool handle_message(ServerConnection& connection, const postgres::Message& message);
+  bool handle_error(ServerConnection& connection, const postgres::Message& message);
+  bool handle_ready_for_query(ServerConnection& connection, const postgres::Message& message);
+  void reset(ServerConnection& connection);
+  void reset_timed_out(const ConnectionPtr& connection);
+  void became_ready(ServerConnection& connection);
+  void make_idle(ServerConnection& connection);
+  void handle_disconnect(ServerConnection& connection);
+  void handle_unreadable(ServerConnection& connection);
+  static bool is_stale(const ServerConnection& connection);
 
   asio::io_context& io_;
   net::Timers& timers_;
   const net::Clock& clock_;
   logging::Log& log_;
   const config::InstanceConfig& config_;
-  const AttemptDone send_done_;
+  const AttemptDone attempt_done_;
   const ProbeDone probe_done_;
-  net::Allowance allowance_;  // what is held of what stores send
-  std::map<ServerId, std::unique_ptr<Store>> stores_;
-  std::list<Connected> connections_;  // the one owner of each
-  std::list<Connection*> idle_;       // of all stores, the one that has been idle longest first
-  std::map<std::pair<RequestId, AttemptNumber>, Work*> sends_;
-  std::optional<net::Timers::Handle> sweep_;
-  std::size_t open_ = kAny, hold_ = kAny, need_ = 0;
-  static constexpr std::size_t kAny = static_cast<std::size_t>(-1);
+  net::Allowance allowance_;  // bounds what all connections buffer together
+  std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
+  std::list<ConnectionPtr> connections_;  // the owner of each
+  std::list<ServerConnection*> idle_;     // of all servers, the one that has been idle longest first
+  std::map<std::pair<RequestId, AttemptNumber>, PendingCall*> attempts_;
+  std::optional<net::Timers::Handle> idle_timer_;
+  std::size_t open_limit_ = kUnlimited;
+  std::size_t hold_limit_ = kUnlimited;
+  std::size_t need_ = 0;
 };
 
 }  // namespace reedspindle::upstream
--- /dev/null
+++ b/src/upstream/server_response.cpp
@@ -0,0 +1,136 @@
+#include "upstream/server_response.hpp"
+
+#include <algorithm>
+#include <string_view>
+
+namespace reedspindle::upstream {
+namespace {
+
+// All machines read one clock, so a position is at most rounded beyond the present.
+constexpr Millis kPositionRounding = 10;
+constexpr Millis kMillisPerSecond = 1000;
+
+bool is_valid_position(Millis position, Millis now) {
+  return position >= 0 && position < now + kPositionRounding;
+}
+
+// Reads "x0=1767225600.123,x1=1,cpu=0.61": the position in seconds, 1 from a primary, and the share of
+// processors in use, which the settings name cpu and the protocol's example util. A load report that has an
+// unreadable item or an impossible value is ignored as a whole.
+void read_load_report(std::string_view text, Millis now, ReplicaSample& sample) {
+  ReplicaSample report = sample;
+  while (!text.empty()) {
+    const std::string_view item = text.substr(0, text.find(','));
+    text.remove_prefix(std::min(text.size(), item.size() + 1));
+    const auto [name, value] = postgres::name_and_value(item);
+    const auto number = postgres::number(value);
+    if (!number) {
+      return;
+    }
+    if (name == "x0") {
+      report.position = *number * kMillisPerSecond;
+      if (!is_valid_position(report.position, now)) {
+        return;
+      }
+    }
+    if (name == "x1") {
+      if (*number != 0 && *number != 1) {
+        return;
+      }
+      report.role = *number > 0 ? Role::primary : Role::replica;
+    }
+    if (name == "cpu" || name == "util") {
+      report.utilization = *number;
+    }
+  }
+  sample = report;
+}
+
+Role role_of(std::string_view rank) {
+  if (rank == "source") {
+    return Role::primary;
+  }
+  return rank == "copy" ? Role::replica : Role::unknown;
+}
+
+}  // namespace
+
+AttemptOutcome outcome_of_code(const std::string& code) {
+  if (code == "25006" || code == "72000") {  // read-only server, snapshot too old
+    return AttemptOutcome::rejected_not_executed;
+  }
+  return code == "53300" ? AttemptOutcome::rejected_overloaded : AttemptOutcome::failed;
+}
+
+void ServerResponse::read_parameter(const postgres::Message& message, Millis now) {
+  const auto parameter = postgres::read_parameter(message.body);
+  if (!parameter) {
+    return;
+  }
+  const auto [name, value] = *parameter;
+  if (name == "rank") {
+    sample_.role = role_of(value);
+  }
+  if (name == "as_of") {
+    const auto position = postgres::number(value);
+    if (position && is_valid_position(*position, now)) {
+      sample_.position = *position;
+    }
+  }
+  if (name == "vitals") {
+    read_load_report(value, now, sample_);
+  }
+}
+
+bool ServerResponse::read_row_description(const postgres::Message& message) {
+  if (error_code_ || described_ || !postgres::describes_one_column(message.body)) {
+    return false;
+  }
+  described_ = true;
+  row_ += message.bytes;
+  return true;
+}
+
+bool ServerResponse::read_data_row(const postgres::Message& message, Millis now, bool is_probe) {
+  const auto value = postgres::read_row(message.body);
+  if (error_code_ || !described_ || has_row_ || !value) {
+    return false;
+  }
+  has_row_ = true;
+  if (is_probe) {
+    read_load_report(*value, now, sample_);
+  }
+  row_ += message.bytes;
+  return true;
+}
+
+bool ServerResponse::read_command_complete(const postgres::Message& message) {
+  if (error_code_ || !has_row_ || complete_ || !postgres::read_tag(message.body)) {
+    return false;
+  }
+  complete_ = true;
+  row_ += message.bytes;
+  return true;
+}
+
+bool ServerResponse::read_error(const std::string& code) {
+  if (finished()) {
+    return false;
+  }
+  error_code_ = code;
+  return true;
+}
+
+void ServerResponse::mark_unreadable() {
+  sample_ = {};
+  unreadable_ = true;
+}
+
+AttemptOutcome ServerResponse::outcome() const {
+  if (error_code_) {
+    return outcome_of_code(*error_code_);
+  }
+  return complete_ ? AttemptOutcome::acknowledged : AttemptOutcome::failed;
+}
+
+}  // namespace reedspindle::upstream
