--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -8,137 +8,144 @@
 
 namespace reedspindle::proxy {
 namespace {
-// Callbacks that one turn of the loop takes at most before the module is asked: what comes at full speed may
-// not keep the other connections' ops, the timers or the answers waiting.
-constexpr int kOfOneTurn = 64;
-// For so long at the most, in milliseconds.
-constexpr Millis kTurnTime = 2;
-// What peers say is gathered for so long before the module is asked, unless something else makes it be asked:
-// the module's own time between batches.
-constexpr Millis kGatherWords = 5;
-constexpr Millis kAtOnce = 0.001;  // an age that is one, and rounds to none
+// How many callbacks one turn of the event loop runs at most before the router runs: a client that sends at
+// full speed may not delay other connections' requests, the timers or the answers.
+constexpr int kMaxCallbacksPerTurn = 64;
+// And for how many milliseconds at most.
+constexpr Millis kMaxTurnTime = 2;
+// For how many milliseconds peer messages are collected before the router runs, unless something else makes
+// it run earlier: the router's own time between batches.
+constexpr Millis kPeerMessageDelay = 5;
+// The token age, in milliseconds, that stands for "has a token, of age 0": 0 itself means "has none".
+constexpr Millis kSmallestTokenAge = 0.001;
+// The part of the memory that the texts of open requests may use.
+constexpr std::size_t kMemoryDivisor = 8;
 }  // namespace
 
-ProxyServer::ProxyServer(config::Environment environment, const ProxyOptions& orders)
+ProxyServer::ProxyServer(config::Environment environment, const ProxyOptions& options)
     : environment_(std::move(environment)),
       config_([&] {
         config::InstanceConfig config = config::read_instance_config(environment_);
-        config.values.insert(orders.values.begin(), orders.values.end());
-        saved_list_ = std::exchange(config.known, {});
+        config.values.insert(options.values.begin(), options.values.end());
+        saved_endpoint_list_ = std::exchange(config.known, {});
         return config;
       }()),
-      clock_(orders.clock_offset),
+      clock_(options.clock_offset),
       log_(clock_),
       io_(1),
       timers_(io_, clock_),
       signals_(io_, SIGTERM, SIGINT, SIGHUP),
       router_(make_router(config_.values, config_.seed)),
-      texts_(config_.memory / 8),
-      members_(
+      text_allowance_(config_.memory / kMemoryDivisor),
+      connection_pool_(
           io_, timers_, clock_, log_, config_,
-          [this](AttemptCompleted ended, std::string row) { send_ended(std::move(ended), std::move(row)); },
-          [this](ProbeCompleted ended) { note(std::move(ended)); }),
-      clients_(io_, timers_, clock_, log_, config_, *this),
-      list_(io_, timers_, clock_, log_, config_, discovery::Client::Delivery::changes,
-            [this](net::EndpointList list) { list_read(std::move(list)); }),
-      peers_(io_, log_, config_, [this](int peer, std::string text) {
-        noted_.push_back({PeerMessageReceived{peer, std::move(text)}});
-        if (!gathered_) {
-          gathered_ = timers_.set(clock_.now() + kGatherWords, [this] {
-            gathered_.reset();
-            settle_wanted_ = true;
-          });
-        }
-      }) {
-  log_.be(orders.log);
-  if (orders.fleet) {
-    tier_.emplace(
-        timers_, clock_, log_, config_, *orders.fleet, peers_, members_,
-        [this](FleetViewChanged among) { note(std::move(among)); },
-        [this](EndpointListReceived read) { note(std::move(read)); }, [this] { return router_->view(); });
+          [this](AttemptCompleted completed, std::string row) {
+            handle_attempt_completed(std::move(completed), std::move(row));
+          },
+          [this](ProbeCompleted completed) { enqueue(std::move(completed)); }),
+      client_connections_(io_, timers_, clock_, log_, config_, *this),
+      discovery_client_(io_, timers_, clock_, log_, config_, discovery::Client::Delivery::changes,
+                        [this](net::EndpointList list) { handle_endpoint_list(std::move(list)); }),
+      peer_socket_(io_, log_, config_,
+                   [this](int peer, std::string text) { handle_peer_message(peer, std::move(text)); }) {
+  log_.be(options.log);
+  if (options.fleet) {
+    fleet_.emplace(
+        timers_, clock_, log_, config_, *options.fleet, peer_socket_, connection_pool_,
+        [this](FleetViewChanged view) { enqueue(std::move(view)); },
+        [this](EndpointListReceived list) { enqueue(std::move(list)); }, [this] { return router_->view(); });
   }
 }
 
 void ProxyServer::run() {
-  clients_.listen();
-  hear_signals();
+  client_connections_.listen();
+  wait_for_signal();
   release_signals();
-  if (!saved_list_.empty()) {
-    try {
-      list_.start_with(discovery::read_list(std::exchange(saved_list_, {}), config_.names));
-    } catch (const std::exception& fault) {
-      log_.warn("list", "saved list does not count", {{"why", fault.what()}});
-    }
-  }
+  restore_endpoint_list();
   if (!config_.polls_endpoints) {
-    list_.watch();
+    discovery_client_.watch();
   }
   log_.info("front", "listens", {{"name", config_.name}, {"at", config::text_of(config_.listen)}});
-  while (!clients_.finished()) {
-    turns_.begin(clock_.now());
-    if (!settle_wanted_) {
-      sleep();
-    }
-    run_callbacks();
-    if (settle_wanted_) {
-      settle();
-    }
-    log_.flush();
-    tell_turn();
+  while (!client_connections_.finished()) {
+    run_turn();
   }
   log_.info("front", "stops, all it took is answered", {{"name", config_.name}});
-  clients_.stop();
-  members_.stop();
-  if (tier_) {
-    tier_->stop();
+  client_connections_.stop();
+  connection_pool_.stop();
+  if (fleet_) {
+    fleet_->stop();
+  }
+  peer_socket_.stop();
+  discovery_client_.stop();
+}
+
+void ProxyServer::restore_endpoint_list() {
+  if (saved_endpoint_list_.empty()) {
+    return;
+  }
+  try {
+    discovery_client_.start_with(
+        discovery::read_list(std::exchange(saved_endpoint_list_, {}), config_.names));
+  } catch (const std::exception& fault) {
+    log_.warn("list", "saved list does not count", {{"why", fault.what()}});
   }
-  peers_.stop();
-  list_.stop();
 }
 
-// Until something comes, which is handled. The turn begins as the loop wakes, of which nothing tells but the
-// processor time that the first callback takes.
-void ProxyServer::sleep() {
+void ProxyServer::run_turn() {
+  turn_gauge_.begin(clock_.now());
+  if (!router_run_needed_) {
+    wait_for_event();
+  }
+  run_callbacks();
+  if (router_run_needed_) {
+    run_router();
+  }
+  log_.flush();
+  log_turn();
+}
+
+// Waits for the first callback and runs it. The turn begins when the loop wakes, which is estimated by the
+// processor time that the callback took.
+void ProxyServer::wait_for_event() {
   const Millis before = clock_.now();
-  arrivals_.sleeps(before, timers_.next_due().value_or(before));
+  arrival_bound_.sleeps(before, timers_.next_due().value_or(before));
   const std::clock_t used = std::clock();
   io_.run_one();
   const Millis now = clock_.now();
-  arrivals_.wakes(now);
+  arrival_bound_.wakes(now);
   const Millis callback = 1000.0 * static_cast<double>(std::clock() - used) / CLOCKS_PER_SEC;
-  turns_.begin(std::max(before, now - callback));
-  turns_.callback_ended(now);
+  turn_gauge_.begin(std::max(before, now - callback));
+  turn_gauge_.callback_ended(now);
 }
 
 void ProxyServer::run_callbacks() {
-  if (turn_is_full_) {
+  if (turn_full_) {
     return;
   }
   Millis now = clock_.now();
-  const Millis until = now + kTurnTime;
-  if (arrivals_.marker_wanted()) {
-    arrivals_.marker_sent(now);
-    asio::post(io_, [this] { arrivals_.marker_returned(); });
+  const Millis until = now + kMaxTurnTime;
+  if (arrival_bound_.marker_wanted()) {
+    arrival_bound_.marker_sent(now);
+    asio::post(io_, [this] { arrival_bound_.marker_returned(); });
   }
-  for (int taken = 0; taken < kOfOneTurn && now < until && !turn_is_full_; ++taken) {
+  for (int taken = 0; taken < kMaxCallbacksPerTurn && now < until && !turn_full_; ++taken) {
     const Millis before = now;
     if (io_.poll_one() == 0) {
-      return arrivals_.none_ready(before);
+      return arrival_bound_.none_ready(before);
     }
     now = clock_.now();
-    turns_.callback_ended(now);
+    turn_gauge_.callback_ended(now);
   }
 }
 
-// What is noted goes to the module at the end of the turn.
-void ProxyServer::note(Event event) {
-  noted_.push_back({std::move(event)});
-  settle_wanted_ = true;
+void ProxyServer::enqueue(Event event) {
+  queued_events_.push_back({std::move(event)});
+  router_run_needed_ = true;
 }
 
-void ProxyServer::tell_turn() {
-  const bool longest = turns_.end(clock_.now());
-  const TurnGauge::Turn& turn = turns_.turn();
+void ProxyServer::log_turn() {
+  const bool longest = turn_gauge_.end(clock_.now());
+  const TurnGauge::Turn& turn = turn_gauge_.turn();
   if (turn.took >= TurnGauge::kHeldUp) {
     log_.warn("turns", "turn held up",
               {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
@@ -149,37 +156,55 @@
   }
 }
 
-void ProxyServer::settle() {
-  settle_wanted_ = turn_is_full_ = false;
-  timers_.drop(gathered_);
-  turns_.doing("tier");
-  if (tier_) {
-    tier_->look();
-  }
-  const Millis now = settled_ = clock_.now();
-  for (Noted& noted : std::exchange(noted_, {})) {
-    if (auto* arrived = std::get_if<RequestReceived>(&noted.event)) {
-      arrived->remaining -= now - noted.arrived;
-      // Guards against a clock that is behind the store's: a commit beyond it, or at it, is a token all the
-      // same.
-      if (noted.position > 0) {
-        arrived->token_age = now == noted.position ? kAtOnce : now - noted.position;
+// Passes the queued events to the router and executes its decisions.
+void ProxyServer::run_router() {
+  router_run_needed_ = false;
+  turn_full_ = false;
+  timers_.drop(peer_message_timer_);
+  turn_gauge_.doing("tier");
+  if (fleet_) {
+    fleet_->look();
+  }
+  last_run_ = clock_.now();
+  pass_events_to_router(last_run_);
+  turn_gauge_.doing("decisions");
+  const std::vector<Decision> decisions = router_->process(last_run_);
+  turn_gauge_.callback_ended(clock_.now());
+  turn_gauge_.doing("carrying out");
+  for (const Decision& decision : decisions) {
+    std::visit([this](const auto& chosen) { execute(chosen); }, decision);
+  }
+  turn_gauge_.callback_ended(clock_.now());
+}
+
+void ProxyServer::pass_events_to_router(Millis now) {
+  for (QueuedEvent& queued : std::exchange(queued_events_, {})) {
+    if (auto* received = std::get_if<RequestReceived>(&queued.event)) {
+      received->remaining -= now - queued.arrived;
+      // Guards against a clock that is behind the server's: a token of a position at or beyond the present is
+      // still a token.
+      if (queued.token_position > 0) {
+        received->token_age = now == queued.token_position ? kSmallestTokenAge : now - queued.token_position;
       }
     }
-    router_->enqueue(noted.event);
+    router_->enqueue(queued.event);
   }
-  turns_.doing("decisions");
-  const std::vector<Decision> decisions = router_->process(now);
-  turns_.callback_ended(clock_.now());
-  turns_.doing("carrying out");
-  for (const Decision& decision : decisions) {
-    std::visit([this](const auto& taken) { carry_out(taken); }, decision);
+}
+
+void ProxyServer::handle_peer_message(int peer, std::string text) {
+  queued_events_.push_back({PeerMessageReceived{peer, std::move(text)}});
+  if (peer_message_timer_) {
+    return;
   }
-  turns_.callback_ended(clock_.now());
+  peer_message_timer_ = timers_.set(clock_.now() + kPeerMessageDelay, [this] {
+    peer_message_timer_.reset();
+    router_run_needed_ = true;
+  });
 }
 
-std::optional<postgres::Fault> ProxyServer::request_arrived(RequestId id, std::string_view text,
-                                                            const postgres::Statement& statement) {
+// Why the request can't be passed to the router; none: it can, and its text is counted as held.
+std::optional<postgres::Fault> ProxyServer::reject_reason(std::string_view text,
+                                                          const postgres::Statement& statement) {
   const auto type = config_.names.request_classes.find(statement.request_class);
   if (type == config_.names.request_classes.end()) {
     return postgres::Fault{"22023", "c names no op type: " + std::string(statement.request_class)};
@@ -196,157 +221,184 @@
   if (!groups_.contains(GroupId{statement.group})) {
     return postgres::Fault{"22023", "cluster names no group"};
   }
-  if (ids_.contains(statement.id)) {
+  if (open_ids_.contains(statement.id)) {
     return postgres::Fault{"22023", "id is that of an open op"};
   }
-  if (ops_.size() >= config_.open_requests || !texts_.take(text.size())) {
+  if (requests_.size() >= config_.open_requests || !text_allowance_.take(text.size())) {
     return postgres::Fault{"53300", "too many ops are open"};
   }
-  RequestReceived arrived;
-  arrived.request = id;
-  arrived.request_class = type->second.id;
-  arrived.group = {statement.group};
-  arrived.session = statement.key;
-  arrived.remaining = statement.remaining;
-  arrived.is_retry = statement.repeat;
-  // A request that waited in the kernel while the front was busy or held up has that much less time left.
-  const Millis came = arrivals_.earliest(clock_.now());
-  noted_.push_back({std::move(arrived), came, statement.position});
-  settle_wanted_ = true;
-  ops_[id] = {std::make_shared<const std::string>(text), std::string(statement.id), statement.patience_place,
-              0, came};
-  ids_.emplace(statement.id);
   return std::nullopt;
 }
 
-void ProxyServer::request_abandoned(RequestId id) {
-  note(RequestAbandoned{id});
-  end_op(id, "", "its client left");
+std::optional<postgres::Fault> ProxyServer::request_arrived(RequestId request, std::string_view text,
+                                                            const postgres::Statement& statement) {
+  if (auto fault = reject_reason(text, statement)) {
+    return fault;
+  }
+  RequestReceived received;
+  received.request = request;
+  received.request_class = config_.names.request_classes.find(statement.request_class)->second.id;
+  received.group = {statement.group};
+  received.session = statement.key;
+  received.remaining = statement.remaining;
+  received.is_retry = statement.repeat;
+  // A request that waited in the kernel while the proxy was busy or suspended has that much less time left.
+  const Millis arrived = arrival_bound_.earliest(clock_.now());
+  queued_events_.push_back({std::move(received), arrived, statement.position});
+  router_run_needed_ = true;
+  requests_[request] = {std::make_shared<const std::string>(text), std::string(statement.id),
+                        statement.patience_place, 0, arrived};
+  open_ids_.emplace(statement.id);
+  return std::nullopt;
 }
 
-// Ops are given back here and nowhere else. What is not written of one yet never will be.
-void ProxyServer::end_op(RequestId id, std::string answer, std::string_view why) {
-  const auto found = ops_.find(id);
-  if (found == ops_.end()) {
+void ProxyServer::request_abandoned(RequestId request) {
+  enqueue(RequestAbandoned{request});
+  complete_request(request, "", "its client left");
+}
+
+// The only place that removes requests. Attempts that are still queued are never sent.
+void ProxyServer::complete_request(RequestId request, std::string answer, std::string_view reason) {
+  const auto found = requests_.find(request);
+  if (found == requests_.end()) {
     return;
   }
   if (log_.writes(logging::LogLevel::debug)) {
     log_.debug("request", "ended",
                {{"id", found->second.id},
-                {"why", why},
-                {"attempts", found->second.sends},
+                {"why", reason},
+                {"attempts", found->second.attempts},
                 {"ms", clock_.now() - found->second.arrived}});
   }
-  ids_.erase(found->second.id);
-  texts_.give(found->second.text->size());
-  ops_.erase(found);
+  open_ids_.erase(found->second.id);
+  text_allowance_.give(found->second.text->size());
+  requests_.erase(found);
   if (!answer.empty()) {
-    clients_.answer(id, std::move(answer));
+    client_connections_.answer(request, std::move(answer));
   }
-  members_.forget(id);
+  connection_pool_.forget(request);
 }
 
-void ProxyServer::list_read(net::EndpointList list) {
-  turns_.doing("list");
-  turn_is_full_ = !list.servers.empty();
-  members_.apply_endpoint_list(list);
-  if (tier_) {
-    tier_->list_read(list);
+void ProxyServer::handle_endpoint_list(net::EndpointList list) {
+  turn_gauge_.doing("list");
+  turn_full_ = !list.servers.empty();
+  connection_pool_.apply_endpoint_list(list);
+  if (fleet_) {
+    fleet_->list_read(list);
   }
-  // What was saved is handed on in parts, like any other list: to the module they are changes.
-  EndpointListReceived read{
-      list.kind == EndpointListKind::failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
+  // Every list that was read comes in parts, also a saved one: to the router they are changes.
+  const bool failed = list.kind == EndpointListKind::failed;
+  EndpointListReceived received{failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
   for (net::ListedEndpoint& server : list.servers) {
     groups_.insert(server.entry.group);
-    read.servers.push_back(std::move(server.entry));
+    received.servers.push_back(std::move(server.entry));
   }
-  const bool in_hand = list.kind != EndpointListKind::failed && list.last && !groups_.empty();
-  note(std::move(read));
-  if (in_hand) {
-    clients_.be_ready();
+  const bool complete = !failed && list.last && !groups_.empty();
+  enqueue(std::move(received));
+  if (complete) {
+    client_connections_.be_ready();
   }
 }
 
-void ProxyServer::send_ended(AttemptCompleted ended, std::string row) {
-  if (ended.outcome == AttemptOutcome::acknowledged) {
-    end_op(ended.request, std::move(row), "served");
+void ProxyServer::handle_attempt_completed(AttemptCompleted completed, std::string row) {
+  if (completed.outcome == AttemptOutcome::acknowledged) {
+    complete_request(completed.request, std::move(row), "served");
   }
-  ended.request_completed = !ops_.contains(ended.request);
-  note(std::move(ended));
+  completed.request_completed = !requests_.contains(completed.request);
+  enqueue(std::move(completed));
 }
 
-void ProxyServer::hear_signals() {
+void ProxyServer::wait_for_signal() {
   signals_.async_wait([this](const asio::error_code& fault, int signal) {
     if (fault) {
       return;
     }
     if (signal == SIGHUP) {
-      read_again();
+      reload_configuration();
     } else {
-      log_.info("front", "drains", {{"signal", signal}});
-      if (tier_) {
-        tier_->leave();
-      }
-      clients_.drain();
+      start_draining(signal);
     }
-    hear_signals();
+    wait_for_signal();
   });
 }
 
-// SIGHUP: the placement may have changed. A faulty one changes nothing; of a sound one, discovery's address.
-void ProxyServer::read_again() {
+void ProxyServer::start_draining(int signal) {
+  log_.info("front", "drains", {{"signal", signal}});
+  if (fleet_) {
+    fleet_->leave();
+  }
+  client_connections_.drain();
+}
+
+// On SIGHUP. A faulty configuration changes nothing. From a valid one, discovery's address is used, and the
+// peers where the fleet coordination is enabled; other changes need a restart.
+void ProxyServer::reload_configuration() {
   try {
     config::InstanceConfig read = config::read_instance_config(environment_, config::Reading::again);
     log_.info("front", "placement read again", {{"discovery", config::text_of(read.discovery)}});
-    if (tier_) {
-      peers_.learn(read.peers);
-      tier_->listed(static_cast<int>(read.peers.size()));
+    if (fleet_) {
+      peer_socket_.learn(read.peers);
+      fleet_->listed(static_cast<int>(read.peers.size()));
       read.peers = config_.peers;
     }
     for (const std::string& key : config::keys_that_need_restart(config_, read)) {
       log_.warn("placement", "change waits for the next start", {{"key", key}});
     }
-    list_.move(read.discovery);
+    discovery_client_.move(read.discovery);
   } catch (const std::exception& fault) {
     log_.warn("placement", "faulty, the old one stays", {{"why", fault.what()}});
   }
 }
 
-void ProxyServer::carry_out(const StartAttempt& decision) {
-  const auto found = ops_.find(decision.request);
-  if (found == ops_.end()) {
-    return;  // noted as gone
+void ProxyServer::execute(const StartAttempt& decision) {
+  const auto found = requests_.find(decision.request);
+  if (found == requests_.end()) {
+    return;  // it has ended, and the event that says so is queued
   }
-  Op& op = found->second;
+  Request& request = found->second;
+  const int number = request.attempts++;
   if (log_.writes(logging::LogLevel::debug)) {
     log_.debug("request", "attempt",
-               {{"id", op.id},
-                {"attempt", op.sends},
+               {{"id", request.id},
+                {"attempt", number},
                 {"member", decision.server.address},
-                {"ms", clock_.now() - op.arrived}});
+                {"ms", clock_.now() - request.arrived}});
   }
-  members_.start_attempt(decision.request, decision, settled_, {op.sends++}, op.text, op.remaining);
+  connection_pool_.start_attempt(decision.request, decision, last_run_, {number}, request.text,
+                                 request.patience_span);
 }
-void ProxyServer::carry_out(const CancelAttempt& decision) {
-  members_.cancel_attempt(decision.request, decision.attempt);
+
+void ProxyServer::execute(const CancelAttempt& decision) {
+  connection_pool_.cancel_attempt(decision.request, decision.attempt);
 }
-void ProxyServer::carry_out(const RejectRequest& decision) {
-  const std::string come_back = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
-  end_op(decision.request, postgres::error(postgres::Severity::error, "53300", "busy, try again", come_back),
-         "refused");
+
+void ProxyServer::execute(const RejectRequest& decision) {
+  const std::string retry_after = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
+  complete_request(decision.request,
+                   postgres::error(postgres::Severity::error, "53300", "busy, try again", retry_after),
+                   "refused");
 }
-void ProxyServer::carry_out(const FailRequest& decision) {
-  end_op(decision.request,
-         postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
-         "no answer in time");
+
+void ProxyServer::execute(const FailRequest& decision) {
+  complete_request(decision.request,
+                   postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
+                   "no answer in time");
 }
-void ProxyServer::carry_out(const SetTimer& decision) {
-  timers_.set(decision.at, [this, timer = decision.timer] { note(TimerExpired{timer}); });
+
+void ProxyServer::execute(const SetTimer& decision) {
+  timers_.set(decision.at, [this, timer = decision.timer] { enqueue(TimerExpired{timer}); });
 }
-void ProxyServer::carry_out(const StartProbe& decision) { members_.probe(decision.server, decision.timeout); }
-void ProxyServer::carry_out(const WatchEndpoints& /*unused*/) { list_.watch(); }
-void ProxyServer::carry_out(const ForgetServer& decision) { members_.forget(decision.server); }
-void ProxyServer::carry_out(const BroadcastToPeers& decision) { peers_.tell(decision.text); }
-void ProxyServer::carry_out(const LogMessage& decision) { log_.info("decisions", decision.text); }
+
+void ProxyServer::execute(const StartProbe& decision) {
+  connection_pool_.probe(decision.server, decision.timeout);
+}
+
+void ProxyServer::execute(const WatchEndpoints& /*unused*/) { discovery_client_.watch(); }
+
+void ProxyServer::execute(const ForgetServer& decision) { connection_pool_.forget(decision.server); }
+
+void ProxyServer::execute(const BroadcastToPeers& decision) { peer_socket_.tell(decision.text); }
+
+void ProxyServer::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -1,5 +1,4 @@
-// The front: events from all parties go to the decision module, one settle a turn of the loop, and its
-// decisions are carried out. It owns the ops.
+// The proxy process: its event loop, the requests that are open, and the execution of the router's decisions.
 #pragma once
 
 #include <asio.hpp>
@@ -26,79 +25,93 @@
 
 namespace reedspindle::proxy {
 
+// Owns all parts of the proxy and runs them in one thread. Their events are queued, and the router processes
+// them at most once in each turn of the event loop.
 class ProxyServer : private ClientConnections::RequestOwner {
  public:
-  // Throws InvalidInput where the placement is faulty.
-  explicit ProxyServer(config::Environment environment, const ProxyOptions& orders = {});
+  // Throws InvalidInput where the instance's configuration is faulty.
+  explicit ProxyServer(config::Environment environment, const ProxyOptions& options = {});
 
-  // Runs until it has been told to stop and nothing is open.
+  // Serves until SIGTERM or SIGINT has come and every client connection is closed.
   void run();
 
  private:
-  struct Op {
-    std::shared_ptr<const std::string> text;
-    std::string id;  // as the client names it
-    postgres::TextSpan remaining;
-    int sends = 0;
-    Millis arrived = 0;
+  // A request that has no final answer yet.
+  struct Request {
+    std::shared_ptr<const std::string> text;  // of the statement
+    std::string id;                           // as the client names it
+    postgres::TextSpan patience_span;         // where the text states the client's remaining time
+    int attempts = 0;
+    Millis arrived = 0;  // Unix time
   };
-  // What happened, in order. An op's times are counted back from the clock of the settle that tells of it.
-  struct Noted {
+  // An event for the router. A request's remaining time and token age are computed when the router runs.
+  struct QueuedEvent {
     Event event;
-    Millis arrived = 0, position = 0;
+    Millis arrived = 0;         // Unix time; of a request
+    Millis token_position = 0;  // Unix time; of a request with a token
   };
 
-  std::optional<postgres::Fault> request_arrived(RequestId op, std::string_view text,
+  std::optional<postgres::Fault> request_arrived(RequestId request, std::string_view text,
                                                  const postgres::Statement& statement) override;
-  void request_abandoned(RequestId op) override;
-  void list_read(net::EndpointList list);
-  void send_ended(AttemptCompleted ended, std::string row);
-  void sleep();
+  void request_abandoned(RequestId request) override;
+  [[nodiscard]] std::optional<postgres::Fault> reject_reason(std::string_view text,
+                                                             const postgres::Statement& statement);
+  void handle_endpoint_list(net::EndpointList list);
+  void handle_attempt_completed(AttemptCompleted completed, std::string row);
+  void handle_peer_message(int peer, std::string text);
+  // Ends the request; an empty answer is not sent. The reason is for the log.
+  void complete_request(RequestId request, std::string answer, std::string_view reason);
+
+  void restore_endpoint_list();
+  void run_turn();
+  void wait_for_event();
   void run_callbacks();
-  void note(Event event);
-  void tell_turn();
-  void settle();
-  // Why: for the log. No answer: nobody waits for it.
-  void end_op(RequestId op, std::string answer, std::string_view why);
-  void hear_signals();
-  void read_again();
+  // Queues the event for the router, which runs at the end of this turn.
+  void enqueue(Event event);
+  void run_router();
+  void pass_events_to_router(Millis now);
+  void log_turn();
+
+  void wait_for_signal();
+  void start_draining(int signal);
+  void reload_configuration();
 
-  void carry_out(const StartAttempt& decision);
-  void carry_out(const CancelAttempt& decision);
-  void carry_out(const RejectRequest& decision);
-  void carry_out(const FailRequest& decision);
-  void carry_out(const SetTimer& decision);
-  void carry_out(const StartProbe& decision);
-  void carry_out(const WatchEndpoints& decision);
-  void carry_out(const ForgetServer& decision);
-  void carry_out(const BroadcastToPeers& decision);
-  void carry_out(const LogMessage& decision);
+  void execute(const StartAttempt& decision);
+  void execute(const CancelAttempt& decision);
+  void execute(const RejectRequest& decision);
+  void execute(const FailRequest& decision);
+  void execute(const SetTimer& decision);
+  void execute(const StartProbe& decision);
+  void execute(const WatchEndpoints& decision);
+  void execute(const ForgetServer& decision);
+  void execute(const BroadcastToPeers& decision);
+  void execute(const LogMessage& decision);
 
   const config::Environment environment_;
-  std::string saved_list_;  // of the placement, until it has been read
+  std::string saved_endpoint_list_;  // from the configuration; empty once it has been read
   const config::InstanceConfig config_;
   const net::Clock clock_;
-  TurnGauge turns_;
-  ArrivalBound arrivals_{clock_.now()};
+  TurnGauge turn_gauge_;
+  ArrivalBound arrival_bound_{clock_.now()};
   logging::Log log_;
   asio::io_context io_;
   net::Timers timers_;
   asio::signal_set signals_;
   std::unique_ptr<Router> router_;
-  std::vector<Noted> noted_;
-  bool settle_wanted_ = false;  // for what was noted; what peers say alone can wait for a while
-  bool turn_is_full_ = false;   // a part of a list is enough work for one
-  std::optional<net::Timers::Handle> gathered_;
-  Millis settled_ = 0;
-  std::map<RequestId, Op> ops_;
-  std::set<std::string, std::less<>> ids_;  // of the open ops
-  std::set<GroupId> groups_;                // that discovery has named
-  net::Allowance texts_;                    // of the open ops
-  upstream::ConnectionPool members_;
-  ClientConnections clients_;
-  discovery::Client list_;
-  PeerSocket peers_;
-  std::optional<FleetCoordinator> tier_;  // none: nothing of the fleet is on
+  std::vector<QueuedEvent> queued_events_;
+  bool router_run_needed_ = false;  // peer messages alone wait for their timer
+  bool turn_full_ = false;          // part of an endpoint list is enough work for one turn
+  std::optional<net::Timers::Handle> peer_message_timer_;
+  Millis last_run_ = 0;  // Unix time of the router's last run
+  std::map<RequestId, Request> requests_;
+  std::set<std::string, std::less<>> open_ids_;  // of the open requests, as clients name them
+  std::set<GroupId> groups_;                     // that discovery has named
+  net::Allowance text_allowance_;                // for the texts of the open requests
+  upstream::ConnectionPool connection_pool_;
+  ClientConnections client_connections_;
+  discovery::Client discovery_client_;
+  PeerSocket peer_socket_;
+  std::optional<FleetCoordinator> fleet_;  // none: no part of the fleet coordination is enabled
 };
 
 }  // namespace reedspindle::proxy
