--- /dev/null
+++ b/src/proxy/client_commands.cpp
@@ -0,0 +1,390 @@
+// The part of ClientConnections that serves one connection: reads commands, answers them in order, closes.
+#include <poll.h>
+
+#include <random>
+#include <utility>
+#include <vector>
+
+#include "proxy/client_connection.hpp"
+#include "proxy/client_connections.hpp"
+
+namespace reedspindle::proxy {
+namespace {
+using Tcp = asio::ip::tcp;
+// How much a client may send ahead of its answers: one message of the longest kind.
+constexpr std::size_t kReadAheadBytes = postgres::kLongestMessage + 5;
+constexpr std::size_t kReadBytes = 2048;  // the least that one read has space for
+// How many commands of one connection are handled at the same time: several times what a client sends within
+// one slow answer. A command that waits longer than its client does, behind answers to others, is lost.
+constexpr std::size_t kMaxPipelined = 64;
+// How long a lingering connection is read at most: many round trips.
+constexpr Millis kLingerTime = 1000;
+// How long after it was accepted a client has to have sent its first complete command: a little less than the
+// time within which the protocol requires an error for what can't be read.
+constexpr Millis kFirstCommandTime = 2500;
+// How long a client may take for a later command, and for reading an answer.
+constexpr Millis kCommandTime = 15000;
+// Unreadable statements in a row after which the connection is closed: a client that errs will not improve
+// when it sends at full speed.
+constexpr int kMaxFaultsInRow = 8;
+}  // namespace
+
+// Whether the client has closed a connection that is not being read. Guards against forwarding what is left
+// from a client that sent more than is read ahead: the end of its connection comes after all of that.
+bool ClientConnections::has_hung_up(ClientConnection& connection) {
+  pollfd look{connection.socket.native_handle(), POLLRDHUP, 0};
+  return ::poll(&look, 1, 0) == 1 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+// Waits until there is something to read, and then reads and handles it in one step. Guards against bytes
+// that have left the kernel while their connection is being closed: the client could not know that its
+// request was not read.
+void ClientConnections::read(const ConnectionPtr& connection) {
+  using State = ClientConnection::State;
+  if (connection->reading || connection->state == State::closed) {
+    return;
+  }
+  const bool discards = !connection->accepts_commands();
+  if (discards ? connection->discarded > kReadAheadBytes
+               : connection->buffer.held().size() >= kReadAheadBytes) {
+    return;
+  }
+  connection->reading = true;
+  connection->socket.async_wait(Tcp::socket::wait_read, [this, connection](const asio::error_code& fault) {
+    connection->reading = false;
+    if (connection->state == State::closed) {
+      return;
+    }
+    if (fault) {
+      return handle_disconnect(*connection);
+    }
+    read_now(connection);
+  });
+}
+
+void ClientConnections::read_now(const ConnectionPtr& connection) {
+  const auto space = connection->buffer.room(kReadBytes);
+  if (space.empty()) {
+    log_.warn("clients", "connection ended", {{"why", "clients make the front hold too much"}});
+    return abort(*connection);
+  }
+  asio::error_code fault;
+  const std::size_t count = connection->socket.read_some(asio::buffer(space.data(), space.size()), fault);
+  if (fault == asio::error::would_block || fault == asio::error::interrupted) {
+    return read(connection);
+  }
+  if (fault) {
+    return handle_disconnect(*connection);
+  }
+  if (!connection->accepts_commands()) {  // dropped
+    connection->discarded += count;
+    return read(connection);
+  }
+  connection->buffer.filled(count);
+  connection->last_activity = clock_.now();
+  handle_commands(*connection);
+  read(connection);
+}
+
+// Sets or clears the time limit for what the client has to do next. Guards against clients that send nothing,
+// stop in mid-message, send without an end or do not read.
+void ClientConnections::update_deadline(ClientConnection& connection) {
+  using State = ClientConnection::State;
+  if (connection.state == State::lingering || connection.state == State::closed) {
+    return;
+  }
+  const bool mid_message = !connection.buffer.held().empty() && connection.replies.size() < kMaxPipelined;
+  const bool waits_for_client =
+      connection.writing || (connection.accepts_commands() && (!connection.command_seen || mid_message));
+  if (!waits_for_client) {
+    timers_.drop(connection.deadline);
+  }
+  if (!waits_for_client || connection.deadline) {
+    return;
+  }
+  connection.deadline =
+      timers_.set(clock_.now() + (connection.command_seen ? kCommandTime : kFirstCommandTime),
+                  [this, held = *connection.place] {
+                    held->deadline.reset();
+                    deadline_passed(*held);
+                  });
+}
+
+void ClientConnections::deadline_passed(ClientConnection& connection) {
+  if (connection.writing) {
+    return abort(connection);
+  }
+  log_.warn("clients", "connection ended", {{"why", "no whole command in time"}});
+  close_with_error(connection, "57P05", "no whole command in time");
+}
+
+// Handles the buffered commands in order, up to the number that is handled at the same time. After a command
+// that is answered at once, the rest is handled when its reply is written: a client that sends many such
+// commands lets the other clients' commands pass after each.
+void ClientConnections::handle_commands(ClientConnection& connection) {
+  using State = ClientConnection::State;
+  while (connection.accepts_commands() && connection.replies.size() < kMaxPipelined) {
+    if (!connection.reading && connection.buffer.held().size() >= kReadAheadBytes &&
+        has_hung_up(connection)) {
+      return handle_disconnect(connection);
+    }
+    const std::string_view held = connection.buffer.held();
+    const bool starting = connection.state == State::starting;
+    const postgres::Read next = starting ? postgres::read_startup(held) : postgres::read_from_client(held);
+    if (std::holds_alternative<postgres::Partial>(next)) {
+      break;
+    }
+    if (const auto* fault = std::get_if<postgres::Fault>(&next)) {
+      log_.warn("clients", "connection ended", {{"why", fault->text}});
+      return close_with_error(connection, fault->code, fault->text);
+    }
+    const postgres::Message message = std::get<postgres::Message>(next);
+    const std::size_t size = message.bytes.size();
+    connection.command_seen = connection.command_seen || !starting;
+    const CommandResult result = handle_message(connection, message);
+    if (!connection.accepts_commands()) {
+      return;
+    }
+    connection.buffer.consume(size);
+    timers_.drop(connection.deadline);
+    if (result == CommandResult::answered && connection.writing) {
+      break;
+    }
+  }
+  const bool between_commands =
+      connection.buffer.held().empty() || rejecting_;  // half a command does not count
+  if (connection.state == State::open && accept_stopped_ && between_commands && is_evictable(connection)) {
+    return begin_close(connection);
+  }
+  update_deadline(connection);
+}
+
+ClientConnections::CommandResult ClientConnections::handle_message(ClientConnection& connection,
+                                                                   const postgres::Message& message) {
+  if (connection.state == ClientConnection::State::starting) {
+    return handle_startup(connection, message);
+  }
+  if (message.type == 'X') {
+    close_after_replies(connection);
+    return CommandResult::answered;
+  }
+  if (message.type == 'S') {
+    connection.skipping_to_sync = false;
+    return reply(connection, postgres::ready());
+  }
+  if (connection.skipping_to_sync) {
+    return CommandResult::pending;
+  }
+  if (message.type == 'Q') {
+    const std::size_t end = message.body.find('\0');
+    if (end + 1 == message.body.size()) {
+      return handle_query(connection, message.body.substr(0, end));
+    }
+    close_with_error(connection, "08P01", "a query does not end with its text");
+    return CommandResult::answered;
+  }
+  // The extended protocol: skipped up to its Sync, as the protocol specifies after an error.
+  connection.skipping_to_sync = message.type != 'F';
+  return reply(connection, postgres::error(postgres::Severity::error, "0A000", "simple queries only") +
+                               (connection.skipping_to_sync ? "" : postgres::ready()));
+}
+
+ClientConnections::CommandResult ClientConnections::handle_startup(ClientConnection& connection,
+                                                                   const postgres::Message& message) {
+  switch (postgres::startup_kind(message)) {
+    case postgres::Startup::encryption:
+      return reply(connection, "N");
+    case postgres::Startup::session:
+      connection.state = ClientConnection::State::open;
+      connection.cancel_key = postgres::CancelKey{++last_connection_, std::random_device()()};
+      cancel_keys_[*connection.cancel_key] = &connection;
+      return reply(connection, postgres::welcome(*connection.cancel_key));
+    case postgres::Startup::cancel:
+      if (const auto key = postgres::cancel_key(message)) {
+        cancel(*key);
+      }
+      close_after_replies(connection);
+      break;
+    case postgres::Startup::unknown:
+      close_with_error(connection, "0A000", "version 3 of the protocol is spoken");
+      break;
+  }
+  return CommandResult::answered;
+}
+
+ClientConnections::CommandResult ClientConnections::handle_query(ClientConnection& connection,
+                                                                 std::string_view text) {
+  const std::string word = postgres::first_word(text);
+  if (word.empty()) {
+    if (ready_) {
+      return reply(connection, postgres::empty_answer());
+    }
+    connection.replies.add_readiness();
+    return CommandResult::answered;
+  }
+  for (const char* harmless : {"SET", "RESET", "DISCARD"}) {
+    if (word == harmless) {
+      return reply(connection, postgres::completed(harmless) + postgres::ready());
+    }
+  }
+  return handle_statement(connection, text);
+}
+
+ClientConnections::CommandResult ClientConnections::handle_statement(ClientConnection& connection,
+                                                                     std::string_view text) {
+  const auto read = postgres::read_statement(text);
+  std::optional<postgres::Fault> fault;
+  const RequestId request{++last_request_};
+  if (const auto* statement = std::get_if<postgres::Statement>(&read)) {
+    fault = rejecting_ ? postgres::Fault{"57P03", "the front is stopping"}
+                       : owner_.request_arrived(request, text, *statement);
+  } else {
+    fault = std::get<postgres::Fault>(read);
+  }
+  if (!fault) {
+    connection.faults_in_row = 0;
+    connection.replies.add_request(request);
+    requests_[request] = &connection;
+    return CommandResult::pending;
+  }
+  log_.warn("clients", "statement turned away", {{"why", fault->text}});
+  if (++connection.faults_in_row >= kMaxFaultsInRow && !rejecting_) {
+    close_with_error(connection, fault->code, fault->text);
+    return CommandResult::answered;
+  }
+  return reply(connection,
+               postgres::error(postgres::Severity::error, fault->code, fault->text) + postgres::ready());
+}
+
+void ClientConnections::answer(RequestId request, std::string bytes) {
+  const auto found = requests_.find(request);
+  if (found == requests_.end()) {
+    return;
+  }
+  ClientConnection& connection = *found->second;
+  requests_.erase(found);
+  connection.last_activity = clock_.now();
+  static const std::string kReplyTooLarge =
+      postgres::error(postgres::Severity::error, "53200", "answers that wait behind others take too much") +
+      postgres::ready();
+  connection.replies.complete(request, std::move(bytes) + postgres::ready(), kReplyTooLarge);
+  flush(connection);
+}
+
+// Cancels the oldest open request of the connection that has this key. It is answered at once, as the
+// protocol specifies; an unknown key does nothing.
+void ClientConnections::cancel(const postgres::CancelKey& key) {
+  const auto found = cancel_keys_.find(key);
+  if (found == cancel_keys_.end()) {
+    return;
+  }
+  const std::vector<RequestId> open = found->second->replies.open_requests();
+  if (open.empty()) {
+    return;
+  }
+  owner_.request_abandoned(open.front());
+  answer(open.front(), postgres::error(postgres::Severity::error, "57014", "canceled on user request"));
+}
+
+ClientConnections::CommandResult ClientConnections::reply(ClientConnection& connection, std::string bytes) {
+  connection.replies.add_complete(std::move(bytes));
+  flush(connection);
+  return CommandResult::answered;
+}
+
+// Writes the next complete replies, unless a write is running.
+void ClientConnections::flush(ClientConnection& connection) {
+  if (connection.writing || connection.state == ClientConnection::State::closed) {
+    return;
+  }
+  connection.out = connection.replies.take_complete();
+  if (connection.out.empty()) {
+    return;
+  }
+  connection.writing = true;
+  asio::async_write(connection.socket, asio::buffer(connection.out),
+                    [this, held = *connection.place](const asio::error_code& fault, std::size_t) {
+                      held->writing = false;
+                      held->out = {};
+                      if (held->state == ClientConnection::State::closed) {
+                        return;
+                      }
+                      if (fault) {
+                        return handle_disconnect(*held);
+                      }
+                      write_completed(*held);
+                    });
+  update_deadline(connection);
+}
+
+void ClientConnections::write_completed(ClientConnection& connection) {
+  const ConnectionPtr held = *connection.place;
+  if (connection.state == ClientConnection::State::lingering) {
+    return begin_close(connection);
+  }
+  timers_.drop(connection.deadline);
+  flush(connection);
+  if (connection.state == ClientConnection::State::closing) {
+    if (connection.replies.empty() && !connection.writing) {
+      begin_close(connection);
+    }
+    return;
+  }
+  handle_commands(connection);
+  read(held);
+}
+
+void ClientConnections::close_with_error(ClientConnection& connection, std::string_view code,
+                                         std::string_view text) {
+  connection.replies.add_complete(postgres::error(postgres::Severity::fatal, code, text));
+  close_after_replies(connection);
+}
+
+// Handles no more commands; the connection is closed once all pending replies are written.
+void ClientConnections::close_after_replies(ClientConnection& connection) {
+  const ConnectionPtr held = *connection.place;
+  connection.state = ClientConnection::State::closing;
+  connection.buffer.consume(connection.buffer.held().size());
+  timers_.drop(connection.deadline);
+  flush(connection);
+  if (connection.replies.empty() && !connection.writing) {
+    return begin_close(connection);
+  }
+  update_deadline(connection);
+  read(held);
+}
+
+// Closes a connection gracefully: a running write is finished, then the sending side is shut down, and what
+// the client still sends is read and dropped, since closing with unread bytes would lose the last answer. At
+// most one message is read; what a client sends beyond that stays unread until the time is over.
+void ClientConnections::begin_close(ClientConnection& connection) {
+  const ConnectionPtr held = *connection.place;
+  if (connection.state != ClientConnection::State::lingering) {
+    connection.state = ClientConnection::State::lingering;
+    ++lingering_;
+    connection.buffer.consume(connection.buffer.held().size());
+    timers_.drop(connection.deadline);
+    connection.deadline = timers_.set(clock_.now() + kLingerTime, [this, held] {
+      held->deadline.reset();
+      close(*held);
+    });
+  }
+  if (connection.writing) {
+    return;
+  }
+  if (!std::exchange(connection.send_shutdown, true)) {
+    asio::error_code ignored;
+    connection.socket.shutdown(Tcp::socket::shutdown_send, ignored);
+  }
+  read(held);
+}
+
+// The client does not read what is written to it, or there is no memory for what it sends.
+void ClientConnections::abort(ClientConnection& connection) {
+  if (connection.replies.open_requests().empty()) {
+    return close(connection);
+  }
+  update_deadline(connection);  // its requests are answered first
+}
+
+}  // namespace reedspindle::proxy
--- /dev/null
+++ b/src/proxy/client_connection.hpp
@@ -0,0 +1,52 @@
+// What is kept for one client connection. Internal to client_connections.cpp and client_commands.cpp.
+#pragma once
+
+#include <asio.hpp>
+#include <list>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "net/buffer.hpp"
+#include "net/clock.hpp"
+#include "postgres/codec.hpp"
+#include "proxy/pending_replies.hpp"
+
+namespace reedspindle::proxy {
+
+// Owned by the list of ClientConnections; callbacks that are still out share the ownership.
+struct ClientConnection {
+  enum class State {
+    starting,   // the startup message has not come
+    open,       // commands are handled
+    closing,    // no more commands are handled, pending replies are still written
+    lingering,  // the sending side is shut down or about to be, and what still comes is read and dropped
+    closed,
+  };
+
+  ClientConnection(asio::ip::tcp::socket accepted, net::Allowance& buffers, net::Allowance& reply_allowance)
+      : socket(std::move(accepted)), buffer(buffers), replies(reply_allowance) {}
+
+  [[nodiscard]] bool accepts_commands() const { return state == State::starting || state == State::open; }
+  static State state_of(const std::shared_ptr<ClientConnection>& connection) { return connection->state; }
+
+  asio::ip::tcp::socket socket;
+  net::Buffer buffer;
+  PendingReplies replies;
+  std::string out;  // the bytes being written
+  State state = State::starting;
+  bool writing = false;
+  bool reading = false;
+  bool skipping_to_sync = false;  // after a message of the extended protocol
+  bool send_shutdown = false;
+  bool command_seen = false;  // a complete command has come
+  int faults_in_row = 0;      // statements that could not be read
+  std::optional<postgres::CancelKey> cancel_key;
+  std::size_t discarded = 0;  // bytes read while closing or lingering
+  Millis last_activity = 0;   // Unix time at which it was accepted, last read from or last answered
+  std::optional<net::Timers::Handle> deadline;  // for the client to send or read, or of lingering
+  std::list<std::shared_ptr<ClientConnection>>::iterator place;
+};
+
+}  // namespace reedspindle::proxy
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -296,7 +296,7 @@
   const bool complete = !failed && list.last && !groups_.empty();
   enqueue(std::move(received));
   if (complete) {
-    client_connections_.be_ready();
+    client_connections_.set_ready();
   }
 }
 
@@ -327,7 +327,7 @@
   if (fleet_) {
     fleet_->leave();
   }
-  client_connections_.drain();
+  client_connections_.start_draining();
 }
 
 // On SIGHUP. A faulty configuration changes nothing. From a valid one, discovery's address is used, and the
