--- a/src/routing/replica_state.hpp
+++ b/src/routing/replica_state.hpp
@@ -24,8 +24,16 @@
 // The state of one server. Time points are in milliseconds, kNever until the event has happened.
 struct Server {
   // Discovery.
-  ServerEntry entry;           // as listed last
-  Group* group = nullptr;      // owned by the router; the group that `entry` names
+  ServerEntry entry;       // as listed last
+  Group* group = nullptr;  // owned by the router; the group that `entry` names
+
+  // Windows and sums; ahead of the rest, which a request reads in one pass.
+  WarmCapacity::Slot capacity_slot;     // its part in the capacity of the warm replicas
+  std::deque<PositionSample> samples;   // the last three
+  std::deque<double> latency_ratios;    // latency over objective of the answers since the limit last moved
+  std::deque<Millis> recent_latencies;  // of the last answers that were not long-running
+
+  // Listing.
   long mark = 0;               // the short number by which instances name it to one another
   Millis listed_at = kNever;   // when it was listed first
   Millis gone_since = kNever;  // when a list left it out; set only where such servers are forgotten
@@ -33,7 +41,6 @@
   bool was_gone = false;       // before the list that is being read
 
   // Samples.
-  std::deque<PositionSample> samples;  // the last three
   Millis applied_position = kNever;    // the highest position shown; it never goes back
   Millis primary_claimed_at = kNever;  // the date of its last claim to be the primary
   Millis replica_claimed_at = kNever;  // the date of its last claim to be a replica
@@ -58,20 +65,17 @@
   // Attempts.
   int in_flight = 0;
   Millis oldest_attempt_sent_at = kNever;  // of those in flight that are not long-running
-  std::deque<Millis> recent_latencies;     // of the last answers that were not long-running
   bool last_answer_late = false;           // after its latency objective
   long last_selected = 0;                  // by a counter of selections; the least recent is preferred
 
   // Concurrency limit: under 1 it is the chance that a request may go there.
   double concurrency_limit = 0;
-  std::deque<double> latency_ratios;  // latency over objective of the answers since the limit last moved
   Millis backed_off_at = kNever;
   Millis back_off_until = kNever;  // no attempts until then
 
   // Slow start.
-  WarmCapacity::Slot capacity_slot;  // its part in the capacity of the warm replicas
-  Millis cold_since = kNever;        // its last start
-  double slow_start_credit = 0;      // attempts that it may be sent while it warms up, at most 1
+  Millis cold_since = kNever;    // its last start
+  double slow_start_credit = 0;  // attempts that it may be sent while it warms up, at most 1
   Millis credit_updated_at = kNever;
   double credit_multiplier = 1;  // above 1 while it reports processors free
 };
