--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -23,7 +23,7 @@
 // least has failed.
 class Heartbeats final : public Membership {
  public:
-  explicit Heartbeats(const Options& options) : charge_(options) {}
+  explicit Heartbeats(const Options& options) : options_(options) {}
   void enqueue(Event event) override {
     if (const auto* heard = std::get_if<DatagramReceived>(&event)) {
       heard_.push_back(heard->from);
@@ -35,27 +35,27 @@
       began_ = next_ = now;
     }
     for (const SlotId from : std::exchange(heard_, {})) {
-      Peer& fellow = fellows_[from];
-      fellow.heard = now;
-      if (!std::exchange(fellow.there, true)) {
-        decisions.push_back(change(from, Happening::joined));
+      Peer& peer = peers_[from];
+      peer.heard = now;
+      if (!std::exchange(peer.there, true)) {
+        decisions.push_back(change(from, PeerEvent::joined));
       }
     }
     if (now >= next_) {
-      next_ = now + charge_.pace;
+      next_ = now + options_.pace;
       Message beat;
-      beat.name = charge_.name, beat.place = charge_.place;
+      beat.name = options_.name, beat.slot = options_.slot;
       std::size_t told = 0;
-      for (int place = 0; place < charge_.places; ++place) {
-        if (place != charge_.place.number) {
-          decisions.push_back(SendDatagram{{place}, bytes_of(beat, told)});
+      for (int place = 0; place < options_.slots; ++place) {
+        if (place != options_.slot.number) {
+          decisions.push_back(SendDatagram{{place}, encode(beat, told)});
         }
       }
     }
-    for (auto& [place, fellow] : fellows_) {
-      if (fellow.there && now - fellow.heard > charge_.suspicion_multiplier * charge_.pace) {
-        fellow.there = false;
-        decisions.push_back(change(place, Happening::failed));
+    for (auto& [place, peer] : peers_) {
+      if (peer.there && now - peer.heard > options_.suspicion_multiplier * options_.pace) {
+        peer.there = false;
+        decisions.push_back(change(place, PeerEvent::failed));
       }
     }
     decisions.push_back(RequestWakeup{next_});
@@ -63,8 +63,8 @@
   }
   [[nodiscard]] View view() const override {
     View view;
-    for (const auto& [place, fellow] : fellows_) {
-      view.fellows.push_back({name(place), place, fellow.there ? Standing::there : Standing::failed, {}, 0});
+    for (const auto& [place, peer] : peers_) {
+      view.peers.push_back({name(place), place, peer.there ? PeerState::alive : PeerState::failed, {}, 0});
     }
     return view;
   }
@@ -75,10 +75,10 @@
     bool there = false;
   };
   static std::string name(SlotId place) { return fmt::format("n{}", place.number); }
-  static Change change(SlotId place, Happening happening) { return {name(place), place, happening, {}}; }
-  const Options charge_;
+  static PeerChanged change(SlotId place, PeerEvent event) { return {name(place), place, event, {}}; }
+  const Options options_;
   std::vector<SlotId> heard_;
-  std::map<SlotId, Peer> fellows_;
+  std::map<SlotId, Peer> peers_;
   Millis began_ = 0, next_ = 0;
 };
 
@@ -127,8 +127,8 @@
     fleet.run(3000 + 137 * turn % 500);
     int seen = 0;
     const Millis killed = fleet.now();
-    fleet.on([&](Millis at, int, const Change& change) {
-      if (change.happening != Happening::failed || change.place.number != dead) {
+    fleet.on([&](Millis at, int, const PeerChanged& change) {
+      if (change.event != PeerEvent::failed || change.slot.number != dead) {
         return;
       }
       if (seen++ == 0) {
@@ -160,9 +160,9 @@
   fleet.network.loss = loss;
   int failed = 0;
   int suspected = 0;
-  fleet.on([&](Millis, int, const Change& change) {
-    failed += change.happening == Happening::failed;
-    suspected += change.happening == Happening::suspected;
+  fleet.on([&](Millis, int, const PeerChanged& change) {
+    failed += change.event == PeerEvent::failed;
+    suspected += change.event == PeerEvent::suspected;
   });
   std::vector<faulttest::Load> before;
   for (int front = 0; front < fronts; ++front) {
--- a/src/faulttest/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -10,8 +10,8 @@
 // What a socket holds while its process is stopped.
 constexpr std::size_t kSocket = 256;
 
-VirtualFleet::VirtualFleet(int fronts, membership::Options charge, std::uint64_t seed, Maker maker)
-    : charge_(std::move(charge)),
+VirtualFleet::VirtualFleet(int fronts, membership::Options options, std::uint64_t seed, Maker maker)
+    : membership_options_(std::move(options)),
       maker_(std::move(maker)),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       processes_(at(fronts)) {
@@ -22,22 +22,22 @@
 
 void VirtualFleet::start(int front) {
   Process& process = processes_.at(at(front));
-  membership::Options charge = charge_;
-  charge.name = process.name, charge.place = {front}, charge.places = size();
-  process.core = maker_(charge, random_());
+  membership::Options options = membership_options_;
+  options.name = process.name, options.slot = {front}, options.slots = size();
+  process.core = maker_(options, random_());
   ++process.life, process.stopped = false;
   process.wakes = process.quota_wake = process.consistency_wake = 0;
   process.waiting.clear();
   process.born = now_;
   if (sharing_) {
-    quota::Options membership_options = *sharing_;
-    membership_options.place = {front};
-    process.quota = quota::make_quota_manager(membership_options, random_());
+    quota::Options quota_options = *sharing_;
+    quota_options.place = {front};
+    process.quota = quota::make_quota_manager(quota_options, random_());
   }
   if (comparing_) {
-    consistency::Options membership_options = *comparing_;
-    membership_options.place = {front};
-    process.consistency = consistency::make_consistency_monitor(membership_options, random_());
+    consistency::Options consistency_options = *comparing_;
+    consistency_options.place = {front};
+    process.consistency = consistency::make_consistency_monitor(consistency_options, random_());
   }
   settle(front);
 }
@@ -220,7 +220,7 @@
   Process& process = processes_[at(front)];
   bool changed = false;
   decide(front, *process.core, Of::membership, process.wakes, process.load, [&](const auto& taken) {
-    if constexpr (requires { taken.happening; }) {
+    if constexpr (requires { taken.incarnation; }) {
       changed = true;
       if (seen_) {
         seen_(now_, front, taken);
@@ -234,7 +234,7 @@
   }
   std::set<SlotId> there;
   if (changed) {
-    there = membership::there_in(process.core->view());
+    there = membership::alive_peers(process.core->view());
   }
   if (changed && process.quota) {
     process.quota->enqueue(quota::PeersChanged{there});
@@ -276,11 +276,11 @@
       continue;
     }
     std::size_t there = 0;
-    for (const membership::PeerView& fellow : process.core->view().fellows) {
-      if (fellow.standing == membership::Standing::failed || fellow.standing == membership::Standing::left) {
+    for (const membership::PeerView& peer : process.core->view().peers) {
+      if (peer.state == membership::PeerState::failed || peer.state == membership::PeerState::left) {
         continue;
       }
-      if (fellow.standing != membership::Standing::there || !up.contains(fellow.name)) {
+      if (peer.state != membership::PeerState::alive || !up.contains(peer.name)) {
         return false;
       }
       ++there;
--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -20,7 +20,6 @@
 
 namespace reedspindle::faulttest {
 
-using membership::Happening;
 struct Network {
   Millis delay = 0.5, jitter = 1;  // of a datagram: from the first to the sum of both
   double loss = 0, doubled = 0;    // shares of datagrams
@@ -34,10 +33,10 @@
  public:
   using Maker =
       std::function<std::unique_ptr<membership::Membership>(const membership::Options&, std::uint64_t)>;
-  using Seen = std::function<void(Millis at, int front, const membership::Change&)>;
-  using Found = std::function<void(Millis at, int front, const membership::Found&)>;
+  using Seen = std::function<void(Millis at, int front, const membership::PeerChanged&)>;
+  using Found = std::function<void(Millis at, int front, const membership::SelfReport&)>;
 
-  VirtualFleet(int fronts, membership::Options charge, std::uint64_t seed,
+  VirtualFleet(int fronts, membership::Options options, std::uint64_t seed,
                Maker maker = membership::make_membership);
 
   void on(Seen seen, Found found = {}) { seen_ = std::move(seen), found_ = std::move(found); }
@@ -51,7 +50,7 @@
   void drift(int front, double share) { processes_.at(at(front)).rate = 1 + share; }
 
   // From their next start on the processes share what the fleet has, too.
-  void share(const quota::Options& charge) { sharing_ = charge; }
+  void share(const quota::Options& options) { sharing_ = options; }
   void want(int front, const quota::Demand& demand);
   // What a process may use now, by its own clock; nothing where it does not run or is stopped.
   [[nodiscard]] quota::Part part(int front) const;
@@ -59,7 +58,7 @@
     return processes_.at(at(front)).quota.get();
   }
   // From their next start on the processes compare what they act on, too.
-  void compare(const consistency::Options& charge) { comparing_ = charge; }
+  void compare(const consistency::Options& options) { comparing_ = options; }
   void act(int front, const consistency::Acts& acts);
   void confirm(int front);  // discovery speaks to it
   [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int front) const {
@@ -135,7 +134,7 @@
     return process.born + (own - process.apart - process.born) / process.rate;
   }
 
-  const membership::Options charge_;
+  const membership::Options membership_options_;
   const Maker maker_;
   std::optional<quota::Options> sharing_;
   std::optional<consistency::Options> comparing_;
--- a/src/faulttest/virtual_routers.cpp
+++ b/src/faulttest/virtual_routers.cpp
@@ -36,7 +36,7 @@
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       fronts_(static_cast<std::size_t>(stage.fronts)) {
   fleet_.passes = [this](int from, int to) { return cut_.empty() || !cut_.contains({from, to}); };
-  fleet_.on([this](Millis, int by, const membership::Change&) { front(by).changed = true; });
+  fleet_.on([this](Millis, int by, const membership::PeerChanged&) { front(by).changed = true; });
 }
 
 EndpointListReceived VirtualRouters::list() const {
@@ -85,7 +85,7 @@
   const Millis now = fleet_.now();
   if (std::exchange(front.changed, false) && stage_.by_view) {
     FleetViewChanged among;
-    for (const SlotId place : membership::there_in(fleet_.view(number))) {
+    for (const SlotId place : membership::alive_peers(fleet_.view(number))) {
       among.alive_peers.insert(place.number);
     }
     const Event event(std::in_place_type<FleetViewChanged>, std::move(among));
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -16,69 +16,72 @@
 constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 // Figures of the literature (SWIM: Das, Gupta, Motivala 2002; Lifeguard: Dadgar, Phillips, Currey 2018), kept
 // as they are.
-constexpr int kHelpers = 3;     // fellows asked to probe as well
-constexpr int kSure = 3;        // others' doubts after which a suspicion lasts its shortest time
-constexpr double kLongest = 6;  // the longest time of a suspicion in shortest ones
-constexpr int kWorst = 3;       // how much a front doubts itself at most; Lifeguard has 8, with which two
-                           // survivors of eight took 25 s instead of 18 to see six deaths (virtual, one run)
-constexpr double kSentOn = 4;       // times that a word is sent on, times the log10 of how many are here
-constexpr double kNackAfter = 0.8;  // of the time-out, until a helper says that it has no answer either
+constexpr int kIndirectProbers = 3;        // peers asked to probe as well
+constexpr int kMaxSuspecters = 3;          // others' doubts after which a suspicion lasts its shortest time
+constexpr double kMaxSuspicionFactor = 6;  // the longest time of a suspicion in shortest ones
+constexpr int kMaxHealthScore =
+    3;  // how much an instance doubts itself at most; Lifeguard has 8, with which two
+        // survivors of eight took 25 s instead of 18 to see six deaths (virtual, one run)
+constexpr double kRetransmitFactor =
+    4;  // times that an update is sent on, times the log10 of how many are here
+constexpr double kNackTimeoutShare =
+    0.8;  // of the time-out, until a helper says that it has no answer either
 // Figures of our own.
-constexpr int kFarewells = 8;       // fellows told at once of a leaving; any one that lives passes it on
-constexpr int kOfRange = 8;         // words on a range that go into one datagram, names being some 8 letters
-constexpr double kPacesOfSeek = 2;  // so that a place that comes to life is met within places times that
-constexpr double kPacesOfCompare = 10;  // costs half a datagram a pace; gossip has missed little by then
-constexpr int kSpare = 16;              // datagrams a pace, at most, that tell where two fronts differ
-constexpr int kErrands = 64;            // that are run for others at a time, at most
-constexpr int kOfPlace = 64;            // datagrams a pace that one place may send; SWIM's sum is under ten
-constexpr int kTries = 3;               // questions to another that has this front's name, until it is gone
-constexpr Millis kAhead =
+constexpr int kLeaveRecipients = 8;  // peers told at once of a leaving; any one that lives passes it on
+constexpr int kMaxUpdatesOfRange =
+    8;  // updates on a range that go into one datagram, names being some 8 letters
+constexpr double kEmptySlotPingPaces = 2;  // so that a slot that comes to life is met within slots times that
+constexpr double kAntiEntropyPaces = 10;   // costs half a datagram a pace; gossip has missed little by then
+constexpr int kAntiEntropyBudget = 16;     // datagrams a pace, at most, that tell where two instances differ
+constexpr int kMaxIndirectProbes = 64;     // that are run for others at a time, at most
+constexpr int kMaxDatagramsPerPace = 64;   // datagrams a pace that one slot may send; SWIM's sum is under ten
+constexpr int kNameConflictTries = 3;  // questions to another that has this instance's name, until it is gone
+constexpr Millis kMaxClockAhead =
     86400000;  // of our clock: a day, more than any clock that somebody looks after is wrong
-constexpr double kPacesOfYield = 20;  // after which it is asked again
+constexpr double kNameConflictRetryPaces = 20;  // after which it is asked again
 
-class Watch final : public Membership {
+class MembershipImpl final : public Membership {
  public:
-  Watch(const Options& charge, std::uint64_t seed)
-      : charge_(charge),
+  MembershipImpl(const Options& options, std::uint64_t seed)
+      : options_(options),
         random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
-        fellows_(charge.most),
-        heard_of_(static_cast<std::size_t>(charge.places)) {}
+        peers_(options.most),
+        datagrams_from_(static_cast<std::size_t>(options.slots)) {}
 
   void enqueue(Event event) override { events_.push_back(std::move(event)); }
 
   std::vector<Decision> process(Millis now) override {
     decisions_.clear();
-    if (born_ == 0) {
-      begin(now);
+    if (started_at_ == 0) {
+      start(now);
     }
-    mind_the_gap(now);
+    detect_pause(now);
     now_ = std::max(now_, now);
-    if (now_ >= next_count_) {
-      std::ranges::fill(heard_of_, 0);
-      spare_ = kSpare, next_count_ = now_ + charge_.pace;
-      for (const Word& word : fellows_.forget(now_ - charge_.forget)) {
-        change(word, Happening::forgotten);
+    if (now_ >= next_rate_window_) {
+      std::ranges::fill(datagrams_from_, 0);
+      anti_entropy_budget_ = kAntiEntropyBudget, next_rate_window_ = now_ + options_.pace;
+      for (const GossipUpdate& update : peers_.forget(now_ - options_.forget)) {
+        report_change(update, PeerEvent::forgotten);
       }
     }
     for (Event& event : std::exchange(events_, {})) {
-      std::visit([this](const auto& happened) { take(happened); }, event);
+      std::visit([this](const auto& happened) { on(happened); }, event);
     }
     if (!leaving_) {
-      contend();
+      probe_name_conflict();
       if (!yielded_) {
-        run_errands(), probe(), seek(), compare();
+        expire_indirect_probes(), probe(), ping_empty_slots(), start_anti_entropy();
       }
     }
-    judge();
-    wake();
+    expire_suspicions();
+    schedule_wakeup();
     return std::move(decisions_);
   }
 
   [[nodiscard]] View view() const override {
     View view{version_, incarnation_, health_, yielded_, {}, dropped_};
-    for (const auto& [name, fellow] : fellows_.all()) {
-      view.fellows.push_back(
-          {name, fellow.word.place, fellow.word.standing, fellow.word.incarnation, fellow.since});
+    for (const auto& [name, peer] : peers_.all()) {
+      view.peers.push_back({name, peer.update.slot, peer.update.state, peer.update.incarnation, peer.since});
     }
     return view;
   }
@@ -86,219 +89,219 @@
  private:
   struct Probe {
     std::string name;
-    SlotId place;
+    SlotId slot;
     std::uint32_t number = 0;
     Millis sent = 0;
-    bool asked = false;
+    bool indirect_sent = false;
     int helpers = 0, nacks = 0;
   };
-  // A probe for another front.
-  struct Errand {
-    SlotId of, place;
-    std::uint32_t number_of = 0, number = 0;
+  // A probe for another instance.
+  struct IndirectProbe {
+    SlotId requester, slot;
+    std::uint32_t requester_sequence = 0, number = 0;
     Millis until = 0;
   };
-  struct News {
-    Word word;
+  struct QueuedUpdate {
+    GossipUpdate update;
     int sent = 0;
   };
-  struct Rival {
-    SlotId place;
+  struct NameConflict {
+    SlotId slot;
     Incarnation incarnation;
     int tries = 0;
     Millis next = 0;
   };
 
-  void begin(Millis now) {
+  void start(Millis now) {
     // The Unix time of the start, so that it rises over restarts without a disk; where the clock went back,
-    // fellows' words of the former life raise it.
-    born_ = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(now));
-    incarnation_ = {born_};
-    now_ = wake_ = next_seek_ = now;
-    next_probe_ = now + charge_.pace * chance();
-    next_compare_ = now + charge_.pace * kPacesOfCompare * chance();
-    spread(self());
+    // peers' updates of the former life raise it.
+    started_at_ = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(now));
+    incarnation_ = {started_at_};
+    now_ = wakeup_ = next_empty_slot_ping_ = now;
+    next_probe_ = now + options_.pace * random_fraction();
+    next_anti_entropy_ = now + options_.pace * kAntiEntropyPaces * random_fraction();
+    disseminate(self());
   }
 
   // Guards against a process that was stopped or starved: what it has not heard meanwhile says nothing of the
   // others. It doubts itself as much as it can, and suspicions get the time that they have missed.
-  void mind_the_gap(Millis now) {
-    const Millis gap = now - wake_;
-    if (gap <= charge_.pace) {
+  void detect_pause(Millis now) {
+    const Millis gap = now - wakeup_;
+    if (gap <= options_.pace) {
       return;
     }
-    found(Finding::stopped, {}, gap);
-    health_ = kWorst;
+    report(SelfEvent::paused, {}, gap);
+    health_ = kMaxHealthScore;
     probe_.reset();
-    errands_.clear();
+    indirect_probes_.clear();
     next_probe_ = now;
-    for (const std::string& name : fellows_.suspects()) {
-      fellows_.find(name)->suspected += gap;
+    for (const std::string& name : peers_.suspects()) {
+      peers_.find(name)->suspected_at += gap;
     }
   }
 
   // What was heard.
 
-  void take(const Listed& listed) {
-    charge_.places = listed.places;
-    heard_of_.resize(static_cast<std::size_t>(listed.places));
+  void on(const SlotCountChanged& listed) {
+    options_.slots = listed.slots;
+    datagrams_from_.resize(static_cast<std::size_t>(listed.slots));
   }
 
-  void take(const Leaving& /*unused*/) {
+  void on(const Leaving& /*unused*/) {
     if (std::exchange(leaving_, true) || yielded_) {
       return;
     }
-    Word word = self();
-    word.standing = Standing::left;
-    spread(word);
-    for (const SlotId place : some(kFarewells, place_)) {
-      tell(place, Kind::words, 0, [](Message& message) { message.answer = true; });
+    GossipUpdate update = self();
+    update.state = PeerState::left;
+    disseminate(update);
+    for (const SlotId slot : random_members(kLeaveRecipients, slot_)) {
+      send(slot, Kind::updates, 0, [](Message& message) { message.is_reply = true; });
     }
   }
 
-  void take(const DatagramReceived& heard) {
-    const auto from = static_cast<std::size_t>(heard.from.number);
-    if (from >= heard_of_.size()) {
-      return void(++dropped_.strange);
+  void on(const DatagramReceived& datagram) {
+    const auto from = static_cast<std::size_t>(datagram.from.number);
+    if (from >= datagrams_from_.size()) {
+      return void(++dropped_.unexpected_sender);
     }
     // Guards against a flood from one address: beyond this its datagrams are not even read.
-    if (++heard_of_[from] > kOfPlace) {
-      return void(++dropped_.flood);
+    if (++datagrams_from_[from] > kMaxDatagramsPerPace) {
+      return void(++dropped_.rate_limited);
     }
-    const auto message = message_in(heard.bytes);
+    const auto message = decode(datagram.bytes);
     if (!message) {
-      return void(++dropped_.unread);
+      return void(++dropped_.malformed);
     }
-    if (message->place != heard.from || message->place == place_ || !likely(message->incarnation)) {
-      return void(++dropped_.strange);
+    if (message->slot != datagram.from || message->slot == slot_ || !is_plausible(message->incarnation)) {
+      return void(++dropped_.unexpected_sender);
     }
-    if (message->name == charge_.name) {
-      return meet_rival(*message);
+    if (message->name == options_.name) {
+      return resolve_name_conflict(*message);
     }
     if (yielded_) {
       return;
     }
-    const std::optional<Word> mistaken = meet(*message);
-    for (const Word& word : message->words) {
-      learn(word);
+    const std::optional<GossipUpdate> outdated = observe_sender(*message);
+    for (const GossipUpdate& update : message->updates) {
+      receive_update(update);
     }
-    answer(*message, mistaken);
+    handle(*message, outdated);
   }
 
   // Guards against an incarnation from which nobody could rise any more, and against one that outlives its
-  // front.
-  [[nodiscard]] bool likely(Incarnation incarnation) const {
-    return static_cast<double>(incarnation.number) < now_ + kAhead;
+  // instance.
+  [[nodiscard]] bool is_plausible(Incarnation incarnation) const {
+    return static_cast<double>(incarnation.number) < now_ + kMaxClockAhead;
   }
 
   // The sender itself is there. What it should hear of itself, if anything.
-  std::optional<Word> meet(const Message& message) {
-    // Who answers at a place is the only one there.
-    if (const Peer* other = fellows_.at(message.place); other && other->word.name != message.name) {
-      Word gone = other->word;
-      gone.standing = Standing::failed, gone.by = place_;
-      accept(gone);
-    }
-    const Word word{message.name,
-                    message.place,
-                    message.leaving ? Standing::left : Standing::there,
-                    message.incarnation,
-                    {}};
-    const Peer* held = fellows_.find(message.name);
-    const bool new_here = !held || !is_here(held->word.standing);
-    if (fellows_.weigh(word) == PeerTable::Weight::news) {
-      accept(word);
+  std::optional<GossipUpdate> observe_sender(const Message& message) {
+    // Who answers at a slot is the only one there.
+    if (const Peer* other = peers_.at(message.slot); other && other->update.name != message.name) {
+      GossipUpdate gone = other->update;
+      gone.state = PeerState::failed, gone.suspected_by = slot_;
+      apply_update(gone);
+    }
+    const GossipUpdate update{message.name,
+                              message.slot,
+                              message.leaving ? PeerState::left : PeerState::alive,
+                              message.incarnation,
+                              {}};
+    const Peer* held = peers_.find(message.name);
+    const bool newly_met = !held || !is_member(held->update.state);
+    if (peers_.precedence_of(update) == PeerTable::Precedence::newer) {
+      apply_update(update);
       // Met for the first time, or again: both find out what the other knows.
-      if (new_here && !message.leaving) {
-        differ_with_ = message.place;
+      if (newly_met && !message.leaving) {
+        sync_with_ = message.slot;
       }
       return std::nullopt;
     }
-    if (message.leaving || !held || held->word == word) {
+    if (message.leaving || !held || held->update == update) {
       return std::nullopt;
     }
-    return held->word;
+    return held->update;
   }
 
-  void answer(const Message& message, const std::optional<Word>& mistaken) {
+  void handle(const Message& message, const std::optional<GossipUpdate>& outdated) {
     switch (message.kind) {
       case Kind::ping:
-        return tell(message.place, Kind::ack, message.number, [&](Message& ack) {
-          if (mistaken) {
-            ack.words.push_back(*mistaken);
+        return send(message.slot, Kind::ack, message.sequence, [&](Message& ack) {
+          if (outdated) {
+            ack.updates.push_back(*outdated);
           }
         });
       case Kind::ack:
-        acked(message);
+        handle_ack(message);
         break;
-      case Kind::ask:
-        take_errand(message);
+      case Kind::ping_req:
+        start_indirect_probe(message);
         break;
-      case Kind::vouch:
-        if (!probe_ || message.number != probe_->number || message.words.empty() ||
-            message.words.front().name != probe_->name) {
-          return void(++dropped_.late);
+      case Kind::indirect_ack:
+        if (!probe_ || message.sequence != probe_->number || message.updates.empty() ||
+            message.updates.front().name != probe_->name) {
+          return void(++dropped_.stale_reply);
         }
         probe_.reset();  // it lives; the way there does not, which says nothing good of ourselves
         break;
       case Kind::nack:
-        if (probe_ && message.number == probe_->number) {
+        if (probe_ && message.sequence == probe_->number) {
           ++probe_->nacks;
         }
         break;
       case Kind::digest:
-        return answer_digest(message);
-      case Kind::words:
-        if (!message.answer) {
-          answer_words(message);
+        return handle_digest(message);
+      case Kind::updates:
+        if (!message.is_reply) {
+          handle_updates(message);
         }
         break;
     }
     // Guards against two halves that were cut off from one another and each hold the other failed: who is
     // mistaken for gone hears so and refutes it.
-    if (mistaken && (!is_here(mistaken->standing) || mistaken->incarnation > message.incarnation)) {
-      tell(message.place, Kind::words, 0, [&](Message& words) {
-        words.answer = true;
-        words.words.push_back(*mistaken);
+    if (outdated && (!is_member(outdated->state) || outdated->incarnation > message.incarnation)) {
+      send(message.slot, Kind::updates, 0, [&](Message& updates) {
+        updates.is_reply = true;
+        updates.updates.push_back(*outdated);
       });
     }
   }
 
-  void acked(const Message& message) {
-    if (probe_ && message.number == probe_->number) {
+  void handle_ack(const Message& message) {
+    if (probe_ && message.sequence == probe_->number) {
       probe_.reset();
       health_ = std::max(0, health_ - 1);
       return;
     }
-    const auto errand = std::ranges::find(errands_, message.number, &Errand::number);
-    if (errand == errands_.end()) {
-      if (!std::ranges::count(asked_, std::pair(message.number, message.place))) {
-        ++dropped_.late;
+    const auto indirect = std::ranges::find(indirect_probes_, message.sequence, &IndirectProbe::number);
+    if (indirect == indirect_probes_.end()) {
+      if (!std::ranges::count(recent_pings_, std::pair(message.sequence, message.slot))) {
+        ++dropped_.stale_reply;
       }
       return;
     }
-    if (const Peer* there = fellows_.find(message.name)) {
-      tell(errand->of, Kind::vouch, errand->number_of,
-           [&](Message& vouch) { vouch.words.push_back(there->word); });
+    if (const Peer* there = peers_.find(message.name)) {
+      send(indirect->requester, Kind::indirect_ack, indirect->requester_sequence,
+           [&](Message& vouch) { vouch.updates.push_back(there->update); });
     }
-    errands_.erase(errand);
+    indirect_probes_.erase(indirect);
   }
 
-  // Words.
+  // Updates.
 
-  void learn(const Word& word) {
-    // Only places of the list are believed.
-    if (word.place.number >= charge_.places || !likely(word.incarnation)) {
-      return void(++dropped_.strange);
+  void receive_update(const GossipUpdate& update) {
+    // Only slots of the list are believed.
+    if (update.slot.number >= options_.slots || !is_plausible(update.incarnation)) {
+      return void(++dropped_.unexpected_sender);
     }
-    if (word.name == charge_.name) {
-      return hear_of_self(word);
+    if (update.name == options_.name) {
+      return receive_update_of_self(update);
     }
-    switch (fellows_.weigh(word)) {
-      case PeerTable::Weight::news:
-        return accept(word);
-      case PeerTable::Weight::confirmation:
-        return doubt(*fellows_.find(word.name), word.by);
+    switch (peers_.precedence_of(update)) {
+      case PeerTable::Precedence::newer:
+        return apply_update(update);
+      case PeerTable::Precedence::confirmation:
+        return confirm_suspicion(*peers_.find(update.name), update.suspected_by);
       default:
         return;
     }
@@ -306,196 +309,199 @@
 
   // One more that suspects it, as far as that still counts; told on, for it shortens the others' patience
   // too.
-  void doubt(Peer& fellow, SlotId by) {
-    if (by.number < 0 || fellow.doubters.size() > kSure || std::ranges::count(fellow.doubters, by)) {
+  void confirm_suspicion(Peer& peer, SlotId suspected_by) {
+    if (suspected_by.number < 0 || peer.suspecters.size() > kMaxSuspecters ||
+        std::ranges::count(peer.suspecters, suspected_by)) {
       return;
     }
-    fellow.doubters.push_back(by);
-    Word word = fellow.word;
-    word.by = by;
-    spread(word);
+    peer.suspecters.push_back(suspected_by);
+    GossipUpdate update = peer.update;
+    update.suspected_by = suspected_by;
+    disseminate(update);
   }
 
-  // A word that outweighs what is held.
-  void accept(Word word) {
-    const Peer* held = fellows_.find(word.name);
-    if (!held && !is_here(word.standing)) {
-      return fellows_.bury(word.name, word.incarnation);
+  // A update that outweighs what is held.
+  void apply_update(GossipUpdate update) {
+    const Peer* held = peers_.find(update.name);
+    if (!held && !is_member(update.state)) {
+      return peers_.add_tombstone(update.name, update.incarnation);
     }
-    const std::optional<Word> before = held ? std::optional(held->word) : std::nullopt;
+    const std::optional<GossipUpdate> before = held ? std::optional(held->update) : std::nullopt;
     // Who is there in our eyes gets the time to refute it: guards against one half's belief about the other
     // coming in at once when they meet again. Where it has been suspected for a while, a failure is taken as
     // told, so that all hear of a death soon after the first.
-    if (before && word.standing == Standing::failed && word.by != place_) {
-      if (before->standing == Standing::there) {
-        word.standing = Standing::suspected;
+    if (before && update.state == PeerState::failed && update.suspected_by != slot_) {
+      if (before->state == PeerState::alive) {
+        update.state = PeerState::suspected;
       }
-      if (before->standing == Standing::suspected && now_ - held->suspected < least() / 2) {
-        return doubt(*fellows_.find(word.name), word.by);
+      if (before->state == PeerState::suspected && now_ - held->suspected_at < min_suspicion() / 2) {
+        return confirm_suspicion(*peers_.find(update.name), update.suspected_by);
       }
     }
-    Peer& fellow = fellows_.take(word, now_);
-    if (word.standing == Standing::suspected && word.by.number >= 0) {
-      fellow.doubters.push_back(word.by);
+    Peer& peer = peers_.store(update, now_);
+    if (update.state == PeerState::suspected && update.suspected_by.number >= 0) {
+      peer.suspecters.push_back(update.suspected_by);
     }
-    spread(word);
-    const bool was_here = before && is_here(before->standing);
-    const bool here = is_here(word.standing);
-    if (!was_here && here) {
-      ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(random_() % (ring_.size() + 1)), word.name);
-      change(word, before ? Happening::back : Happening::joined);
+    disseminate(update);
+    const bool was_member = before && is_member(before->state);
+    const bool now_member = is_member(update.state);
+    if (!was_member && now_member) {
+      ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(random_() % (ring_.size() + 1)), update.name);
+      report_change(update, before ? PeerEvent::rejoined : PeerEvent::joined);
     }
-    if (was_here && here && before->place != word.place) {
-      change(word, Happening::moved);
+    if (was_member && now_member && before->slot != update.slot) {
+      report_change(update, PeerEvent::moved);
     }
-    if (word.standing == Standing::suspected && (!before || before->standing != Standing::suspected)) {
-      change(word, Happening::suspected);
+    if (update.state == PeerState::suspected && (!before || before->state != PeerState::suspected)) {
+      report_change(update, PeerEvent::suspected);
     }
-    if (word.standing == Standing::there && before && before->standing == Standing::suspected) {
-      change(word, Happening::cleared);
+    if (update.state == PeerState::alive && before && before->state == PeerState::suspected) {
+      report_change(update, PeerEvent::cleared);
     }
-    if (was_here && !here) {
-      change(word, word.standing == Standing::left ? Happening::left : Happening::failed);
+    if (was_member && !now_member) {
+      report_change(update, update.state == PeerState::left ? PeerEvent::left : PeerEvent::failed);
     }
   }
 
-  void hear_of_self(const Word& word) {
-    if (leaving_ || word.incarnation < incarnation_) {
+  void receive_update_of_self(const GossipUpdate& update) {
+    if (leaving_ || update.incarnation < incarnation_) {
       return;
     }
-    if (word.place != place_) {
-      if (is_here(word.standing)) {
-        return contest(word.place, word.incarnation);
+    if (update.slot != slot_) {
+      if (is_member(update.state)) {
+        return note_name_conflict(update.slot, update.incarnation);
       }
-      return rise(word.incarnation);
+      return raise_incarnation(update.incarnation);
     }
-    if (word.standing == Standing::there) {
+    if (update.state == PeerState::alive) {
       // Of a former life, whose clock was ahead of ours.
-      if (word.incarnation > incarnation_) {
-        rise(word.incarnation);
+      if (update.incarnation > incarnation_) {
+        raise_incarnation(update.incarnation);
       }
       return;
     }
-    rise(word.incarnation);
-    if (word.standing == Standing::left) {
+    raise_incarnation(update.incarnation);
+    if (update.state == PeerState::left) {
       return;  // the former life's farewell
     }
-    health_ = std::min(kWorst, health_ + 1);
-    found(Finding::refuted, word.by);
+    health_ = std::min(kMaxHealthScore, health_ + 1);
+    report(SelfEvent::refuted, update.suspected_by);
   }
 
-  void rise(Incarnation above) {
+  void raise_incarnation(Incarnation above) {
     incarnation_.number = std::max(incarnation_.number, above.number) + 1;
-    spread(self());
+    disseminate(self());
   }
 
-  // Another process with this front's name.
+  // Another process with this instance's name.
 
-  void contest(SlotId place, Incarnation incarnation) {
-    if (rival_ && rival_->place == place) {
-      rival_->incarnation = std::max(rival_->incarnation, incarnation);
+  void note_name_conflict(SlotId slot, Incarnation incarnation) {
+    if (name_conflict_ && name_conflict_->slot == slot) {
+      name_conflict_->incarnation = std::max(name_conflict_->incarnation, incarnation);
       return;
     }
-    rival_ = Rival{place, incarnation, 0, now_};
-    found(Finding::contested, place);
+    name_conflict_ = NameConflict{slot, incarnation, 0, now_};
+    report(SelfEvent::name_contested, slot);
   }
 
   // Of two live processes with one name the one that was started later yields; with the same start, the one
   // that stands further back in the list. Both go by what the other says of itself, so one yields, not both.
-  void meet_rival(const Message& message) {
+  void resolve_name_conflict(const Message& message) {
     if (leaving_) {
       return;
     }
-    if (std::pair(message.born, message.place) < std::pair(born_, place_)) {
+    if (std::pair(message.started_at, message.slot) < std::pair(started_at_, slot_)) {
       if (!std::exchange(yielded_, true)) {
-        found(Finding::yields, message.place);
+        report(SelfEvent::name_yielded, message.slot);
       }
-      rival_ = Rival{message.place, message.incarnation, 0, now_ + kPacesOfYield * charge_.pace};
+      name_conflict_ =
+          NameConflict{message.slot, message.incarnation, 0, now_ + kNameConflictRetryPaces * options_.pace};
       return;
     }
-    rival_.reset();
+    name_conflict_.reset();
     if (message.incarnation >= incarnation_) {
-      rise(message.incarnation);
+      raise_incarnation(message.incarnation);
     }
     if (message.kind == Kind::ping) {
-      tell(message.place, Kind::ack, message.number);
+      send(message.slot, Kind::ack, message.sequence);
     }
   }
 
-  void contend() {
-    if (!rival_ || now_ < rival_->next) {
+  void probe_name_conflict() {
+    if (!name_conflict_ || now_ < name_conflict_->next) {
       return;
     }
-    if (rival_->tries++ < kTries) {
-      rival_->next = now_ + charge_.pace;
-      return tell(rival_->place, Kind::ping, ++number_);
+    if (name_conflict_->tries++ < kNameConflictTries) {
+      name_conflict_->next = now_ + options_.pace;
+      return send(name_conflict_->slot, Kind::ping, ++sequence_);
     }
     // Nobody is there any more under this name: it has moved here.
-    const Rival gone = *std::exchange(rival_, std::nullopt);
+    const NameConflict gone = *std::exchange(name_conflict_, std::nullopt);
     yielded_ = false;
-    rise(gone.incarnation);
-    found(Finding::claims, gone.place);
+    raise_incarnation(gone.incarnation);
+    report(SelfEvent::name_claimed, gone.slot);
   }
 
   // Probes.
 
-  [[nodiscard]] Millis stretched(Millis span) const { return span * (1 + health_); }
+  [[nodiscard]] Millis scaled_by_health(Millis duration) const { return duration * (1 + health_); }
 
   void probe() {
-    if (probe_ && !probe_->asked && now_ >= probe_->sent + stretched(charge_.timeout)) {
-      probe_->asked = true;
-      for (const SlotId helper : some(kHelpers, probe_->place)) {
+    if (probe_ && !probe_->indirect_sent && now_ >= probe_->sent + scaled_by_health(options_.timeout)) {
+      probe_->indirect_sent = true;
+      for (const SlotId helper : random_members(kIndirectProbers, probe_->slot)) {
         ++probe_->helpers;
-        tell(helper, Kind::ask, probe_->number, [this](Message& ask) { ask.about = probe_->place; });
+        send(helper, Kind::ping_req, probe_->number,
+             [this](Message& ping_req) { ping_req.target = probe_->slot; });
       }
     }
     if (now_ < next_probe_) {
       return;
     }
     if (probe_) {
-      unanswered(*std::exchange(probe_, std::nullopt));
+      handle_probe_timeout(*std::exchange(probe_, std::nullopt));
     }
-    next_probe_ = now_ + stretched(charge_.pace);
-    const Peer* next = next_in_turn();
+    next_probe_ = now_ + scaled_by_health(options_.pace);
+    const Peer* next = next_probe_target();
     if (!next) {
       return;
     }
-    const Word word = next->word;
-    ask(word.place, word.standing == Standing::suspected ? &word : nullptr);
-    probe_ = Probe{word.name, word.place, number_, now_};
+    const GossipUpdate update = next->update;
+    ping(update.slot, update.state == PeerState::suspected ? &update : nullptr);
+    probe_ = Probe{update.name, update.slot, sequence_, now_};
   }
 
   // A question whether somebody is there; who is suspected is told so with it.
-  void ask(SlotId place, const Word* word = nullptr) {
-    asked_[++asked_last_ % asked_.size()] = {++number_, place};
-    tell(place, Kind::ping, number_, [&](Message& ping) {
-      if (word) {
-        ping.words.push_back(*word);
+  void ping(SlotId slot, const GossipUpdate* update = nullptr) {
+    recent_pings_[++last_ping_ % recent_pings_.size()] = {++sequence_, slot};
+    send(slot, Kind::ping, sequence_, [&](Message& ping) {
+      if (update) {
+        ping.updates.push_back(*update);
       }
     });
   }
 
-  void unanswered(const Probe& probe) {
+  void handle_probe_timeout(const Probe& probe) {
     // Helpers that said nothing either speak against ourselves.
     const int silent = probe.helpers > 0 ? probe.helpers - probe.nacks : 1;
-    health_ = std::clamp(health_ + silent, 0, kWorst);
-    const Peer* fellow = fellows_.find(probe.name);
-    if (!fellow || !is_here(fellow->word.standing)) {
+    health_ = std::clamp(health_ + silent, 0, kMaxHealthScore);
+    const Peer* peer = peers_.find(probe.name);
+    if (!peer || !is_member(peer->update.state)) {
       return;
     }
-    Word word = fellow->word;
-    word.standing = Standing::suspected, word.by = place_;
-    learn(word);
+    GossipUpdate update = peer->update;
+    update.state = PeerState::suspected, update.suspected_by = slot_;
+    receive_update(update);
   }
 
   // All in turn, in an order of chance that is drawn anew each round (SWIM's bounded time to a first probe).
-  const Peer* next_in_turn() {
+  const Peer* next_probe_target() {
     for (std::size_t tries = 0; tries <= ring_.size(); ++tries) {
-      if (turn_ >= ring_.size()) {
-        turn_ = 0;
+      if (ring_position_ >= ring_.size()) {
+        ring_position_ = 0;
         ring_.clear();
-        for (const auto& [name, fellow] : fellows_.all()) {
-          if (is_here(fellow.word.standing)) {
+        for (const auto& [name, peer] : peers_.all()) {
+          if (is_member(peer.update.state)) {
             ring_.push_back(name);
           }
         }
@@ -506,289 +512,295 @@
       if (ring_.empty()) {
         return nullptr;
       }
-      const Peer* next = fellows_.find(ring_[turn_++]);
-      if (next && is_here(next->word.standing)) {
+      const Peer* next = peers_.find(ring_[ring_position_++]);
+      if (next && is_member(next->update.state)) {
         return next;
       }
     }
     return nullptr;
   }
 
-  // Places of fellows that are here, drawn by chance, without one.
-  std::vector<SlotId> some(int count, SlotId without) {
-    std::vector<SlotId> places;
-    for (int tries = 0; tries < 4 * count && !ring_.empty() && std::ssize(places) < count; ++tries) {
-      const Peer* drawn = fellows_.find(ring_[random_() % ring_.size()]);
-      if (drawn && is_here(drawn->word.standing) && drawn->word.place != without &&
-          !std::ranges::count(places, drawn->word.place)) {
-        places.push_back(drawn->word.place);
+  // Places of peers that are here, drawn by chance, without one.
+  std::vector<SlotId> random_members(int count, SlotId without) {
+    std::vector<SlotId> slots;
+    for (int tries = 0; tries < 4 * count && !ring_.empty() && std::ssize(slots) < count; ++tries) {
+      const Peer* drawn = peers_.find(ring_[random_() % ring_.size()]);
+      if (drawn && is_member(drawn->update.state) && drawn->update.slot != without &&
+          !std::ranges::count(slots, drawn->update.slot)) {
+        slots.push_back(drawn->update.slot);
       }
     }
-    return places;
+    return slots;
   }
 
-  void take_errand(const Message& message) {
-    if (message.about.number >= charge_.places || message.about == place_ || errands_.size() >= kErrands) {
+  void start_indirect_probe(const Message& message) {
+    if (message.target.number >= options_.slots || message.target == slot_ ||
+        indirect_probes_.size() >= kMaxIndirectProbes) {
       return;
     }
-    errands_.push_back(
-        {message.place, message.about, message.number, ++number_, now_ + charge_.timeout * kNackAfter});
-    tell(message.about, Kind::ping, number_);
+    indirect_probes_.push_back({message.slot, message.target, message.sequence, ++sequence_,
+                                now_ + options_.timeout * kNackTimeoutShare});
+    send(message.target, Kind::ping, sequence_);
   }
 
-  void run_errands() {
-    std::erase_if(errands_, [this](const Errand& errand) {
-      if (now_ < errand.until) {
+  void expire_indirect_probes() {
+    std::erase_if(indirect_probes_, [this](const IndirectProbe& indirect) {
+      if (now_ < indirect.until) {
         return false;
       }
-      tell(errand.of, Kind::nack, errand.number_of);
+      send(indirect.requester, Kind::nack, indirect.requester_sequence);
       return true;
     });
   }
 
   // Ends suspicions. The fewer others share one, the longer it lasts: then it may be ourselves.
-  void judge() {
-    std::vector<Word> failed;
-    for (const std::string& name : fellows_.suspects()) {
-      if (const Peer& fellow = *fellows_.find(name); now_ >= ends(fellow)) {
-        failed.push_back(fellow.word);
+  void expire_suspicions() {
+    std::vector<GossipUpdate> failed;
+    for (const std::string& name : peers_.suspects()) {
+      if (const Peer& peer = *peers_.find(name); now_ >= suspicion_deadline(peer)) {
+        failed.push_back(peer.update);
       }
     }
-    for (Word& word : failed) {
-      word.standing = Standing::failed, word.by = place_;
-      accept(word);
+    for (GossipUpdate& update : failed) {
+      update.state = PeerState::failed, update.suspected_by = slot_;
+      apply_update(update);
     }
   }
 
-  [[nodiscard]] Millis least() const {
-    return charge_.suspicion_multiplier * std::max(1.0, std::log10(fellows_.here() + 1)) * charge_.pace;
+  [[nodiscard]] Millis min_suspicion() const {
+    return options_.suspicion_multiplier * std::max(1.0, std::log10(peers_.member_count() + 1)) *
+           options_.pace;
   }
 
-  [[nodiscard]] Millis ends(const Peer& fellow) const {
-    const double here = fellows_.here() + 1;
-    const Millis least = this->least();
-    const double others = std::min<double>(kSure, here - 3);
+  [[nodiscard]] Millis suspicion_deadline(const Peer& peer) const {
+    const double here = peers_.member_count() + 1;
+    const Millis min_suspicion = this->min_suspicion();
+    const double others = std::min<double>(kMaxSuspecters, here - 3);
     if (others < 1) {
-      return fellow.suspected + least;
+      return peer.suspected_at + min_suspicion;
     }
     const double shared =
-        std::log(std::max<double>(1, static_cast<double>(fellow.doubters.size()))) / std::log(others + 1);
-    return fellow.suspected + std::max(least, kLongest * least - (kLongest - 1) * least * shared);
+        std::log(std::max<double>(1, static_cast<double>(peer.suspecters.size()))) / std::log(others + 1);
+    return peer.suspected_at +
+           std::max(min_suspicion,
+                    kMaxSuspicionFactor * min_suspicion - (kMaxSuspicionFactor - 1) * min_suspicion * shared);
   }
 
-  // Asks at places where nobody is held to be: at the start, and so that those who were cut off, or have come
+  // Asks at slots where nobody is held to be: at the start, and so that those who were cut off, or have come
   // to the list anew, are found.
-  void seek() {
-    if (now_ < next_seek_) {
+  void ping_empty_slots() {
+    if (now_ < next_empty_slot_ping_) {
       return;
     }
-    const bool alone = fellows_.here() == 0;
-    next_seek_ = now_ + charge_.pace * (alone ? 1 : kPacesOfSeek);
-    int asks = alone ? kHelpers : 1;
-    const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, charge_.places)));
-    for (int step = 0; step < charge_.places && asks > 0; ++step) {
-      const SlotId place{(first + step) % charge_.places};
-      if (place == place_ || fellows_.at(place)) {
+    const bool alone = peers_.member_count() == 0;
+    next_empty_slot_ping_ = now_ + options_.pace * (alone ? 1 : kEmptySlotPingPaces);
+    int asks = alone ? kIndirectProbers : 1;
+    const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, options_.slots)));
+    for (int step = 0; step < options_.slots && asks > 0; ++step) {
+      const SlotId slot{(first + step) % options_.slots};
+      if (slot == slot_ || peers_.at(slot)) {
         continue;
       }
       --asks;
-      ask(place);
+      ping(slot);
     }
   }
 
-  // Where two fronts differ: sums of all they hold, then of the parts whose sums are not the same, down to
-  // words (the hash tree of Dynamo, DeCandia et al. 2007).
+  // Where two instances differ: sums of all they hold, then of the parts whose sums are not the same, down to
+  // updates (the hash tree of Dynamo, DeCandia et al. 2007).
 
-  void compare() {
-    if (now_ >= next_compare_) {
-      next_compare_ = now_ + charge_.pace * kPacesOfCompare;
-      if (const auto with = some(1, place_); !with.empty()) {
+  void start_anti_entropy() {
+    if (now_ >= next_anti_entropy_) {
+      next_anti_entropy_ = now_ + options_.pace * kAntiEntropyPaces;
+      if (const auto with = random_members(1, slot_); !with.empty()) {
         send_digest(with.front(), {});
       }
     }
-    if (const auto with = std::exchange(differ_with_, std::nullopt)) {
+    if (const auto with = std::exchange(sync_with_, std::nullopt)) {
       send_digest(*with, {});
     }
   }
 
   void send_digest(SlotId to, Range range) {
-    tell(to, Kind::digest, 0, [&](Message& digest) {
+    send(to, Kind::digest, 0, [&](Message& digest) {
       digest.range = range;
-      digest.sums = fellows_.sums(range, self());
+      digest.digests = peers_.digests(range, self());
     });
   }
 
-  void answer_digest(const Message& message) {
-    const std::vector<std::uint32_t> sums = fellows_.sums(message.range, self());
-    const unsigned first = random_() % kFan;
-    for (unsigned step = 0; step < kFan && spare_ > 0; ++step) {
-      const unsigned part = (first + step) % kFan;
-      if (sums[part] == message.sums[part]) {
+  void handle_digest(const Message& message) {
+    const std::vector<std::uint32_t> digests = peers_.digests(message.range, self());
+    const unsigned first = random_() % kDigestFanOut;
+    for (unsigned step = 0; step < kDigestFanOut && anti_entropy_budget_ > 0; ++step) {
+      const unsigned part = (first + step) % kDigestFanOut;
+      if (digests[part] == message.digests[part]) {
         continue;
       }
-      --spare_;
-      send_range(message.place, {message.range.depth + 1, message.range.prefix << 4 | part}, false);
+      --anti_entropy_budget_;
+      send_range(message.slot, {message.range.depth + 1, message.range.prefix << 4 | part}, false);
     }
   }
 
-  void answer_words(const Message& message) {
-    if (spare_ <= 0) {
+  void handle_updates(const Message& message) {
+    if (anti_entropy_budget_ <= 0) {
       return;
     }
-    --spare_;
-    send_range(message.place, message.range, true, &message.words);
+    --anti_entropy_budget_;
+    send_range(message.slot, message.range, true, &message.updates);
   }
 
-  // Words on all in the range but those that the other has told the same; sums where they are too many.
-  void send_range(SlotId to, Range range, bool answer, const std::vector<Word>* told = nullptr) {
-    auto words = fellows_.words(range, self(), kOfRange);
-    if (!words && range.depth < kDeepest) {
+  // Updates on all in the range but those that the other has told the same; sums where they are too many.
+  void send_range(SlotId to, Range range, bool is_reply, const std::vector<GossipUpdate>* sent = nullptr) {
+    auto updates = peers_.updates(range, self(), kMaxUpdatesOfRange);
+    if (!updates && range.depth < kMaxDigestDepth) {
       return send_digest(to, range);
     }
-    if (!words) {
+    if (!updates) {
       return;
     }
-    if (told) {
-      std::erase_if(*words, [&](const Word& word) {
-        return std::ranges::any_of(*told, [&](const Word& other) {
-          return other.name == word.name && other.incarnation == word.incarnation &&
-                 other.standing == word.standing;
+    if (sent) {
+      std::erase_if(*updates, [&](const GossipUpdate& update) {
+        return std::ranges::any_of(*sent, [&](const GossipUpdate& other) {
+          return other.name == update.name && other.incarnation == update.incarnation &&
+                 other.state == update.state;
         });
       });
     }
-    if (answer && words->empty()) {
+    if (is_reply && updates->empty()) {
       return;
     }
-    tell(to, Kind::words, 0, [&](Message& message) {
-      message.range = range, message.answer = answer;
-      message.words = std::move(*words);
+    send(to, Kind::updates, 0, [&](Message& message) {
+      message.range = range, message.is_reply = is_reply;
+      message.updates = std::move(*updates);
     });
   }
 
   // What goes out.
 
-  [[nodiscard]] Word self() const { return {charge_.name, place_, Standing::there, incarnation_, {}}; }
+  [[nodiscard]] GossipUpdate self() const {
+    return {options_.name, slot_, PeerState::alive, incarnation_, {}};
+  }
 
-  void spread(const Word& word) { news_[word.name] = {word, 0}; }
+  void disseminate(const GossipUpdate& update) { queue_[update.name] = {update, 0}; }
 
   // The news sent least often go along, behind what the message itself has to say.
   template <typename Fill>
-  void tell(SlotId to, Kind kind, std::uint32_t number, Fill fill) {
+  void send(SlotId to, Kind kind, std::uint32_t number, Fill fill) {
     Message message;
-    message.kind = kind, message.number = number, message.name = charge_.name, message.place = place_;
-    message.incarnation = incarnation_, message.born = born_, message.leaving = leaving_;
+    message.kind = kind, message.sequence = number, message.name = options_.name, message.slot = slot_;
+    message.incarnation = incarnation_, message.started_at = started_at_, message.leaving = leaving_;
     fill(message);
-    const std::size_t own = message.words.size();
-    std::vector<News*> news;
-    for (auto& [name, one] : news_) {
-      news.push_back(&one);
-    }
-    std::ranges::stable_sort(news, {}, &News::sent);
-    if (news.size() > kMostWords) {
-      news.resize(kMostWords);
-    }
-    for (const News* one : news) {
-      message.words.push_back(one->word);
-    }
-    std::size_t told = 0;
-    decisions_.push_back(SendDatagram{to, bytes_of(message, told)});
-    const int most = static_cast<int>(std::ceil(kSentOn * std::log10(fellows_.here() + 2)));
-    for (std::size_t at = own; at < told; ++at) {
-      if (News* one = news[at - own]; ++one->sent >= most) {
-        news_.erase(std::string(one->word.name));
+    const std::size_t own = message.updates.size();
+    std::vector<QueuedUpdate*> queued;
+    for (auto& [name, one] : queue_) {
+      queued.push_back(&one);
+    }
+    std::ranges::stable_sort(queued, {}, &QueuedUpdate::sent);
+    if (queued.size() > kMaxUpdates) {
+      queued.resize(kMaxUpdates);
+    }
+    for (const QueuedUpdate* one : queued) {
+      message.updates.push_back(one->update);
+    }
+    std::size_t sent = 0;
+    decisions_.push_back(SendDatagram{to, encode(message, sent)});
+    const int most = static_cast<int>(std::ceil(kRetransmitFactor * std::log10(peers_.member_count() + 2)));
+    for (std::size_t at = own; at < sent; ++at) {
+      if (QueuedUpdate* one = queued[at - own]; ++one->sent >= most) {
+        queue_.erase(std::string(one->update.name));
       }
     }
   }
-  void tell(SlotId to, Kind kind, std::uint32_t number) {
-    tell(to, kind, number, [](Message&) {});
+  void send(SlotId to, Kind kind, std::uint32_t number) {
+    send(to, kind, number, [](Message&) {});
   }
 
-  void change(const Word& word, Happening happening) {
+  void report_change(const GossipUpdate& update, PeerEvent event) {
     ++version_;
-    decisions_.push_back(Change{word.name, word.place, happening, word.incarnation});
+    decisions_.push_back(PeerChanged{update.name, update.slot, event, update.incarnation});
   }
-  void found(Finding finding, SlotId place, Millis span = 0) {
-    decisions_.push_back(Found{finding, place, span});
+  void report(SelfEvent event, SlotId slot, Millis duration = 0) {
+    decisions_.push_back(SelfReport{event, slot, duration});
   }
 
-  void wake() {
+  void schedule_wakeup() {
     Millis next = kNever;
     const auto at = [&next](Millis when) { next = std::min(next, when); };
     if (!leaving_) {
-      if (rival_) {
-        at(rival_->next);
+      if (name_conflict_) {
+        at(name_conflict_->next);
       }
       if (!yielded_) {
-        at(next_probe_), at(next_seek_), at(next_compare_);
-        if (probe_ && !probe_->asked) {
-          at(probe_->sent + stretched(charge_.timeout));
+        at(next_probe_), at(next_empty_slot_ping_), at(next_anti_entropy_);
+        if (probe_ && !probe_->indirect_sent) {
+          at(probe_->sent + scaled_by_health(options_.timeout));
         }
-        for (const Errand& errand : errands_) {
-          at(errand.until);
+        for (const IndirectProbe& indirect : indirect_probes_) {
+          at(indirect.until);
         }
       }
     }
-    for (const std::string& name : fellows_.suspects()) {
-      at(ends(*fellows_.find(name)));
+    for (const std::string& name : peers_.suspects()) {
+      at(suspicion_deadline(*peers_.find(name)));
     }
     // Alone with its farewell it still minds its clock, so that a gap can be told from quiet.
-    wake_ = std::max(now_, std::min(next, now_ + charge_.pace));
-    decisions_.push_back(RequestWakeup{wake_});
+    wakeup_ = std::max(now_, std::min(next, now_ + options_.pace));
+    decisions_.push_back(RequestWakeup{wakeup_});
   }
 
-  double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
+  double random_fraction() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
-  Options charge_;
-  const SlotId place_ = charge_.place;
+  Options options_;
+  const SlotId slot_ = options_.slot;
   std::minstd_rand random_;
   std::vector<Event> events_;
   std::vector<Decision> decisions_;
-  PeerTable fellows_;
+  PeerTable peers_;
   std::vector<std::string> ring_;  // who is probed in turn
-  std::size_t turn_ = 0;
-  std::map<std::string, News> news_;
+  std::size_t ring_position_ = 0;
+  std::map<std::string, QueuedUpdate> queue_;
   std::optional<Probe> probe_;
-  std::vector<Errand> errands_;
-  std::optional<Rival> rival_;
-  std::optional<SlotId> differ_with_;
-  std::array<std::pair<std::uint32_t, SlotId>, 16> asked_{};  // this front's last questions
-  std::size_t asked_last_ = 0;
-  std::vector<int> heard_of_;  // datagrams of each place in this pace
+  std::vector<IndirectProbe> indirect_probes_;
+  std::optional<NameConflict> name_conflict_;
+  std::optional<SlotId> sync_with_;
+  std::array<std::pair<std::uint32_t, SlotId>, 16> recent_pings_{};  // this instance's last questions
+  std::size_t last_ping_ = 0;
+  std::vector<int> datagrams_from_;  // datagrams of each slot in this pace
   Dropped dropped_;
   Incarnation incarnation_;
-  std::uint64_t born_ = 0, version_ = 0;
-  std::uint32_t number_ = 0;
-  int health_ = 0, spare_ = kSpare;
+  std::uint64_t started_at_ = 0, version_ = 0;
+  std::uint32_t sequence_ = 0;
+  int health_ = 0, anti_entropy_budget_ = kAntiEntropyBudget;
   bool leaving_ = false, yielded_ = false;
-  Millis now_ = 0, wake_ = 0;
-  Millis next_probe_ = 0, next_seek_ = 0, next_compare_ = 0, next_count_ = 0;
+  Millis now_ = 0, wakeup_ = 0;
+  Millis next_probe_ = 0, next_empty_slot_ping_ = 0, next_anti_entropy_ = 0, next_rate_window_ = 0;
 };
 
 }  // namespace
 
-const char* word_of(Standing standing) {
-  constexpr const char* words[] = {"there", "suspected", "failed", "left"};
-  return words[static_cast<int>(standing)];
+const char* word_of(PeerState state) {
+  constexpr const char* updates[] = {"there", "suspected", "failed", "left"};
+  return updates[static_cast<int>(state)];
 }
 
-const char* word_of(Happening happening) {
-  constexpr const char* words[] = {"joined", "suspected", "cleared", "failed",
-                                   "left",   "back",      "moved",   "forgotten"};
-  return words[static_cast<int>(happening)];
+const char* word_of(PeerEvent event) {
+  constexpr const char* updates[] = {"joined", "suspected", "cleared", "failed",
+                                     "left",   "back",      "moved",   "forgotten"};
+  return updates[static_cast<int>(event)];
 }
 
-std::set<SlotId> there_in(const View& view) {
+std::set<SlotId> alive_peers(const View& view) {
   std::set<SlotId> there;
-  for (const PeerView& fellow : view.fellows) {
-    if (fellow.standing == Standing::there) {
-      there.insert(fellow.place);
+  for (const PeerView& peer : view.peers) {
+    if (peer.state == PeerState::alive) {
+      there.insert(peer.slot);
     }
   }
   return there;
 }
 
-std::unique_ptr<Membership> make_membership(const Options& charge, std::uint64_t seed) {
-  return std::make_unique<Watch>(charge, seed);
+std::unique_ptr<Membership> make_membership(const Options& options, std::uint64_t seed) {
+  return std::make_unique<MembershipImpl>(options, seed);
 }
 
 }  // namespace reedspindle::membership
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -16,7 +16,7 @@
 constexpr int kForm = 1;
 constexpr std::size_t kElements = 10;
 
-std::optional<SlotId> place_in(const Json& json) {
+std::optional<SlotId> decode_slot(const Json& json) {
   const auto number = decode_unsigned(json, kMaxSlots - 1);
   if (!number) {
     return std::nullopt;
@@ -24,44 +24,44 @@
   return SlotId{static_cast<int>(*number)};
 }
 
-std::optional<std::string> name_in(const Json& json) {
+std::optional<std::string> decode_name(const Json& json) {
   if (!json.is_string() || !is_name(json.get_ref<const std::string&>())) {
     return std::nullopt;
   }
   return json.get<std::string>();
 }
 
-Json json_of(const Word& word) {
-  Json json = {word.name, word.place.number, static_cast<int>(word.standing), word.incarnation.number};
-  if (word.by.number >= 0) {
-    json.push_back(word.by.number);
+Json encode_update(const GossipUpdate& update) {
+  Json json = {update.name, update.slot.number, static_cast<int>(update.state), update.incarnation.number};
+  if (update.suspected_by.number >= 0) {
+    json.push_back(update.suspected_by.number);
   }
   return json;
 }
 
-std::optional<Word> word_in(const Json& json) {
+std::optional<GossipUpdate> decode_update(const Json& json) {
   if (!json.is_array() || json.size() < 4 || json.size() > 5) {
     return std::nullopt;
   }
-  const auto name = name_in(json[0]);
-  const auto place = place_in(json[1]);
-  const auto standing = decode_unsigned(json[2], static_cast<int>(Standing::left));
+  const auto name = decode_name(json[0]);
+  const auto slot = decode_slot(json[1]);
+  const auto state = decode_unsigned(json[2], static_cast<int>(PeerState::left));
   const auto incarnation = decode_unsigned(json[3], std::numeric_limits<std::uint64_t>::max() >> 1);
-  const auto by = json.size() == 5 ? place_in(json[4]) : std::optional<SlotId>(SlotId{});
-  if (!name || !place || !standing || !incarnation || !by) {
+  const auto suspected_by = json.size() == 5 ? decode_slot(json[4]) : std::optional<SlotId>(SlotId{});
+  if (!name || !slot || !state || !incarnation || !suspected_by) {
     return std::nullopt;
   }
-  return Word{*name, *place, static_cast<Standing>(*standing), {*incarnation}, *by};
+  return GossipUpdate{*name, *slot, static_cast<PeerState>(*state), {*incarnation}, *suspected_by};
 }
 
 // A range as [depth, prefix, sums]; the sums as one text of bytes, four to each.
-Json range_of(const Message& message) {
+Json encode_range(const Message& message) {
   Json json = {message.range.depth, message.range.prefix};
   if (message.kind != Kind::digest) {
     return json;
   }
   std::vector<std::uint8_t> bytes;
-  for (const std::uint32_t sum : message.sums) {
+  for (const std::uint32_t sum : message.digests) {
     for (const int shift : {24, 16, 8, 0}) {
       bytes.push_back(static_cast<std::uint8_t>(sum >> shift));
     }
@@ -70,12 +70,12 @@
   return json;
 }
 
-bool read_range(const Json& json, Message& into) {
+bool decode_range(const Json& json, Message& into) {
   const bool digest = into.kind == Kind::digest;
   if (!json.is_array() || json.size() != (digest ? 3 : 2)) {
     return false;
   }
-  const auto depth = decode_unsigned(json[0], kDeepest);
+  const auto depth = decode_unsigned(json[0], kMaxDigestDepth);
   const auto prefix = decode_unsigned(json[1], std::numeric_limits<std::uint64_t>::max());
   if (!depth || !prefix || (*prefix >> (4 * *depth)) != 0) {
     return false;
@@ -84,48 +84,48 @@
   if (!digest) {
     return true;
   }
-  if (!json[2].is_binary() || json[2].get_binary().size() != 4 * kFan) {
+  if (!json[2].is_binary() || json[2].get_binary().size() != 4 * kDigestFanOut) {
     return false;
   }
   const auto& bytes = json[2].get_binary();
   for (std::size_t at = 0; at < bytes.size(); at += 4) {
-    into.sums.push_back(std::uint32_t{bytes[at]} << 24 | std::uint32_t{bytes[at + 1]} << 16 |
-                        std::uint32_t{bytes[at + 2]} << 8 | bytes[at + 3]);
+    into.digests.push_back(std::uint32_t{bytes[at]} << 24 | std::uint32_t{bytes[at + 1]} << 16 |
+                           std::uint32_t{bytes[at + 2]} << 8 | bytes[at + 3]);
   }
   return true;
 }
 
-bool has_range(Kind kind) { return kind == Kind::digest || kind == Kind::words; }
+bool has_range(Kind kind) { return kind == Kind::digest || kind == Kind::updates; }
 
 }  // namespace
 
 bool is_name(std::string_view text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaxNameBytes &&
          text.find_first_not_of("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-") ==
              std::string_view::npos;
 }
 
 bool is_membership_message(std::string_view bytes) { return bytes.starts_with(kLetter); }
 
-std::string bytes_of(const Message& message, std::size_t& told) {
+std::string encode(const Message& message, std::size_t& told) {
   Json json = {kForm,
                static_cast<int>(message.kind),
-               message.number,
+               message.sequence,
                message.name,
-               message.place.number,
+               message.slot.number,
                message.incarnation.number,
-               message.born,
-               (message.leaving ? 1 : 0) | (message.answer ? 2 : 0)};
-  json.push_back(message.kind == Kind::ask ? Json(message.about.number)
-                 : has_range(message.kind) ? range_of(message)
-                                           : Json());
+               message.started_at,
+               (message.leaving ? 1 : 0) | (message.is_reply ? 2 : 0)};
+  json.push_back(message.kind == Kind::ping_req ? Json(message.target.number)
+                 : has_range(message.kind)      ? encode_range(message)
+                                                : Json());
   json.push_back(Json::array());
   std::size_t size = 1 + Json::to_cbor(json).size();
   told = 0;
-  for (const Word& word : message.words) {
-    Json one = json_of(word);
+  for (const GossipUpdate& update : message.updates) {
+    Json one = encode_update(update);
     size += Json::to_cbor(one).size();
-    if (size > kMaxDatagramBytes || told == kMostWords) {
+    if (size > kMaxDatagramBytes || told == kMaxUpdates) {
       break;
     }
     json.back().push_back(std::move(one));
@@ -134,44 +134,44 @@
   return encode_datagram(kLetter, json);
 }
 
-std::optional<Message> message_in(std::string_view bytes) {
+std::optional<Message> decode(std::string_view bytes) {
   const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
   if (!array || (*array)[0] != kForm || !(*array)[9].is_array()) {
     return std::nullopt;
   }
   const Json& head = *array;
   Message message;
-  const auto kind = decode_unsigned(head[1], static_cast<int>(Kind::words));
+  const auto kind = decode_unsigned(head[1], static_cast<int>(Kind::updates));
   const auto number = decode_unsigned(head[2], std::numeric_limits<std::uint32_t>::max());
-  const auto name = name_in(head[3]);
-  const auto place = place_in(head[4]);
+  const auto name = decode_name(head[3]);
+  const auto slot = decode_slot(head[4]);
   constexpr std::uint64_t kMost = std::numeric_limits<std::uint64_t>::max() >> 1;
   const auto incarnation = decode_unsigned(head[5], kMost);
-  const auto born = decode_unsigned(head[6], kMost);
+  const auto started_at = decode_unsigned(head[6], kMost);
   const auto flags = decode_unsigned(head[7], 3);
-  if (!kind || !number || !name || !place || !incarnation || !born || !flags) {
+  if (!kind || !number || !name || !slot || !incarnation || !started_at || !flags) {
     return std::nullopt;
   }
   message.kind = static_cast<Kind>(*kind);
-  message.number = static_cast<std::uint32_t>(*number);
-  message.name = *name, message.place = *place;
-  message.incarnation = {*incarnation}, message.born = *born;
-  message.leaving = *flags & 1, message.answer = *flags & 2;
-  if (message.kind == Kind::ask) {
-    const auto about = place_in(head[8]);
+  message.sequence = static_cast<std::uint32_t>(*number);
+  message.name = *name, message.slot = *slot;
+  message.incarnation = {*incarnation}, message.started_at = *started_at;
+  message.leaving = *flags & 1, message.is_reply = *flags & 2;
+  if (message.kind == Kind::ping_req) {
+    const auto about = decode_slot(head[8]);
     if (!about) {
       return std::nullopt;
     }
-    message.about = *about;
-  } else if (has_range(message.kind) ? !read_range(head[8], message) : !head[8].is_null()) {
+    message.target = *about;
+  } else if (has_range(message.kind) ? !decode_range(head[8], message) : !head[8].is_null()) {
     return std::nullopt;
   }
   for (const Json& one : head[9]) {
-    const auto word = word_in(one);
-    if (!word) {
+    const auto update = decode_update(one);
+    if (!update) {
       return std::nullopt;
     }
-    message.words.push_back(*word);
+    message.updates.push_back(*update);
   }
   return message;
 }
--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -1,6 +1,6 @@
 #include "membership/peer_table.hpp"
 
-// Only in here, from the header alone: the front needs no library at run time for it.
+// Only in here, from the header alone: the instance needs no library at run time for it.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -16,130 +16,131 @@
 }
 
 // The suspected count as there: who suspects whom changes too often to be compared.
-std::uint32_t sum_of(const Word& word) {
-  const std::uint64_t parts[] = {hash_of(word.name), static_cast<std::uint64_t>(word.place.number),
-                                 is_here(word.standing) ? 1U : 0U, word.incarnation.number};
+std::uint32_t digest_of(const GossipUpdate& update) {
+  const std::uint64_t parts[] = {hash_of(update.name), static_cast<std::uint64_t>(update.slot.number),
+                                 is_member(update.state) ? 1U : 0U, update.incarnation.number};
   return static_cast<std::uint32_t>(XXH3_64bits(parts, sizeof parts));
 }
 
 }  // namespace
 
-bool is_here(Standing standing) { return standing == Standing::there || standing == Standing::suspected; }
+bool is_member(PeerState state) { return state == PeerState::alive || state == PeerState::suspected; }
 
-PeerTable::Weight PeerTable::weigh(const Word& word) const {
-  const Peer* held = find(word.name);
+PeerTable::Precedence PeerTable::precedence_of(const GossipUpdate& update) const {
+  const Peer* held = find(update.name);
   if (!held) {
-    const auto grave = graves_.find(word.name);
-    if (grave != graves_.end() && word.incarnation <= grave->second) {
-      return Weight::old;
+    const auto tombstone = tombstones_.find(update.name);
+    if (tombstone != tombstones_.end() && update.incarnation <= tombstone->second) {
+      return Precedence::older;
     }
     // Guards against names without end.
-    return static_cast<int>(fellows_.size()) < most_ ? Weight::news : Weight::old;
+    return static_cast<int>(peers_.size()) < max_peers_ ? Precedence::newer : Precedence::older;
   }
-  if (word.incarnation != held->word.incarnation) {
-    return word.incarnation > held->word.incarnation ? Weight::news : Weight::old;
+  if (update.incarnation != held->update.incarnation) {
+    return update.incarnation > held->update.incarnation ? Precedence::newer : Precedence::older;
   }
-  if (word.standing > held->word.standing) {
-    return Weight::news;
+  if (update.state > held->update.state) {
+    return Precedence::newer;
   }
-  if (word.standing < held->word.standing) {
-    return Weight::old;
+  if (update.state < held->update.state) {
+    return Precedence::older;
   }
-  return word.standing == Standing::suspected ? Weight::confirmation : Weight::known;
+  return update.state == PeerState::suspected ? Precedence::confirmation : Precedence::known;
 }
 
-Peer& PeerTable::take(const Word& word, Millis now) {
-  Peer& fellow = fellows_[word.name];
-  if (is_here(fellow.word.standing) && fellow.word.place.number >= 0) {
-    --here_;
-    if (const auto at = places_.find(fellow.word.place); at != places_.end() && at->second == word.name) {
+Peer& PeerTable::store(const GossipUpdate& update, Millis now) {
+  Peer& peer = peers_[update.name];
+  if (is_member(peer.update.state) && peer.update.slot.number >= 0) {
+    --member_count_;
+    if (const auto at = places_.find(peer.update.slot); at != places_.end() && at->second == update.name) {
       places_.erase(at);
     }
   }
-  if (fellow.word.standing != word.standing || fellow.word.place.number < 0) {
-    fellow.since = now;
+  if (peer.update.state != update.state || peer.update.slot.number < 0) {
+    peer.since = now;
   }
-  fellow.word = word;
-  fellow.doubters.clear();
-  suspects_.erase(word.name);
-  if (word.standing == Standing::suspected) {
-    fellow.suspected = now, suspects_.insert(word.name);
+  peer.update = update;
+  peer.suspecters.clear();
+  suspects_.erase(update.name);
+  if (update.state == PeerState::suspected) {
+    peer.suspected_at = now, suspects_.insert(update.name);
   }
-  if (is_here(word.standing)) {
-    ++here_, places_[word.place] = word.name;
+  if (is_member(update.state)) {
+    ++member_count_, places_[update.slot] = update.name;
   }
-  return fellow;
+  return peer;
 }
 
 Peer* PeerTable::find(const std::string& name) {
-  const auto found = fellows_.find(name);
-  return found == fellows_.end() ? nullptr : &found->second;
+  const auto found = peers_.find(name);
+  return found == peers_.end() ? nullptr : &found->second;
 }
 const Peer* PeerTable::find(const std::string& name) const {
-  const auto found = fellows_.find(name);
-  return found == fellows_.end() ? nullptr : &found->second;
+  const auto found = peers_.find(name);
+  return found == peers_.end() ? nullptr : &found->second;
 }
 
-const Peer* PeerTable::at(SlotId place) const {
-  const auto found = places_.find(place);
+const Peer* PeerTable::at(SlotId slot) const {
+  const auto found = places_.find(slot);
   return found == places_.end() ? nullptr : find(found->second);
 }
 
-std::vector<Word> PeerTable::forget(Millis since) {
-  std::vector<Word> gone;
-  for (auto at = fellows_.begin(); at != fellows_.end();) {
-    if (is_here(at->second.word.standing) || at->second.since > since) {
+std::vector<GossipUpdate> PeerTable::forget(Millis since) {
+  std::vector<GossipUpdate> gone;
+  for (auto at = peers_.begin(); at != peers_.end();) {
+    if (is_member(at->second.update.state) || at->second.since > since) {
       ++at;
       continue;
     }
-    gone.push_back(at->second.word);
-    bury(at->first, at->second.word.incarnation);
-    at = fellows_.erase(at);
+    gone.push_back(at->second.update);
+    add_tombstone(at->first, at->second.update.incarnation);
+    at = peers_.erase(at);
   }
   return gone;
 }
 
-// Guards against old words, sent again or late: they bring nobody back who was forgotten. As many as there
-// may be fellows; then the oldest are given up.
-void PeerTable::bury(const std::string& name, Incarnation last) {
-  if (graves_.insert_or_assign(name, last).second) {
-    buried_.push_back(name);
+// Guards against old updates, sent again or late: they bring nobody back who was forgotten. As many as there
+// may be peers; then the oldest are given up.
+void PeerTable::add_tombstone(const std::string& name, Incarnation last) {
+  if (tombstones_.insert_or_assign(name, last).second) {
+    tombstone_order_.push_back(name);
   }
-  while (static_cast<int>(buried_.size()) > most_) {
-    graves_.erase(buried_.front()), buried_.pop_front();
+  while (static_cast<int>(tombstone_order_.size()) > max_peers_) {
+    tombstones_.erase(tombstone_order_.front()), tombstone_order_.pop_front();
   }
 }
 
-std::vector<std::uint32_t> PeerTable::sums(Range range, const Word& self) const {
-  std::vector<std::uint32_t> sums(kFan);
-  const auto add = [&](const Word& word) {
-    const std::uint64_t hash = hash_of(word.name);
+std::vector<std::uint32_t> PeerTable::digests(Range range, const GossipUpdate& self) const {
+  std::vector<std::uint32_t> digests(kDigestFanOut);
+  const auto add = [&](const GossipUpdate& update) {
+    const std::uint64_t hash = hash_of(update.name);
     if (within(hash, range)) {
-      sums[hash >> (60 - 4 * range.depth) & (kFan - 1)] += sum_of(word);
+      digests[hash >> (60 - 4 * range.depth) & (kDigestFanOut - 1)] += digest_of(update);
     }
   };
   add(self);
-  for (const auto& [name, fellow] : fellows_) {
-    add(fellow.word);
+  for (const auto& [name, peer] : peers_) {
+    add(peer.update);
   }
-  return sums;
+  return digests;
 }
 
-std::optional<std::vector<Word>> PeerTable::words(Range range, const Word& self, std::size_t most) const {
-  std::vector<Word> words;
+std::optional<std::vector<GossipUpdate>> PeerTable::updates(Range range, const GossipUpdate& self,
+                                                            std::size_t most) const {
+  std::vector<GossipUpdate> updates;
   if (within(hash_of(self.name), range)) {
-    words.push_back(self);
+    updates.push_back(self);
   }
-  for (const auto& [name, fellow] : fellows_) {
+  for (const auto& [name, peer] : peers_) {
     if (!within(hash_of(name), range)) {
       continue;
     }
-    if (words.size() == most) {
+    if (updates.size() == most) {
       return std::nullopt;
     }
-    words.push_back(fellow.word);
+    updates.push_back(peer.update);
   }
-  return words;
+  return updates;
 }
 
 }  // namespace reedspindle::membership
--- a/src/membership/peer_table.hpp
+++ b/src/membership/peer_table.hpp
@@ -1,5 +1,5 @@
-// What is known of each fellow: the words told of it weighed against one another, and the sums by which two
-// fronts find out where they differ.
+// What is known of each peer: the updates told of it weighed against one another, and the sums by which two
+// instances find out where they differ.
 #pragma once
 
 #include <cstdint>
@@ -15,48 +15,49 @@
 namespace reedspindle::membership {
 
 struct Peer {
-  Word word;
-  Millis since = 0;              // of its standing
-  Millis suspected = 0;          // when it came to be suspected
-  std::vector<SlotId> doubters;  // who suspects it, the first few
+  GossipUpdate update;
+  Millis since = 0;                // of its standing
+  Millis suspected_at = 0;         // when it came to be suspected
+  std::vector<SlotId> suspecters;  // who suspects it, the first few
 };
 
-bool is_here(Standing standing);  // there or suspected
+bool is_member(PeerState state);  // there or suspected
 
 class PeerTable {
  public:
-  explicit PeerTable(int most) : most_(most) {}
+  explicit PeerTable(int most) : max_peers_(most) {}
 
-  // Whether a word outweighs what is held. Of equal incarnations the graver word does.
-  enum class Weight { news, confirmation, known, old };
-  [[nodiscard]] Weight weigh(const Word& word) const;
+  // Whether an update outweighs what is held. Of equal incarnations the graver update does.
+  enum class Precedence { newer, confirmation, known, older };
+  [[nodiscard]] Precedence precedence_of(const GossipUpdate& update) const;
   // Takes it as what is held from now on.
-  Peer& take(const Word& word, Millis now);
+  Peer& store(const GossipUpdate& update, Millis now);
 
   Peer* find(const std::string& name);
   [[nodiscard]] const Peer* find(const std::string& name) const;
-  // Who is here at a place, if anybody.
-  [[nodiscard]] const Peer* at(SlotId place) const;
-  [[nodiscard]] const std::map<std::string, Peer>& all() const { return fellows_; }
-  [[nodiscard]] int here() const { return here_; }
+  // Who is here at a slot, if anybody.
+  [[nodiscard]] const Peer* at(SlotId slot) const;
+  [[nodiscard]] const std::map<std::string, Peer>& all() const { return peers_; }
+  [[nodiscard]] int member_count() const { return member_count_; }
   [[nodiscard]] const std::set<std::string>& suspects() const { return suspects_; }
   // Who has been gone for as long is held no longer, but what is said of that life stays known.
-  std::vector<Word> forget(Millis since);
+  std::vector<GossipUpdate> forget(Millis since);
   // Nothing said of the name under this incarnation or a lower one is news any more.
-  void bury(const std::string& name, Incarnation last);
+  void add_tombstone(const std::string& name, Incarnation last);
 
-  [[nodiscard]] std::vector<std::uint32_t> sums(Range range, const Word& self) const;
-  // Words on all in the range; nothing where they are more than so many.
-  [[nodiscard]] std::optional<std::vector<Word>> words(Range range, const Word& self, std::size_t most) const;
+  [[nodiscard]] std::vector<std::uint32_t> digests(Range range, const GossipUpdate& self) const;
+  // Updates on all in the range; nothing where they are more than so many.
+  [[nodiscard]] std::optional<std::vector<GossipUpdate>> updates(Range range, const GossipUpdate& self,
+                                                                 std::size_t most) const;
 
  private:
-  const int most_;
-  int here_ = 0;
-  std::map<std::string, Peer> fellows_;
+  const int max_peers_;
+  int member_count_ = 0;
+  std::map<std::string, Peer> peers_;
   std::map<SlotId, std::string> places_;  // of who is here
   std::set<std::string> suspects_;
-  std::map<std::string, Incarnation> graves_;
-  std::deque<std::string> buried_;  // the oldest first
+  std::map<std::string, Incarnation> tombstones_;
+  std::deque<std::string> tombstone_order_;  // the oldest first
 };
 
 }  // namespace reedspindle::membership
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -25,28 +25,28 @@
       peers_(peers),
       members_(members),
       path_(fleet.status),
-      charge_(membership_options(fleet, config)),
-      membership_{membership::make_membership(charge_, config.seed), {}},
+      membership_options_(membership_options(fleet, config)),
+      membership_{membership::make_membership(membership_options_, config.seed), {}},
       sharing_(fleet.quota),
       connections_(fleet.connections),
       acts_pace_(fleet.consistency ? fleet.consistency->pace : 0),
       among_(std::move(among)),
       listed_(std::move(listed)),
       steered_(std::move(steered)),
-      places_(charge_.places) {
+      places_(membership_options_.slots) {
   peers_.hand_over(membership::is_membership_message, [this](int peer, std::string bytes) {
     settle(DatagramReceived{{peer}, std::move(bytes)});
   });
   if (fleet.consistency) {
-    consistency::Options charge = *fleet.consistency;
-    charge.place = charge_.place;
-    consistency_.core = consistency::make_consistency_monitor(charge, config.seed);
+    consistency::Options options = *fleet.consistency;
+    options.place = membership_options_.slot;
+    consistency_.core = consistency::make_consistency_monitor(options, config.seed);
     peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
       compare(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
   if (sharing_) {
-    sharing_->place = charge_.place;
+    sharing_->place = membership_options_.slot;
     quota_.core = quota::make_quota_manager(*sharing_, config.seed);
     use_.emplace(*sharing_, connections_);
     peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
@@ -66,7 +66,7 @@
 
 void FleetCoordinator::listed(int places) {
   places_ = places;
-  settle(membership::Listed{places});
+  settle(membership::SlotCountChanged{places});
   tell_fellows();
 }
 
@@ -144,7 +144,7 @@
   turn(consistency_);
 }
 
-std::set<SlotId> FleetCoordinator::there() const { return membership::there_in(membership_.core->view()); }
+std::set<SlotId> FleetCoordinator::there() const { return membership::alive_peers(membership_.core->view()); }
 
 // The membership's view has changed.
 void FleetCoordinator::tell_fellows() {
@@ -171,7 +171,7 @@
   consistency::Account account;
   account.revision = list_.revision();
   account.sums = {list_.sum(), consistency::sum_of_primaries(steered_()),
-                  consistency::sum_of_view(there(), charge_.place)};
+                  consistency::sum_of_view(there(), membership_options_.slot)};
   std::set<std::uint32_t> ready;
   for (const auto& [mark, entry] : list_.ready()) {
     ready.insert(mark);
@@ -291,41 +291,41 @@
   }
 }
 
-void FleetCoordinator::carry_out(const membership::Change& decision) {
+void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
   changed_ = true;
-  log_.info("fleet", word_of(decision.happening),
+  log_.info("fleet", word_of(decision.event),
             {{"front", decision.name},
-             {"place", decision.place.number},
+             {"place", decision.slot.number},
              {"incarnation", decision.incarnation.number}});
 }
 
-void FleetCoordinator::carry_out(const membership::Found& decision) {
-  using membership::Finding;
+void FleetCoordinator::carry_out(const membership::SelfReport& decision) {
+  using membership::SelfEvent;
   changed_ = true;
-  const logging::Field place{"place", decision.place.number};
-  switch (decision.finding) {
-    case Finding::stopped:
-      return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.span)}});
-    case Finding::refuted:
-      return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.place.number}});
-    case Finding::contested:
+  const logging::Field place{"place", decision.slot.number};
+  switch (decision.event) {
+    case SelfEvent::paused:
+      return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.duration)}});
+    case SelfEvent::refuted:
+      return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.slot.number}});
+    case SelfEvent::name_contested:
       return log_.warn("fleet", "its name is heard of elsewhere", {place});
-    case Finding::yields:
+    case SelfEvent::name_yielded:
       return log_.error("fleet", "another front has its name, stays out of the fleet", {place});
-    case Finding::claims:
+    case SelfEvent::name_claimed:
       return log_.warn("fleet", "takes its name, nobody answers to it elsewhere", {place});
   }
 }
 
 std::string FleetCoordinator::status() const {
   const membership::View view = membership_.core->view();
-  nlohmann::json fellows = nlohmann::json::array();
-  for (const membership::PeerView& fellow : view.fellows) {
-    fellows.push_back({{"name", fellow.name},
-                       {"place", fellow.place.number},
-                       {"standing", word_of(fellow.standing)},
-                       {"incarnation", fellow.incarnation.number},
-                       {"since", std::llround(fellow.since)}});
+  nlohmann::json peers = nlohmann::json::array();
+  for (const membership::PeerView& peer : view.peers) {
+    peers.push_back({{"name", peer.name},
+                     {"place", peer.slot.number},
+                     {"standing", word_of(peer.state)},
+                     {"incarnation", peer.incarnation.number},
+                     {"since", std::llround(peer.since)}});
   }
   nlohmann::json quota;
   if (quota_.core) {
@@ -354,21 +354,21 @@
           {"behind", difference.behind}};
     }
   }
-  return nlohmann::json{{"name", charge_.name},
-                        {"place", charge_.place.number},
+  return nlohmann::json{{"name", membership_options_.name},
+                        {"place", membership_options_.slot.number},
                         {"at", std::llround(clock_.now())},
                         {"version", view.version},
                         {"incarnation", view.incarnation.number},
                         {"health", view.health},
                         {"yielded", view.yielded},
-                        {"fellows", std::move(fellows)},
+                        {"fellows", std::move(peers)},
                         {"shares", std::move(quota)},
                         {"accord", std::move(consistency)},
                         {"dropped",
-                         {{"unread", view.dropped.unread},
-                          {"strange", view.dropped.strange},
-                          {"flood", view.dropped.flood},
-                          {"late", view.dropped.late}}}}
+                         {{"unread", view.dropped.malformed},
+                          {"strange", view.dropped.unexpected_sender},
+                          {"flood", view.dropped.rate_limited},
+                          {"late", view.dropped.stale_reply}}}}
       .dump();
 }
 
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -49,8 +49,8 @@
   template <typename Core>
   void turn(Driven<Core>& driven);
   void settle(std::optional<membership::Event> event);
-  void carry_out(const membership::Change& decision);
-  void carry_out(const membership::Found& decision);
+  void carry_out(const membership::PeerChanged& decision);
+  void carry_out(const membership::SelfReport& decision);
   void share(std::optional<quota::Event> event);
   void carry_out(const quota::Found& decision);
   void carry_out(const quota::Changed& decision);
@@ -74,7 +74,7 @@
   PeerSocket& peers_;
   upstream::ConnectionPool& members_;
   const std::string path_;
-  const membership::Options charge_;
+  const membership::Options membership_options_;
   Driven<membership::Membership> membership_;
   std::optional<quota::Options> sharing_;  // none: each store may be used as it comes
   const int connections_;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -65,7 +65,7 @@
 }
 
 membership::Options membership_options(const FleetOptions& fleet, const config::InstanceConfig& config) {
-  membership::Options charge = fleet.options;
+  membership::Options options = fleet.options;
   if (!membership::is_name(config.name)) {
     throw InvalidInput(
         "name: up to 32 letters, digits, dots, dashes or underlines were expected, for the fleet");
@@ -73,14 +73,14 @@
   if (!config.hears_peers) {
     throw InvalidInput("peer_listen: an address was expected, for the fleet");
   }
-  charge.name = config.name;
-  charge.places = static_cast<int>(config.peers.size());
+  options.name = config.name;
+  options.slots = static_cast<int>(config.peers.size());
   const auto own = std::ranges::find(config.peers, config.peer_listen);
-  charge.place = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
-  if (charge.place.number >= charge.places) {
+  options.slot = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
+  if (options.slot.number >= options.slots) {
     throw InvalidInput("fleet.place: a place in peers was expected, or peer_listen among peers");
   }
-  return charge;
+  return options;
 }
 
 }  // namespace reedspindle::proxy
--- a/tests/datagram_codec.cpp
+++ b/tests/datagram_codec.cpp
@@ -51,6 +51,6 @@
                                 "538c00019b181d000b00064748461fe2401ac8813d4d02000000fa00000000");
   failures += expect_no_message_of_huge_claims("consistency", "41", consistency::message_in);
   failures += expect_no_message_of_huge_claims("quota", "53", quota::message_in);
-  failures += expect_no_message_of_huge_claims("membership", "4d", membership::message_in);
+  failures += expect_no_message_of_huge_claims("membership", "4d", membership::decode);
   return failures == 0 ? 0 : 1;
 }
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -47,32 +47,32 @@
   std::string membership_bytes() {
     membership::Message message;
     message.kind = static_cast<membership::Kind>(draws_.below(7));
-    message.number = number(2000000000);
+    message.sequence = number(2000000000);
     message.name = name();
-    message.place = {place()};
+    message.slot = {place()};
     message.incarnation = {1767225600000U + number(100000)};
-    message.born = 1767225600000U + number(100000);
+    message.started_at = 1767225600000U + number(100000);
     message.leaving = draws_.one_in(4);
-    message.answer = draws_.one_in(4);
-    message.about = {place()};
+    message.is_reply = draws_.one_in(4);
+    message.target = {place()};
     message.range = {draws_.below(4), number(4096)};
     if (message.kind == membership::Kind::digest) {
-      for (int part = 0; part < membership::kFan; ++part) {
-        message.sums.push_back(number(2000000000));
+      for (int part = 0; part < membership::kDigestFanOut; ++part) {
+        message.digests.push_back(number(2000000000));
       }
     }
     const int words = draws_.below(12);
-    for (int word = 0; word < words; ++word) {
-      membership::Word one;
+    for (int update = 0; update < words; ++update) {
+      membership::GossipUpdate one;
       one.name = name();
-      one.place = {place()};
-      one.standing = static_cast<membership::Standing>(draws_.below(4));
+      one.slot = {place()};
+      one.state = static_cast<membership::PeerState>(draws_.below(4));
       one.incarnation = {1767225600000U + number(100000)};
-      one.by = {draws_.between(-1, 20)};
-      message.words.push_back(one);
+      one.suspected_by = {draws_.between(-1, 20)};
+      message.updates.push_back(one);
     }
     std::size_t told = 0;
-    const std::string bytes = membership::bytes_of(message, told);
+    const std::string bytes = membership::encode(message, told);
     digest_.add(fmt::format("told {} of {}", told, words));
     return bytes;
   }
@@ -122,7 +122,7 @@
     digest_.comment(digests::hex(bytes));
     digest_.add(fmt::format("for {} {} {}", membership::is_membership_message(bytes),
                             quota::is_quota_message(bytes), consistency::is_consistency_message(bytes)));
-    const auto fellow = membership::message_in(bytes);
+    const auto fellow = membership::decode(bytes);
     if (fellow) {
       add(*fellow);
     }
@@ -141,15 +141,16 @@
   }
   void add(const membership::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {} {} {}/{}", static_cast<int>(message.kind),
-                            message.number, message.name, message.place.number, message.incarnation.number,
-                            message.born, message.leaving, message.answer, message.about.number,
+                            message.sequence, message.name, message.slot.number, message.incarnation.number,
+                            message.started_at, message.leaving, message.is_reply, message.target.number,
                             message.range.depth, message.range.prefix));
-    for (const std::uint32_t sum : message.sums) {
+    for (const std::uint32_t sum : message.digests) {
       digest_.add(fmt::format("sum {}", sum));
     }
-    for (const membership::Word& word : message.words) {
-      digest_.add(fmt::format("word {} {} {} {} {}", word.name, word.place.number,
-                              static_cast<int>(word.standing), word.incarnation.number, word.by.number));
+    for (const membership::GossipUpdate& update : message.updates) {
+      digest_.add(fmt::format("word {} {} {} {} {}", update.name, update.slot.number,
+                              static_cast<int>(update.state), update.incarnation.number,
+                              update.suspected_by.number));
     }
   }
   void add(const quota::Message& message) {
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -18,9 +18,9 @@
 using reedspindle::Millis;
 using reedspindle::faulttest::VirtualFleet;
 
-const char* word_of(Finding finding) {
+const char* word_of(SelfEvent event) {
   constexpr const char* words[] = {"stood still", "refuted", "contested", "yields", "claims"};
-  return words[static_cast<int>(finding)];
+  return words[static_cast<int>(event)];
 }
 
 class Play {
@@ -37,14 +37,14 @@
     }
     if (word == "fleet") {
       words >> front;
-      Options charge;
+      Options options;
       for (std::string key; words >> key;) {
-        key == "forget" ? void(words >> charge.forget) : give_up(text);
+        key == "forget" ? void(words >> options.forget) : give_up(text);
       }
-      fleet_ = std::make_unique<VirtualFleet>(front, charge, 7);
-      fleet_->on([this](Millis at, int by, const Change& change) { seen(at, by, change); },
-                 [this](Millis, int by, const Found& found) {
-                   found_[{word_of(found.finding), by}]++;
+      fleet_ = std::make_unique<VirtualFleet>(front, options, 7);
+      fleet_->on([this](Millis at, int by, const PeerChanged& change) { seen(at, by, change); },
+                 [this](Millis, int by, const SelfReport& found) {
+                   found_[{word_of(found.event), by}]++;
                  });
       fleet_->passes = [this](int from, int to) { return !cut_.contains({from, to}); };
       fleet_->extra_delay = [this](int from, int to) { return std::max(slow_[from], slow_[to]); };
@@ -95,14 +95,14 @@
     } else if (word == "dropped") {
       words >> front;
       const Dropped dropped = fleet_->view(front).dropped;
-      std::cout << fmt::format("  unread {} strange {} flood {}\n", dropped.unread, dropped.strange,
-                               dropped.flood);
+      std::cout << fmt::format("  unread {} strange {} flood {}\n", dropped.malformed,
+                               dropped.unexpected_sender, dropped.rate_limited);
     } else if (word == "view") {
       words >> front;
-      std::cout << (fleet_->view(front).fellows.empty() ? "  nobody" : " ");
-      for (const PeerView& fellow : fleet_->view(front).fellows) {
-        std::cout << fmt::format(" {}@{}{}", fellow.name, fellow.place.number,
-                                 std::string(static_cast<std::size_t>(fellow.standing), '?'));
+      std::cout << (fleet_->view(front).peers.empty() ? "  nobody" : " ");
+      for (const PeerView& peer : fleet_->view(front).peers) {
+        std::cout << fmt::format(" {}@{}{}", peer.name, peer.slot.number,
+                                 std::string(static_cast<std::size_t>(peer.state), '?'));
       }
       std::cout << '\n';
     } else if (word == "run") {
@@ -154,8 +154,8 @@
     }
   }
 
-  void seen(Millis at, int by, const Change& change) {
-    const std::pair key(fmt::format("{} {}", change.name, word_of(change.happening)), change.place.number);
+  void seen(Millis at, int by, const PeerChanged& change) {
+    const std::pair key(fmt::format("{} {}", change.name, word_of(change.event)), change.slot.number);
     const auto [sight, first] = sights_.try_emplace(key, Sight{at, at, by, {}});
     if (first) {
       order_.push_back(key);
@@ -172,8 +172,8 @@
       std::cout << fmt::format("  {} in the eyes of {}, at {:.1f} to {:.1f} s\n", key.first, sight.all.size(),
                                (sight.first - from) / 1000, (sight.last - from) / 1000);
     }
-    for (const auto& [finding, times] : found_) {
-      std::cout << fmt::format("  n{} {}\n", finding.second, finding.first);
+    for (const auto& [event, times] : found_) {
+      std::cout << fmt::format("  n{} {}\n", event.second, event.first);
     }
     if (fleet_->agreed()) {
       std::cout << "  all agree\n";
--- a/tests/membership_properties.cpp
+++ b/tests/membership_properties.cpp
@@ -48,10 +48,10 @@
             if (!fleet.up(front)) {
               continue;
             }
-            for (const PeerView& fellow : fleet.view(front).fellows) {
-              Incarnation& last = held[{front, fellow.name}];
-              RC_ASSERT(last <= fellow.incarnation);
-              last = fellow.incarnation;
+            for (const PeerView& peer : fleet.view(front).peers) {
+              Incarnation& last = held[{front, peer.name}];
+              RC_ASSERT(last <= peer.incarnation);
+              last = peer.incarnation;
             }
           }
         };
