--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -24,9 +24,9 @@
 // Everything that the network and the processes can do, one upon the other.
 int highest_sum(const Wish& wish, std::uint64_t seed) {
   VirtualFleet fleet(wish.fronts, membership::Options{}, seed);
-  quota::Options charge;
-  charge.fleet = wish.fronts;
-  fleet.share(charge);
+  quota::Options options;
+  options.fleet = wish.fronts;
+  fleet.share(options);
   std::minstd_rand random(static_cast<unsigned>(seed * 7919 + 1));
   const auto below = [&](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
   std::set<std::pair<int, int>> cut;
@@ -38,7 +38,7 @@
   const auto sum = [&] {
     int all = 0;
     for (int front = 0; front < wish.fronts; ++front) {
-      all += fleet.part(front).hold;
+      all += fleet.allocation(front).hold;
     }
     return all;
   };
@@ -48,7 +48,7 @@
     }
   };
   for (int front = 0; front < wish.fronts; ++front) {
-    fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * charge.drift);
+    fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.drift);
     fleet.start(front);
     want(front);
   }
@@ -138,9 +138,9 @@
                            wish.fronts, wish.runs, wish.seconds, most);
 
   VirtualFleet fleet(wish.fronts, membership::Options{}, static_cast<std::uint64_t>(wish.seed));
-  quota::Options charge;
-  charge.fleet = wish.fronts;
-  fleet.share(charge);
+  quota::Options options;
+  options.fleet = wish.fronts;
+  fleet.share(options);
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.start(front);
     fleet.want(front, {quota::kSlot, 0});
@@ -154,7 +154,7 @@
   };
   const auto all = [&](int from, int least) {
     for (int front = from; front < wish.fronts; ++front) {
-      if (fleet.part(front).open < least) {
+      if (fleet.allocation(front).open < least) {
         return false;
       }
     }
@@ -186,7 +186,7 @@
   for (int front = 0; front < dead; ++front) {
     fleet.kill(front);
   }
-  const int each = dead * (quota::kSlot - charge.kept) / (wish.fronts - dead);
+  const int each = dead * (quota::kSlot - options.reserved) / (wish.fronts - dead);
   std::cout << fmt::format("{} killed, each other has {} more after {:.2f} s\n", dead, each - 1,
                            until([&] { return all(dead, quota::kSlot + each - 1); }));
   for (int front = 0; front < dead; ++front) {
--- a/src/faulttest/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -29,9 +29,9 @@
   process.wakes = process.quota_wake = process.consistency_wake = 0;
   process.waiting.clear();
   process.born = now_;
-  if (sharing_) {
-    quota::Options quota_options = *sharing_;
-    quota_options.place = {front};
+  if (quota_options_) {
+    quota::Options quota_options = *quota_options_;
+    quota_options.slot = {front};
     process.quota = quota::make_quota_manager(quota_options, random_());
   }
   if (comparing_) {
@@ -77,9 +77,10 @@
   settle(front, Of::consistency);
 }
 
-quota::Part VirtualFleet::part(int front) const {
+quota::Allocation VirtualFleet::allocation(int front) const {
   const Process& process = processes_.at(at(front));
-  return process.quota && !process.stopped ? process.quota->part(own(process, now_)) : quota::Part{};
+  return process.quota && !process.stopped ? process.quota->allocation(own(process, now_))
+                                           : quota::Allocation{};
 }
 
 void VirtualFleet::leave(int front) {
@@ -161,7 +162,7 @@
                                                   : process.consistency_wake;
     if (due.of == Of::refusal) {
       if (awake && process.quota) {
-        process.quota->enqueue(quota::Refused{{due.from}, due.bytes});
+        process.quota->enqueue(quota::DatagramReturned{{due.from}, due.bytes});
         settle(due.front, Of::quota);
       }
     } else if (due.from >= 0) {
--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -50,10 +50,10 @@
   void drift(int front, double share) { processes_.at(at(front)).rate = 1 + share; }
 
   // From their next start on the processes share what the fleet has, too.
-  void share(const quota::Options& options) { sharing_ = options; }
+  void share(const quota::Options& options) { quota_options_ = options; }
   void want(int front, const quota::Demand& demand);
   // What a process may use now, by its own clock; nothing where it does not run or is stopped.
-  [[nodiscard]] quota::Part part(int front) const;
+  [[nodiscard]] quota::Allocation allocation(int front) const;
   [[nodiscard]] const quota::QuotaManager* quota(int front) const {
     return processes_.at(at(front)).quota.get();
   }
@@ -136,7 +136,7 @@
 
   const membership::Options membership_options_;
   const Maker maker_;
-  std::optional<quota::Options> sharing_;
+  std::optional<quota::Options> quota_options_;
   std::optional<consistency::Options> comparing_;
   std::minstd_rand random_;
   std::vector<Process> processes_;
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -27,7 +27,7 @@
       path_(fleet.status),
       membership_options_(membership_options(fleet, config)),
       membership_{membership::make_membership(membership_options_, config.seed), {}},
-      sharing_(fleet.quota),
+      quota_options_(fleet.quota),
       connections_(fleet.connections),
       acts_pace_(fleet.consistency ? fleet.consistency->pace : 0),
       among_(std::move(among)),
@@ -45,15 +45,15 @@
       compare(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
-  if (sharing_) {
-    sharing_->place = membership_options_.slot;
-    quota_.core = quota::make_quota_manager(*sharing_, config.seed);
-    use_.emplace(*sharing_, connections_);
+  if (quota_options_) {
+    quota_options_->slot = membership_options_.slot;
+    quota_.core = quota::make_quota_manager(*quota_options_, config.seed);
+    usage_.emplace(*quota_options_, connections_);
     peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
       share(DatagramReceived{{peer}, std::move(bytes)});
     });
     peers_.on_refusals([this](int peer, std::string bytes) {
-      share(quota::Refused{{peer}, std::move(bytes)});
+      share(quota::DatagramReturned{{peer}, std::move(bytes)});
     });
     share(std::nullopt);
     tell_need();
@@ -159,7 +159,7 @@
   if (!consistency_.core) {
     return;
   }
-  compare(consistency::PeersChanged{there(), quota_.core ? part_.among : places_});
+  compare(consistency::PeersChanged{there(), quota_.core ? allocation_.sharing_instances : places_});
   tell_module();
 }
 
@@ -191,7 +191,7 @@
     among.alive_peers.insert(place.number);
   }
   if (quota_.core) {
-    among.fleet_share = static_cast<double>(part_.among) / sharing_->fleet;
+    among.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
   }
   const consistency::Allowed allowed = consistency_.core->view().allowed;
   among.primary_only_allowed = allowed.writes, among.reads_allowed = allowed.reads;
@@ -213,31 +213,31 @@
 
 void FleetCoordinator::look() {
   if (quota_.core &&
-      quota::connections_of(quota_.core->part(clock_.now()), *sharing_, connections_) != limit_) {
+      quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_, connections_) != limit_) {
     share(std::nullopt);
   }
 }
 
 void FleetCoordinator::tell_need() {
-  need_ = timers_.set(clock_.now() + sharing_->lease / 6, [this] {
+  need_ = timers_.set(clock_.now() + quota_options_->lease / 6, [this] {
     need_.reset();
-    share(use_->demand(members_.take_need()));
+    share(usage_->demand(members_.take_need()));
     tell_need();
   });
 }
 
-void FleetCoordinator::carry_out(const quota::Found& decision) {
-  const bool warns = decision.finding == quota::Finding::other_terms;
-  (warns ? log_.warn("shares", word_of(decision.finding), {{"place", decision.place.number}})
-         : log_.info("shares", word_of(decision.finding), {{"place", decision.place.number}}));
+void FleetCoordinator::carry_out(const quota::LeaseReport& decision) {
+  const bool warns = decision.event == quota::LeaseEvent::options_mismatch;
+  (warns ? log_.warn("shares", word_of(decision.event), {{"place", decision.slot.number}})
+         : log_.info("shares", word_of(decision.event), {{"place", decision.slot.number}}));
 }
 
-void FleetCoordinator::carry_out(const quota::Changed& decision) {
-  const bool counts = part_.among != decision.part.among;
-  part_ = decision.part;
-  limit_ = quota::connections_of(decision.part, *sharing_, connections_);
+void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
+  const bool counts = allocation_.sharing_instances != decision.allocation.sharing_instances;
+  allocation_ = decision.allocation;
+  limit_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
   members_.limit(limit_.open, limit_.hold);
-  log_.debug("shares", "part", {{"open", decision.part.open}, {"hold", decision.part.hold}});
+  log_.debug("shares", "part", {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
   if (counts) {
     tell_who_counts();
   }
@@ -330,9 +330,15 @@
   nlohmann::json quota;
   if (quota_.core) {
     const quota::View shared = quota_.core->view();
-    quota = {{"open", shared.part.open},   {"hold", shared.part.hold}, {"connections", limit_.hold},
-             {"among", shared.part.among}, {"office", shared.office},  {"holder", shared.holder.number},
-             {"pool", shared.pool},        {"given", shared.given},    {"dropped", shared.dropped}};
+    quota = {{"open", shared.allocation.open},
+             {"hold", shared.allocation.hold},
+             {"connections", limit_.hold},
+             {"among", shared.allocation.sharing_instances},
+             {"office", shared.holds_lease},
+             {"holder", shared.holder.number},
+             {"pool", shared.pool},
+             {"given", shared.allocated},
+             {"dropped", shared.dropped}};
   }
   nlohmann::json consistency;
   if (consistency_.core) {
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -52,8 +52,8 @@
   void carry_out(const membership::PeerChanged& decision);
   void carry_out(const membership::SelfReport& decision);
   void share(std::optional<quota::Event> event);
-  void carry_out(const quota::Found& decision);
-  void carry_out(const quota::Changed& decision);
+  void carry_out(const quota::LeaseReport& decision);
+  void carry_out(const quota::AllocationChanged& decision);
   void compare(consistency::Event event);
   void carry_out(const consistency::Found& decision);
   void carry_out(const consistency::Allowed& decision);
@@ -76,11 +76,11 @@
   const std::string path_;
   const membership::Options membership_options_;
   Driven<membership::Membership> membership_;
-  std::optional<quota::Options> sharing_;  // none: each store may be used as it comes
+  std::optional<quota::Options> quota_options_;  // none: each store may be used as it comes
   const int connections_;
   Driven<quota::QuotaManager> quota_;
-  std::optional<quota::Use> use_;
-  quota::Part part_;
+  std::optional<quota::Usage> usage_;
+  quota::Allocation allocation_;
   quota::Connections limit_;
   Driven<consistency::ConsistencyMonitor> consistency_;
   const Millis acts_pace_;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -27,21 +27,21 @@
   }
   if (told.contains("shares")) {
     const nlohmann::json& of = told["shares"];
-    quota::Options& charge = fleet.quota.emplace();
-    charge.fleet = of["fleet"], charge.lease = of["lease"], charge.evidence = of["evidence"];
-    charge.notice = of["notice"], charge.drift = of["drift"];
-    charge.kept = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
+    quota::Options& options = fleet.quota.emplace();
+    options.fleet = of["fleet"], options.lease = of["lease"], options.evidence = of["evidence"];
+    options.notice = of["notice"], options.drift = of["drift"];
+    options.reserved = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
     fleet.connections = of["connections"];
     const auto faulty = [&](const char* key, const char* expected) {
       const auto line = file.lines.find(fmt::format("fleet.shares.{}", key));
       throw operators::InvalidFile({fmt::format("{}:{}: fleet.shares.{}: {} was expected", path,
                                                 line == file.lines.end() ? 1 : line->second, key, expected)});
     };
-    if (charge.notice * 2 > charge.lease) {
+    if (options.notice * 2 > options.lease) {
       faulty("notice", "at most half of fleet.shares.lease");
     }
     // A front that has just started would have none.
-    if (quota::connections_of({charge.kept, charge.kept}, charge, fleet.connections).open < 1) {
+    if (quota::connections_of({options.reserved, options.reserved}, options, fleet.connections).open < 1) {
       faulty("connections", "enough that each front keeps one at least (connections x kept / fleet)");
     }
   }
--- a/src/quota/message.cpp
+++ b/src/quota/message.cpp
@@ -17,21 +17,22 @@
 constexpr std::uint64_t kMaxAmount = kMaxSlots * kSlot;
 constexpr Millis kLongestLeft = 3600000;
 
-enum Flag { held = 1, yes = 2, young = 4, own = 8, need = 16 };
+enum Flag { kIsHolder = 1, kGranted = 2, kWarmingUp = 4, kRestoresSlot = 8, kShortage = 16 };
 
 }  // namespace
 
-std::string bytes_of(const Message& m) {
-  const int flags = m.held * held | m.yes * yes | m.young * young | m.own * own | m.need * need;
+std::string encode(const Message& m) {
+  const int flags = m.is_holder * kIsHolder | m.granted * kGranted | m.warming_up * kWarmingUp |
+                    m.restores_slot * kRestoresSlot | m.shortage * kShortage;
   // The number stands first: of a datagram that comes back only the beginning is sure to.
-  const Json json = {m.number, kForm,          static_cast<int>(m.kind),
-                     m.of,     m.place.number, m.life.number,
-                     m.terms,  flags,          m.wants,
-                     m.lends,  m.amount,       m.left};
+  const Json json = {m.number,       kForm,         static_cast<int>(m.kind),
+                     m.in_reply_to,  m.slot.number, m.incarnation.number,
+                     m.options_hash, flags,         m.wanted,
+                     m.lent,         m.amount,      m.valid_for};
   return encode_datagram(kLetter, json);
 }
 
-std::optional<Message> message_in(std::string_view bytes) {
+std::optional<Message> decode(std::string_view bytes) {
   const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
   if (!array || (*array)[1] != kForm) {
     return std::nullopt;
@@ -39,38 +40,41 @@
   const Json& json = *array;
   constexpr auto k32 = std::numeric_limits<std::uint32_t>::max();
   const auto number = decode_unsigned(json[0], k32);
-  const auto kind = decode_unsigned(json[2], static_cast<int>(Kind::gone));
-  const auto of = decode_unsigned(json[3], k32);
-  const auto place = decode_unsigned(json[4], kMaxSlots - 1);
-  const auto life = decode_unsigned(json[5], std::numeric_limits<std::uint64_t>::max() >> 1);
-  const auto terms = decode_unsigned(json[6], k32);
+  const auto kind = decode_unsigned(json[2], static_cast<int>(Kind::released));
+  const auto in_reply_to = decode_unsigned(json[3], k32);
+  const auto slot = decode_unsigned(json[4], kMaxSlots - 1);
+  const auto incarnation = decode_unsigned(json[5], std::numeric_limits<std::uint64_t>::max() >> 1);
+  const auto options_hash = decode_unsigned(json[6], k32);
   const auto flags = decode_unsigned(json[7], 31);
-  const auto wants = decode_unsigned(json[8], kMaxAmount);
-  const auto lends = decode_unsigned(json[9], kSlot);
+  const auto wanted = decode_unsigned(json[8], kMaxAmount);
+  const auto lent = decode_unsigned(json[9], kSlot);
   const auto amount = decode_unsigned(json[10], kMaxAmount);
-  if (!number || !kind || !of || !place || !life || !terms || !flags || !wants || !lends || !amount) {
+  if (!number || !kind || !in_reply_to || !slot || !incarnation || !options_hash || !flags || !wanted ||
+      !lent || !amount) {
     return std::nullopt;
   }
   if (!json[11].is_number()) {
     return std::nullopt;
   }
-  const auto left = json[11].get<double>();
-  if (!std::isfinite(left) || left < 0 || left > kLongestLeft) {
+  const auto valid_for = json[11].get<double>();
+  if (!std::isfinite(valid_for) || valid_for < 0 || valid_for > kLongestLeft) {
     return std::nullopt;
   }
   Message m;
   m.kind = static_cast<Kind>(*kind), m.number = static_cast<std::uint32_t>(*number);
-  m.of = static_cast<std::uint32_t>(*of), m.place = {static_cast<int>(*place)}, m.life = {*life};
-  m.terms = static_cast<std::uint32_t>(*terms);
-  m.held = *flags & held, m.yes = *flags & yes, m.young = *flags & young, m.own = *flags & own;
-  m.need = *flags & need;
-  m.wants = static_cast<int>(*wants), m.lends = static_cast<int>(*lends),
+  m.in_reply_to = static_cast<std::uint32_t>(*in_reply_to), m.slot = {static_cast<int>(*slot)},
+  m.incarnation = {*incarnation};
+  m.options_hash = static_cast<std::uint32_t>(*options_hash);
+  m.is_holder = *flags & kIsHolder, m.granted = *flags & kGranted, m.warming_up = *flags & kWarmingUp,
+  m.restores_slot = *flags & kRestoresSlot;
+  m.shortage = *flags & kShortage;
+  m.wanted = static_cast<int>(*wanted), m.lent = static_cast<int>(*lent),
   m.amount = static_cast<int>(*amount);
-  m.left = left;
+  m.valid_for = valid_for;
   return m;
 }
 
-std::optional<std::uint32_t> question_in(std::string_view bytes) {
+std::optional<std::uint32_t> decode_liveness_query(std::string_view bytes) {
   // An array of twelve, then its number, as CBOR writes them.
   if (!is_quota_message(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c) {
     return std::nullopt;
@@ -88,7 +92,8 @@
   for (std::size_t at = 1; at <= more; ++at) {
     number = number << 8 | static_cast<unsigned char>(bytes[at]);
   }
-  const bool question = bytes[more + 1] == kForm && bytes[more + 2] == static_cast<char>(Kind::question);
+  const bool question =
+      bytes[more + 1] == kForm && bytes[more + 2] == static_cast<char>(Kind::liveness_query);
   return question ? std::optional(number) : std::nullopt;
 }
 
--- a/src/quota/usage.hpp
+++ b/src/quota/usage.hpp
@@ -13,18 +13,18 @@
   std::size_t open = 0, hold = 0;  // up to where new ones may be opened, and what must not be exceeded
   bool operator==(const Connections&) const = default;
 };
-// Rounded down, so that the sum over all fronts stays within what a store takes.
-Connections connections_of(const Part& part, const Options& charge, int all);
+// Rounded down, so that the sum over all instances stays within what a store takes.
+Connections connections_of(const Allocation& allocation, const Options& options, int connections);
 
-class Use {
+class Usage {
  public:
-  Use(const Options& charge, int all) : charge_(charge), all_(all) {}
+  Usage(const Options& options, int connections) : options_(options), connections_(connections) {}
   // The most connections that any store has needed since the last call; once in a sixth of a lease or so.
   Demand demand(std::size_t need);
 
  private:
-  const Options charge_;
-  const int all_;
+  const Options options_;
+  const int connections_;
   std::deque<std::size_t> needs_;  // the last few
 };
 
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -80,20 +80,20 @@
     quota::Message message;
     message.kind = static_cast<quota::Kind>(draws_.below(7));
     message.number = number(2000000000);
-    message.of = number(2000000000);
-    message.place = {place()};
-    message.life = {number(2000000000)};
-    message.terms = number(2000000000);
-    message.held = draws_.one_in(2);
-    message.yes = draws_.one_in(2);
-    message.young = draws_.one_in(2);
-    message.own = draws_.one_in(2);
-    message.need = draws_.one_in(2);
-    message.wants = draws_.below(9000);
-    message.lends = draws_.below(9000);
+    message.in_reply_to = number(2000000000);
+    message.slot = {place()};
+    message.incarnation = {number(2000000000)};
+    message.options_hash = number(2000000000);
+    message.is_holder = draws_.one_in(2);
+    message.granted = draws_.one_in(2);
+    message.warming_up = draws_.one_in(2);
+    message.restores_slot = draws_.one_in(2);
+    message.shortage = draws_.one_in(2);
+    message.wanted = draws_.below(9000);
+    message.lent = draws_.below(9000);
     message.amount = draws_.below(9000);
-    message.left = 0.25 * draws_.below(9000);
-    return quota::bytes_of(message);
+    message.valid_for = 0.25 * draws_.below(9000);
+    return quota::encode(message);
   }
   std::string accord_bytes() {
     consistency::Message message;
@@ -126,11 +126,11 @@
     if (fellow) {
       add(*fellow);
     }
-    const auto share = quota::message_in(bytes);
+    const auto share = quota::decode(bytes);
     if (share) {
       add(*share);
     }
-    const auto question = quota::question_in(bytes);
+    const auto question = quota::decode_liveness_query(bytes);
     if (question) {
       digest_.add(fmt::format("question {}", *question));
     }
@@ -155,9 +155,10 @@
   }
   void add(const quota::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {}{}{}{}{} {} {} {} {:.3f}", static_cast<int>(message.kind),
-                            message.number, message.of, message.place.number, message.life.number,
-                            message.terms, message.held, message.yes, message.young, message.own,
-                            message.need, message.wants, message.lends, message.amount, message.left));
+                            message.number, message.in_reply_to, message.slot.number,
+                            message.incarnation.number, message.options_hash, message.is_holder,
+                            message.granted, message.warming_up, message.restores_slot, message.shortage,
+                            message.wanted, message.lent, message.amount, message.valid_for));
   }
   void add(const consistency::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
--- a/tests/digests/quota.cpp
+++ b/tests/digests/quota.cpp
@@ -17,32 +17,32 @@
  private:
   static constexpr int kConnections = 100;
 
-  Options membership_options(int front) {
-    Options charge;
-    charge.place = {front};
-    charge.fleet = kFronts;
+  Options quota_options(int front) {
+    Options options;
+    options.slot = {front};
+    options.fleet = kFronts;
     if (odd_) {
-      charge.lease = 1200;
+      options.lease = 1200;
     }
     if (odd_) {
-      charge.kept = 400;
+      options.reserved = 400;
     }
-    return charge;
+    return options;
   }
   std::unique_ptr<QuotaManager> make(int front) override {
-    Options charge = membership_options(front);
+    Options options = quota_options(front);
     if (draws.one_in(15)) {
-      charge.drift = 0.02;
+      options.drift = 0.02;
     }
-    uses_[static_cast<std::size_t>(front)] = std::make_unique<Use>(membership_options(front), kConnections);
-    return make_quota_manager(charge, static_cast<std::uint64_t>(draws.below(1000000)));
+    usages_[static_cast<std::size_t>(front)] = std::make_unique<Usage>(quota_options(front), kConnections);
+    return make_quota_manager(options, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
     at(front).core->enqueue(DatagramReceived{{from}, bytes});
   }
   void refused(int front, int from, const std::string& bytes) override {
     const std::string kept = draws.one_in(4) ? bytes.substr(0, 8) : bytes;
-    at(front).core->enqueue(Refused{{from}, kept});
+    at(front).core->enqueue(DatagramReturned{{from}, kept});
   }
   void happen(int front) override {
     const int kind = draws.below(40);
@@ -52,20 +52,20 @@
       PeersChanged fellows;
       for (int other = 0; other < kFronts; ++other) {
         if (other != front && (at(other).core || draws.one_in(10))) {
-          fellows.there.insert({other});
+          fellows.alive.insert({other});
         }
       }
       at(front).core->enqueue(fellows);
     } else if (kind < 20) {
       const int need = draws.below(60);
-      const Demand demand = uses_[static_cast<std::size_t>(front)]->demand(static_cast<std::size_t>(need));
-      digest.add(fmt::format("{} {} needs {} asks {} {}", now, front, need, demand.wants, demand.lends));
+      const Demand demand = usages_[static_cast<std::size_t>(front)]->demand(static_cast<std::size_t>(need));
+      digest.add(fmt::format("{} {} needs {} asks {} {}", now, front, need, demand.wanted, demand.lent));
       at(front).core->enqueue(demand);
     } else {
-      const Part part = at(front).core->part(clock(front) + draws.below(3000));
-      const Connections connections = connections_of(part, membership_options(front), kConnections);
-      digest.add(fmt::format("{} {} may use {} {} {}, {} {}", now, front, part.open, part.hold, part.among,
-                             connections.open, connections.hold));
+      const Allocation allocation = at(front).core->allocation(clock(front) + draws.below(3000));
+      const Connections connections = connections_of(allocation, quota_options(front), kConnections);
+      digest.add(fmt::format("{} {} may use {} {} {}, {} {}", now, front, allocation.open, allocation.hold,
+                             allocation.sharing_instances, connections.open, connections.hold));
       return;
     }
     touch(front);
@@ -74,26 +74,26 @@
     Message message;
     message.kind = static_cast<Kind>(draws.below(7));
     message.number = static_cast<std::uint32_t>(draws.below(300));
-    message.of = static_cast<std::uint32_t>(draws.below(300));
-    message.place = {draws.below(kFronts + 1)};
-    message.life = {static_cast<std::uint64_t>(draws.below(100000))};
-    message.terms = static_cast<std::uint32_t>(draws.below(100000));
-    message.held = draws.one_in(2);
-    message.yes = draws.one_in(2);
-    message.young = draws.one_in(2);
-    message.own = draws.one_in(2);
-    message.need = draws.one_in(2);
-    message.wants = draws.below(2000);
-    message.lends = draws.below(900);
+    message.in_reply_to = static_cast<std::uint32_t>(draws.below(300));
+    message.slot = {draws.below(kFronts + 1)};
+    message.incarnation = {static_cast<std::uint64_t>(draws.below(100000))};
+    message.options_hash = static_cast<std::uint32_t>(draws.below(100000));
+    message.is_holder = draws.one_in(2);
+    message.granted = draws.one_in(2);
+    message.warming_up = draws.one_in(2);
+    message.restores_slot = draws.one_in(2);
+    message.shortage = draws.one_in(2);
+    message.wanted = draws.below(2000);
+    message.lent = draws.below(900);
     message.amount = draws.below(2000);
-    message.left = draws.below(2500);
-    const std::string bytes = bytes_of(message);
+    message.valid_for = draws.below(2500);
+    const std::string bytes = encode(message);
     digest.add(fmt::format("to {} drawn {}", front, digests::hex(bytes)));
     return bytes;
   }
   void read(const std::string& bytes) override {
-    message_in(bytes);
-    question_in(bytes);
+    decode(bytes);
+    decode_liveness_query(bytes);
   }
   void take(int front) override {
     for (const auto& decision : at(front).core->process(clock(front))) {
@@ -105,23 +105,23 @@
     digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
     wake(front, wanted.at);
   }
-  void take(int front, const Found& found) {
+  void take(int front, const LeaseReport& found) {
     digest.add(
-        fmt::format("{} {} finds {} {}", now, front, static_cast<int>(found.finding), found.place.number));
+        fmt::format("{} {} finds {} {}", now, front, static_cast<int>(found.event), found.slot.number));
   }
-  void take(int front, const Changed& changed) {
-    digest.add(fmt::format("{} {} has {} {} {}", now, front, changed.part.open, changed.part.hold,
-                           changed.part.among));
+  void take(int front, const AllocationChanged& changed) {
+    digest.add(fmt::format("{} {} has {} {} {}", now, front, changed.allocation.open, changed.allocation.hold,
+                           changed.allocation.sharing_instances));
   }
   void show(int front) override {
     const View view = at(front).core->view();
-    digest.add(fmt::format("{} view {} {} {} {} {} {} {} {}", front, view.part.open, view.part.hold,
-                           view.part.among, view.office, view.holder.number, view.pool, view.given,
-                           view.dropped));
+    digest.add(fmt::format("{} view {} {} {} {} {} {} {} {}", front, view.allocation.open,
+                           view.allocation.hold, view.allocation.sharing_instances, view.holds_lease,
+                           view.holder.number, view.pool, view.allocated, view.dropped));
   }
 
   const bool odd_;
-  std::array<std::unique_ptr<Use>, kFronts> uses_;
+  std::array<std::unique_ptr<Usage>, kFronts> usages_;
 };
 
 }  // namespace
--- a/tests/quota_properties.cpp
+++ b/tests/quota_properties.cpp
@@ -28,9 +28,9 @@
 }
 
 membership::Options brisk() {
-  membership::Options charge;
-  charge.pace = 200, charge.timeout = 80;
-  return charge;
+  membership::Options options;
+  options.pace = 200, options.timeout = 80;
+  return options;
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
     fleet.stepped = [&](Millis) {
       int sum = 0;
       for (int front = 0; front < fronts; ++front) {
-        sum += fleet.part(front).hold;
+        sum += fleet.allocation(front).hold;
       }
       RC_ASSERT(sum <= fronts * quota::kSlot);
     };
@@ -123,7 +123,7 @@
     }
     fleet.run(10000);
     for (int front = 0; front < fronts; ++front) {
-      RC_ASSERT(fleet.part(front).open == quota::kSlot);
+      RC_ASSERT(fleet.allocation(front).open == quota::kSlot);
     }
     for (int front = 0; front < dead; ++front) {
       fleet.kill(front);
@@ -131,10 +131,10 @@
     fleet.run(12000);
     int sum = 0;
     for (int front = dead; front < fronts; ++front) {
-      RC_ASSERT(fleet.part(front).open > quota::kSlot);
-      sum += fleet.part(front).open;
+      RC_ASSERT(fleet.allocation(front).open > quota::kSlot);
+      sum += fleet.allocation(front).open;
     }
-    const int all = (fronts - dead) * quota::kSlot + dead * (quota::kSlot - share.kept);
+    const int all = (fronts - dead) * quota::kSlot + dead * (quota::kSlot - share.reserved);
     RC_ASSERT(sum > all - fronts);
     for (int front = 0; front < dead; ++front) {
       fleet.start(front);
@@ -142,11 +142,11 @@
     }
     fleet.run(200);
     for (int front = 0; front < dead; ++front) {
-      RC_ASSERT(fleet.part(front).open >= share.kept);
+      RC_ASSERT(fleet.allocation(front).open >= share.reserved);
     }
     fleet.run(10000);
     for (int front = 0; front < fronts; ++front) {
-      RC_ASSERT(fleet.part(front).open == quota::kSlot);
+      RC_ASSERT(fleet.allocation(front).open == quota::kSlot);
     }
   });
   const bool lent = rc::check("what some don't use others have, and give back soon", [] {
@@ -165,14 +165,14 @@
       fleet.want(front, {0, 600});
     }
     fleet.run(10000);
-    RC_ASSERT(fleet.part(fronts - 1).open > quota::kSlot);
+    RC_ASSERT(fleet.allocation(fronts - 1).open > quota::kSlot);
     // Back within two leases of the last word that it was lent.
     for (int front = 0; front + 1 < fronts; ++front) {
       fleet.want(front, {0, 0});
     }
     fleet.run(2 * share.lease * (1 + 3 * share.drift) + 1);
     for (int front = 0; front < fronts; ++front) {
-      RC_ASSERT(fleet.part(front).hold >= quota::kSlot);
+      RC_ASSERT(fleet.allocation(front).hold >= quota::kSlot);
     }
   });
   return !(sums && use && lent);
