--- a/bench/consistency.cpp
+++ b/bench/consistency.cpp
@@ -108,8 +108,9 @@
   const auto differs = [&](int front) { return fleet.consistency(front)->view().differences[0].differ > 0; };
   std::cout << fmt::format("discovery silent to one, a new list: it sees that it differs after {:.1f} s",
                            all.until(2, [&] { return differs(0); }));
-  std::cout << fmt::format(", doubts who left {:.1f} s later",
-                           all.until(2, [&] { return !fleet.consistency(0)->view().doubted.empty(); }));
+  std::cout << fmt::format(", doubts who left {:.1f} s later", all.until(2, [&] {
+    return !fleet.consistency(0)->view().suspect_servers.empty();
+  }));
   std::cout << fmt::format(", the first of the others sees it {:.1f} s after that\n", all.until(2, [&] {
     for (int front = 1; front < fronts; ++front) {
       if (differs(front)) {
@@ -129,7 +130,7 @@
   all.until(3, [&, from = fleet.now()] { return fleet.now() - from > 30000; });
   int off = 0;
   for (int front = 0; front < fronts; ++front) {
-    off += fleet.consistency(front)->view().cut_off;
+    off += fleet.consistency(front)->view().isolated;
   }
   std::cout << fmt::format(
       "two fifths cut off, and from discovery, for 30 s: {} of {} hold themselves cut off\n", off, all.side);
@@ -137,7 +138,7 @@
   std::cout << fmt::format("links heal, discovery stays silent to them: none cut off after {:.1f} s",
                            all.until(3, [&] {
                              for (int front = 0; front < fronts; ++front) {
-                               if (fleet.consistency(front)->view().cut_off) {
+                               if (fleet.consistency(front)->view().isolated) {
                                  return false;
                                }
                              }
@@ -145,7 +146,7 @@
                            }));
   std::cout << fmt::format(", all of them doubt who left {:.1f} s later\n", all.until(3, [&] {
     for (int front = 0; front < all.side; ++front) {
-      if (fleet.consistency(front)->view().doubted.empty()) {
+      if (fleet.consistency(front)->view().suspect_servers.empty()) {
         return false;
       }
     }
--- a/src/consistency/message.cpp
+++ b/src/consistency/message.cpp
@@ -19,19 +19,19 @@
 
 }  // namespace
 
-const char* word_of(Matter matter) {
+const char* word_of(DigestKind kind) {
   constexpr const char* words[] = {"list", "primaries", "view"};
-  return words[static_cast<int>(matter)];
+  return words[static_cast<int>(kind)];
 }
 
-std::string bytes_of(const Message& m) {
-  const auto& sums = m.account.sums;
-  const double age = m.word_age <= kOldest ? m.word_age : -1;
+std::string encode(const Message& m) {
+  const auto& sums = m.digest.sums;
+  const double age = m.discovery_age <= kOldest ? m.discovery_age : -1;
   const Json json = {kForm,
                      static_cast<int>(m.kind),
                      m.number,
-                     m.place.number,
-                     m.account.revision,
+                     m.slot.number,
+                     m.digest.revision,
                      sums[0],
                      sums[1],
                      sums[2],
@@ -40,29 +40,29 @@
   return encode_datagram(kLetter, json);
 }
 
-std::optional<Message> message_in(std::string_view bytes) {
+std::optional<Message> decode(std::string_view bytes) {
   const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
   if (!array || (*array)[0] != kForm || !(*array)[8].is_number()) {
     return std::nullopt;
   }
   const Json& json = *array;
   constexpr std::uint64_t k32 = std::numeric_limits<std::uint32_t>::max();
-  const auto kind = decode_unsigned(json[1], static_cast<int>(Kind::leave));
+  const auto kind = decode_unsigned(json[1], static_cast<int>(Kind::removed));
   const auto number = decode_unsigned(json[2], k32);
-  const auto place = decode_unsigned(json[3], kMaxSlots - 1);
+  const auto slot = decode_unsigned(json[3], kMaxSlots - 1);
   const auto revision = decode_unsigned(json[4], std::numeric_limits<std::uint64_t>::max() >> 1);
-  if (!kind || !number || !place || !revision) {
+  if (!kind || !number || !slot || !revision) {
     return std::nullopt;
   }
   Message m;
-  for (std::size_t at = 0; at < kMatters; ++at) {
+  for (std::size_t at = 0; at < kDigestKinds; ++at) {
     const auto sum = decode_unsigned(json[5 + at], k32);
     if (!sum) {
       return std::nullopt;
     }
-    m.account.sums[at] = static_cast<std::uint32_t>(*sum);
+    m.digest.sums[at] = static_cast<std::uint32_t>(*sum);
   }
-  if (!json[9].is_array() || json[9].size() > kMostMarks) {
+  if (!json[9].is_array() || json[9].size() > kMaxMarks) {
     return std::nullopt;
   }
   for (const Json& told : json[9]) {
@@ -72,12 +72,13 @@
     }
     m.marks.push_back(static_cast<std::uint32_t>(*mark));
   }
-  m.word_age = json[8].get<double>();
-  if (!std::isfinite(m.word_age) || m.word_age > kOldest || (m.word_age < 0 && m.word_age != -1)) {
+  m.discovery_age = json[8].get<double>();
+  if (!std::isfinite(m.discovery_age) || m.discovery_age > kOldest ||
+      (m.discovery_age < 0 && m.discovery_age != -1)) {
     return std::nullopt;
   }
   m.kind = static_cast<Kind>(*kind), m.number = static_cast<std::uint32_t>(*number);
-  m.place = {static_cast<int>(*place)}, m.account.revision = *revision;
+  m.slot = {static_cast<int>(*slot)}, m.digest.revision = *revision;
   return m;
 }
 
--- a/src/consistency/message.hpp
+++ b/src/consistency/message.hpp
@@ -1,4 +1,4 @@
-// What fronts tell one another of what they act on, as datagrams: CBOR behind one letter of its own. What
+// What instances tell one another of what they act on, as datagrams: CBOR behind one letter of its own. What
 // does not read as a whole is no message.
 #pragma once
 
@@ -14,35 +14,35 @@
 
 namespace reedspindle::consistency {
 
-// What fronts are compared by.
-enum class Matter { list, primaries, view };
-constexpr int kMatters = 3;
-const char* word_of(Matter matter);
+// What instances are compared by.
+enum class DigestKind { list, primaries, view };
+constexpr int kDigestKinds = 3;
+const char* word_of(DigestKind kind);
 
-// What a front acts on now: a sum over the content of each, and which of two lists is the later one.
-struct Account {
-  std::array<std::uint32_t, kMatters> sums{};
+// What an instance acts on now: a sum over the content of each, and which of two lists is the later one.
+struct StateDigest {
+  std::array<std::uint32_t, kDigestKinds> sums{};
   std::uint64_t revision = 0;  // of the list
-  [[nodiscard]] std::uint32_t of(Matter matter) const { return sums[static_cast<std::size_t>(matter)]; }
-  bool operator==(const Account&) const = default;
+  [[nodiscard]] std::uint32_t of(DigestKind kind) const { return sums[static_cast<std::size_t>(kind)]; }
+  bool operator==(const StateDigest&) const = default;
 };
 
-enum class Kind { asks, answers, checks, leave };
+enum class Kind { poll, poll_reply, check, removed };
 
 struct Message {
-  Kind kind = Kind::asks;
+  Kind kind = Kind::poll;
   std::uint32_t number = 0;  // an answer has that of its question
-  SlotId place;              // of the sender
-  Account account;
+  SlotId slot;               // of the sender
+  StateDigest digest;
   // How long ago, at most, discovery spoke to anybody that the sender hears of; below 0: it does not know.
-  Millis word_age = -1;
+  Millis discovery_age = -1;
   // checks: members that the sender holds ready; leave: those of them that the other's list does not.
   std::vector<std::uint32_t> marks;
 };
-constexpr std::size_t kMostMarks = 40;  // 24 bits each, so that a datagram holds them
+constexpr std::size_t kMaxMarks = 40;  // 24 bits each, so that a datagram holds them
 
-std::string bytes_of(const Message& message);
-std::optional<Message> message_in(std::string_view bytes);
+std::string encode(const Message& message);
+std::optional<Message> decode(std::string_view bytes);
 bool is_consistency_message(std::string_view bytes);
 
 }  // namespace reedspindle::consistency
--- a/src/faulttest/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -34,9 +34,9 @@
     quota_options.slot = {front};
     process.quota = quota::make_quota_manager(quota_options, random_());
   }
-  if (comparing_) {
-    consistency::Options consistency_options = *comparing_;
-    consistency_options.place = {front};
+  if (consistency_options_) {
+    consistency::Options consistency_options = *consistency_options_;
+    consistency_options.slot = {front};
     process.consistency = consistency::make_consistency_monitor(consistency_options, random_());
   }
   settle(front);
@@ -59,7 +59,7 @@
   settle(front, Of::quota);
 }
 
-void VirtualFleet::act(int front, const consistency::Acts& acts) {
+void VirtualFleet::act(int front, const consistency::AppliedState& acts) {
   Process& process = processes_.at(at(front));
   if (!process.consistency || process.stopped) {
     return;
@@ -73,7 +73,7 @@
   if (!process.consistency || process.stopped) {
     return;
   }
-  process.consistency->enqueue(consistency::Confirmed{});
+  process.consistency->enqueue(consistency::DiscoveryAnswered{});
   settle(front, Of::consistency);
 }
 
--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -58,8 +58,8 @@
     return processes_.at(at(front)).quota.get();
   }
   // From their next start on the processes compare what they act on, too.
-  void compare(const consistency::Options& options) { comparing_ = options; }
-  void act(int front, const consistency::Acts& acts);
+  void compare(const consistency::Options& options) { consistency_options_ = options; }
+  void act(int front, const consistency::AppliedState& acts);
   void confirm(int front);  // discovery speaks to it
   [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int front) const {
     return processes_.at(at(front)).consistency.get();
@@ -137,7 +137,7 @@
   const membership::Options membership_options_;
   const Maker maker_;
   std::optional<quota::Options> quota_options_;
-  std::optional<consistency::Options> comparing_;
+  std::optional<consistency::Options> consistency_options_;
   std::minstd_rand random_;
   std::vector<Process> processes_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -39,7 +39,7 @@
   });
   if (fleet.consistency) {
     consistency::Options options = *fleet.consistency;
-    options.place = membership_options_.slot;
+    options.slot = membership_options_.slot;
     consistency_.core = consistency::make_consistency_monitor(options, config.seed);
     peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
       compare(DatagramReceived{{peer}, std::move(bytes)});
@@ -81,9 +81,9 @@
   if (!list.last) {
     return;
   }
-  list_.learn(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
+  list_.apply(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
   if (list.kind != EndpointListKind::saved) {
-    compare(consistency::Confirmed{});
+    compare(consistency::DiscoveryAnswered{});
   }
 }
 
@@ -168,15 +168,15 @@
   if (!consistency_.core) {
     return;
   }
-  consistency::Account account;
-  account.revision = list_.revision();
-  account.sums = {list_.sum(), consistency::sum_of_primaries(steered_()),
-                  consistency::sum_of_view(there(), membership_options_.slot)};
+  consistency::StateDigest digest;
+  digest.revision = list_.revision();
+  digest.sums = {list_.digest(), consistency::digest_of_primaries(steered_()),
+                 consistency::digest_of_view(there(), membership_options_.slot)};
   std::set<std::uint32_t> ready;
   for (const auto& [mark, entry] : list_.ready()) {
     ready.insert(mark);
   }
-  compare(consistency::Acts{account, std::move(ready)});
+  compare(consistency::AppliedState{digest, std::move(ready)});
   write_later();
   acts_ = timers_.set(clock_.now() + acts_pace_, [this] { acts_.reset(), tell_acts(); });
 }
@@ -193,8 +193,8 @@
   if (quota_.core) {
     among.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
   }
-  const consistency::Allowed allowed = consistency_.core->view().allowed;
-  among.primary_only_allowed = allowed.writes, among.reads_allowed = allowed.reads;
+  const consistency::Admission admission = consistency_.core->view().admission;
+  among.primary_only_allowed = admission.writes, among.reads_allowed = admission.reads;
   if (among == told_) {
     return;
   }
@@ -244,48 +244,48 @@
   write_later();
 }
 
-void FleetCoordinator::carry_out(const consistency::Found& decision) {
-  using consistency::Finding;
+void FleetCoordinator::carry_out(const consistency::ConsistencyReport& decision) {
+  using consistency::ConsistencyEvent;
   write_later();
-  const long long ms = std::llround(decision.span);
-  const char* event = word_of(decision.finding);
-  switch (decision.finding) {
-    case Finding::differs:
+  const long long ms = std::llround(decision.duration);
+  const char* event = word_of(decision.event);
+  switch (decision.event) {
+    case ConsistencyEvent::diverged:
       return log_.warn("accord", event,
-                       {{"in", word_of(decision.matter)},
-                        {"first", decision.place.number},
+                       {{"in", word_of(decision.kind)},
+                        {"first", decision.slot.number},
                         {"ms", ms},
-                        {"mine", decision.mine.of(decision.matter)},
-                        {"theirs", decision.theirs.of(decision.matter)},
-                        {"my_revision", decision.mine.revision},
-                        {"their_revision", decision.theirs.revision}});
-    case Finding::agrees:
-      return log_.info("accord", event, {{"in", word_of(decision.matter)}, {"ms", ms}});
-    case Finding::in_touch:
+                        {"mine", decision.local.of(decision.kind)},
+                        {"theirs", decision.remote.of(decision.kind)},
+                        {"my_revision", decision.local.revision},
+                        {"their_revision", decision.remote.revision}});
+    case ConsistencyEvent::converged:
+      return log_.info("accord", event, {{"in", word_of(decision.kind)}, {"ms", ms}});
+    case ConsistencyEvent::reconnected:
       return log_.info("accord", event, {{"ms", ms}});
     default:
       return log_.warn("accord", event, {{"ms", ms}});
   }
 }
 
-void FleetCoordinator::carry_out(const consistency::Allowed& /*unused*/) { tell_module(); }
+void FleetCoordinator::carry_out(const consistency::Admission& /*unused*/) { tell_module(); }
 
 // To the module it is as if the list said that these drain, and that the others do as it says itself.
-void FleetCoordinator::carry_out(const consistency::Doubted& decision) {
+void FleetCoordinator::carry_out(const consistency::SuspectServers& decision) {
   EndpointListReceived read{EndpointListKind::changes, {}};
   for (auto& [mark, entry] : list_.ready()) {
-    const bool doubted = decision.marks.contains(mark);
-    if (doubted == doubted_.contains(mark)) {
+    const bool suspect = decision.marks.contains(mark);
+    if (suspect == suspect_servers_.contains(mark)) {
       continue;
     }
     read.servers.push_back(entry);
-    if (doubted) {
+    if (suspect) {
       read.servers.back().state = ServerState::draining;
     }
-    log_.warn("accord", doubted ? "a later list has it no more" : "its own list counts again",
+    log_.warn("accord", suspect ? "a later list has it no more" : "its own list counts again",
               {{"member", entry.id.address}});
   }
-  doubted_ = decision.marks;
+  suspect_servers_ = decision.marks;
   if (!read.servers.empty()) {
     listed_(std::move(read));
   }
@@ -343,16 +343,16 @@
   nlohmann::json consistency;
   if (consistency_.core) {
     const consistency::View compared = consistency_.core->view();
-    consistency = {{"contact", std::llround(compared.contact)},
-                   {"cut_off", compared.cut_off},
-                   {"writes", compared.allowed.writes},
-                   {"reads", compared.allowed.reads},
-                   {"doubted", compared.doubted.size()},
+    consistency = {{"contact", std::llround(compared.last_contact)},
+                   {"cut_off", compared.isolated},
+                   {"writes", compared.admission.writes},
+                   {"reads", compared.admission.reads},
+                   {"doubted", compared.suspect_servers.size()},
                    {"dropped", compared.dropped},
                    {"revision", list_.revision()}};
-    for (int matter = 0; matter < consistency::kMatters; ++matter) {
-      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(matter)];
-      consistency[word_of(static_cast<consistency::Matter>(matter))] = {
+    for (int kind = 0; kind < consistency::kDigestKinds; ++kind) {
+      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(kind)];
+      consistency[word_of(static_cast<consistency::DigestKind>(kind))] = {
           {"differ", difference.differ},
           {"compared", difference.compared},
           {"since", std::llround(difference.since)},
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -55,9 +55,9 @@
   void carry_out(const quota::LeaseReport& decision);
   void carry_out(const quota::AllocationChanged& decision);
   void compare(consistency::Event event);
-  void carry_out(const consistency::Found& decision);
-  void carry_out(const consistency::Allowed& decision);
-  void carry_out(const consistency::Doubted& decision);
+  void carry_out(const consistency::ConsistencyReport& decision);
+  void carry_out(const consistency::Admission& decision);
+  void carry_out(const consistency::SuspectServers& decision);
   [[nodiscard]] std::set<SlotId> there() const;
   void tell_need();
   void tell_acts();
@@ -87,9 +87,9 @@
   const Among among_;
   const Listed listed_;
   const Steered steered_;
-  consistency::ListHeld list_;
-  std::vector<ServerEntry> parts_;   // of the list that is being read
-  std::set<std::uint32_t> doubted_;  // marks of members
+  consistency::EndpointListState list_;
+  std::vector<ServerEntry> parts_;           // of the list that is being read
+  std::set<std::uint32_t> suspect_servers_;  // marks of members
   int places_;
   FleetViewChanged told_;  // the module
   std::optional<net::Timers::Handle> write_, need_, acts_;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -47,10 +47,10 @@
   }
   if (told.contains("accord")) {
     const nlohmann::json& of = told["accord"];
-    consistency::Options& charge = fleet.consistency.emplace();
-    charge.pace = of["pace"], charge.grace = of["grace"], charge.silence = of["silence"];
-    charge.writes_for = of.value("writes-for", charge.writes_for);
-    charge.reads_for = of.value("reads-for", charge.reads_for);
+    consistency::Options& options = fleet.consistency.emplace();
+    options.pace = of["pace"], options.grace = of["grace"], options.silence = of["silence"];
+    options.writes_for = of.value("writes-for", options.writes_for);
+    options.reads_for = of.value("reads-for", options.reads_for);
   }
   if (told.contains("resends")) {
     orders.values["resends.share"] = told["resends"]["share"].get<double>();
--- a/tests/consistency.cpp
+++ b/tests/consistency.cpp
@@ -16,15 +16,15 @@
 using reedspindle::Millis;
 
 std::map<SlotId, std::uint32_t> asked;  // the last question to each
-std::map<SlotId, Account> said;         // by each, last
+std::map<SlotId, StateDigest> said;     // by each, last
 
 void print(const SendDatagram& tell) {
-  const auto message = message_in(tell.bytes);
-  if (message->kind == Kind::asks || message->kind == Kind::checks) {
+  const auto message = decode(tell.bytes);
+  if (message->kind == Kind::poll || message->kind == Kind::check) {
     asked[tell.to] = message->number;
   }
-  if (message->kind == Kind::checks || message->kind == Kind::leave) {
-    std::cout << fmt::format("  {} {}:", message->kind == Kind::checks ? "checks with" : "tells who leave",
+  if (message->kind == Kind::check || message->kind == Kind::removed) {
+    std::cout << fmt::format("  {} {}:", message->kind == Kind::check ? "checks with" : "tells who leave",
                              tell.to.number);
     for (const std::uint32_t mark : message->marks) {
       std::cout << ' ' << mark;
@@ -32,57 +32,57 @@
     std::cout << '\n';
     return;
   }
-  std::cout << fmt::format("  {} {}, list {}{}\n", message->kind == Kind::asks ? "asks" : "answers",
-                           tell.to.number, message->account.of(Matter::list),
-                           message->word_age < 0 ? "" : fmt::format(", word {} ms old", message->word_age));
+  std::cout << fmt::format(
+      "  {} {}, list {}{}\n", message->kind == Kind::poll ? "asks" : "answers", tell.to.number,
+      message->digest.of(DigestKind::list),
+      message->discovery_age < 0 ? "" : fmt::format(", word {} ms old", message->discovery_age));
 }
 void print(const RequestWakeup& /*unused*/) {}
-void print(const Found& found) {
-  std::cout << "  " << word_of(found.finding);
-  if (found.finding == Finding::differs || found.finding == Finding::agrees) {
-    std::cout << fmt::format(" in {}, first {}", word_of(found.matter), found.place.number);
+void print(const ConsistencyReport& found) {
+  std::cout << "  " << word_of(found.event);
+  if (found.event == ConsistencyEvent::diverged || found.event == ConsistencyEvent::converged) {
+    std::cout << fmt::format(" in {}, first {}", word_of(found.kind), found.slot.number);
   }
-  if (found.finding == Finding::differs) {
-    std::cout << fmt::format(", {} here, {} there", found.mine.of(found.matter),
-                             found.theirs.of(found.matter));
+  if (found.event == ConsistencyEvent::diverged) {
+    std::cout << fmt::format(", {} here, {} there", found.local.of(found.kind), found.remote.of(found.kind));
   }
-  std::cout << fmt::format(", {} ms\n", found.span);
+  std::cout << fmt::format(", {} ms\n", found.duration);
 }
-void print(const Doubted& doubted) {
+void print(const SuspectServers& doubted) {
   std::cout << "  doubts:";
   for (const std::uint32_t mark : doubted.marks) {
     std::cout << ' ' << mark;
   }
   std::cout << '\n';
 }
-void print(const Allowed& allowed) {
+void print(const Admission& allowed) {
   std::cout << fmt::format("  writes {} reads {}\n", allowed.writes, allowed.reads);
 }
 
-Account account_in(std::istream& line) {
-  Account account;
+StateDigest digest_in(std::istream& line) {
+  StateDigest digest;
   std::string word;
   while (line >> word && word != "word") {
     std::uint32_t sum = 0;
     line >> sum;
     if (word == "list") {
-      account.sums[0] = sum, account.revision = sum;
+      digest.sums[0] = sum, digest.revision = sum;
     }
     if (word == "primaries") {
-      account.sums[1] = sum;
+      digest.sums[1] = sum;
     }
     if (word == "view") {
-      account.sums[2] = sum;
+      digest.sums[2] = sum;
     }
   }
-  return account;
+  return digest;
 }
 }  // namespace
 
 int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
-  Options charge;
-  charge.place = {0};
+  Options options;
+  options.slot = {0};
   std::unique_ptr<ConsistencyMonitor> consistency;
   std::set<std::uint32_t> ready;
   for (std::string text; std::getline(file, text);) {
@@ -99,13 +99,13 @@
     if (word == "given") {
       Millis value = 0;
       line >> word >> value;
-      (word == "writes-for"  ? charge.writes_for
-       : word == "reads-for" ? charge.reads_for
-                             : charge.silence) = value;
+      (word == "writes-for"  ? options.writes_for
+       : word == "reads-for" ? options.reads_for
+                             : options.silence) = value;
       continue;
     }
     if (!consistency) {
-      consistency = make_consistency_monitor(charge, 7);
+      consistency = make_consistency_monitor(options, 7);
     }
     int place = 0;
     if (word == "at") {
@@ -116,13 +116,13 @@
       }
     } else if (word == "there") {  // "there 4: 1 2 3", of four that count
       PeersChanged fellows;
-      line >> fellows.counted >> word;
+      line >> fellows.fleet_size >> word;
       while (line >> place) {
-        fellows.there.insert({place});
+        fellows.alive.insert({place});
       }
       consistency->enqueue(std::move(fellows));
     } else if (word == "acts") {
-      Acts acts{account_in(line), ready};
+      AppliedState acts{digest_in(line), ready};
       consistency->enqueue(std::move(acts));
     } else if (word == "ready") {  // marks, from the next acts on
       ready.clear();
@@ -130,48 +130,48 @@
         ready.insert(mark);
       }
     } else if (word == "check" || word == "leave") {  // "check 3 4 11 12" (revision 4), "leave 3 12"
-      Message message{word == "check" ? Kind::checks : Kind::leave, 1, {}, {}, -1, {}};
-      line >> message.place.number;
-      message.number = asked[message.place];
+      Message message{word == "check" ? Kind::check : Kind::removed, 1, {}, {}, -1, {}};
+      line >> message.slot.number;
+      message.number = asked[message.slot];
       if (word == "leave") {
-        message.account = said[message.place];
+        message.digest = said[message.slot];
       }
       if (word == "check") {
-        line >> message.account.revision;
+        line >> message.digest.revision;
       }
       for (std::uint32_t mark = 0; line >> mark;) {
         message.marks.push_back(mark);
       }
-      consistency->enqueue(DatagramReceived{message.place, bytes_of(message)});
+      consistency->enqueue(DatagramReceived{message.slot, encode(message)});
     } else if (word == "confirmed") {
-      consistency->enqueue(Confirmed{});
+      consistency->enqueue(DiscoveryAnswered{});
     } else if (word == "ask" || word == "answer") {
       line >> place;
       Message message{
-          word == "ask" ? Kind::asks : Kind::answers, asked[{place}], {place}, account_in(line), -1, {}};
-      if (!(line >> message.word_age)) {
-        message.word_age = -1;
+          word == "ask" ? Kind::poll : Kind::poll_reply, asked[{place}], {place}, digest_in(line), -1, {}};
+      if (!(line >> message.discovery_age)) {
+        message.discovery_age = -1;
       }
-      said[{place}] = message.account;
-      consistency->enqueue(DatagramReceived{{place}, bytes_of(message)});
+      said[{place}] = message.digest;
+      consistency->enqueue(DatagramReceived{{place}, encode(message)});
     } else if (word == "as") {  // "as 2 ask 3": in another's name
       int other = 0;
       line >> place >> word >> other;
-      consistency->enqueue(DatagramReceived{{place}, bytes_of({Kind::asks, 1, {other}, {}, -1, {}})});
+      consistency->enqueue(DatagramReceived{{place}, encode({Kind::poll, 1, {other}, {}, -1, {}})});
     } else if (word == "cut-short") {  // any datagram without its last byte
       line >> place;
-      const std::string bytes = bytes_of({Kind::asks, 1, {place}, {}, 5, {}});
+      const std::string bytes = encode({Kind::poll, 1, {place}, {}, 5, {}});
       consistency->enqueue(DatagramReceived{{place}, bytes.substr(0, bytes.size() - 1)});
     } else if (word == "view") {
       const View view = consistency->view();
-      for (int matter = 0; matter < kMatters; ++matter) {
-        const Difference& is = view.differences[static_cast<std::size_t>(matter)];
-        std::cout << fmt::format("  {}: {} of {} differ{}{}\n", word_of(static_cast<Matter>(matter)),
+      for (int kind = 0; kind < kDigestKinds; ++kind) {
+        const Difference& is = view.differences[static_cast<std::size_t>(kind)];
+        std::cout << fmt::format("  {}: {} of {} differ{}{}\n", word_of(static_cast<DigestKind>(kind)),
                                  is.differ, is.compared, is.behind ? ", behind" : "",
                                  is.since > 0 ? fmt::format(", since {}", is.since) : "");
       }
-      std::cout << fmt::format("  contact {}{}, {} dropped\n", view.contact, view.cut_off ? ", cut off" : "",
-                               view.dropped);
+      std::cout << fmt::format("  contact {}{}, {} dropped\n", view.last_contact,
+                               view.isolated ? ", cut off" : "", view.dropped);
     } else {
       std::cout << "  not known\n";
     }
--- a/tests/consistency_properties.cpp
+++ b/tests/consistency_properties.cpp
@@ -49,9 +49,9 @@
     tell(front);
   }
   void tell(int front) {
-    consistency::Acts acts;
-    acts.account.revision = held[static_cast<std::size_t>(front)] + 1;
-    acts.account.sums = {static_cast<std::uint32_t>(acts.account.revision), 1, 1};
+    consistency::AppliedState acts;
+    acts.digest.revision = held[static_cast<std::size_t>(front)] + 1;
+    acts.digest.sums = {static_cast<std::uint32_t>(acts.digest.revision), 1, 1};
     acts.ready = lists[held[static_cast<std::size_t>(front)]];
     fleet.act(front, acts);
   }
@@ -80,14 +80,14 @@
         continue;
       }
       const consistency::View view = fleet.consistency(front)->view();
-      for (const std::uint32_t mark : view.doubted) {
+      for (const std::uint32_t mark : view.suspect_servers) {
         bool gone = false;
         for (std::size_t later = held[static_cast<std::size_t>(front)] + 1; later < lists.size(); ++later) {
           gone = gone || !lists[later].contains(mark);
         }
         RC_ASSERT(gone);
       }
-      if (!view.allowed.writes) {
+      if (!view.admission.writes) {
         RC_ASSERT(fleet.now() - spoke[front] > options.writes_for);
       }
     }
@@ -162,7 +162,7 @@
     world.run(20000);
     for (int front = 0; front < fronts; ++front) {
       const consistency::View view = fleet.consistency(front)->view();
-      RC_ASSERT(view.allowed.writes && !view.cut_off && view.doubted.empty());
+      RC_ASSERT(view.admission.writes && !view.isolated && view.suspect_servers.empty());
       for (const consistency::Difference& difference : view.differences) {
         RC_ASSERT(difference.differ == 0 && difference.compared > 0);
       }
@@ -180,11 +180,11 @@
         world.change(false, mark);
         // In a round of questions it has met one who has the later list, and asked what that one has no more.
         world.run(world.options.pace * (fronts + 4));
-        RC_ASSERT(world.fleet.consistency(deaf)->view().doubted == std::set<std::uint32_t>{mark});
-        RC_ASSERT(world.fleet.consistency(deaf)->view().allowed.writes);
+        RC_ASSERT(world.fleet.consistency(deaf)->view().suspect_servers == std::set<std::uint32_t>{mark});
+        RC_ASSERT(world.fleet.consistency(deaf)->view().admission.writes);
         world.mute.clear();
         world.run(200);
-        RC_ASSERT(world.fleet.consistency(deaf)->view().doubted.empty());
+        RC_ASSERT(world.fleet.consistency(deaf)->view().suspect_servers.empty());
       });
   return !(held && careful);
 }
--- a/tests/datagram_codec.cpp
+++ b/tests/datagram_codec.cpp
@@ -45,11 +45,11 @@
 
 int main() {
   int failures = 0;
-  failures += expect_no_message("consistency", consistency::message_in,
+  failures += expect_no_message("consistency", consistency::decode,
                                 "418a01010318531a6687d11abbdd74f21a3b1a1936fa4730ae0080");
   failures += expect_no_message("quota", quota::decode,
                                 "538c00019b181d000b00064748461fe2401ac8813d4d02000000fa00000000");
-  failures += expect_no_message_of_huge_claims("consistency", "41", consistency::message_in);
+  failures += expect_no_message_of_huge_claims("consistency", "41", consistency::decode);
   failures += expect_no_message_of_huge_claims("quota", "53", quota::decode);
   failures += expect_no_message_of_huge_claims("membership", "4d", membership::decode);
   return failures == 0 ? 0 : 1;
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -99,17 +99,17 @@
     consistency::Message message;
     message.kind = static_cast<consistency::Kind>(draws_.below(4));
     message.number = number(2000000000);
-    message.place = {place()};
-    for (std::uint32_t& sum : message.account.sums) {
+    message.slot = {place()};
+    for (std::uint32_t& sum : message.digest.sums) {
       sum = number(2000000000);
     }
-    message.account.revision = number(1000000);
-    message.word_age = draws_.one_in(2) ? -1 : draws_.below(90000);
+    message.digest.revision = number(1000000);
+    message.discovery_age = draws_.one_in(2) ? -1 : draws_.below(90000);
     const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
     for (int mark = 0; mark < marks; ++mark) {
       message.marks.push_back(number(1 << 24));
     }
-    return consistency::bytes_of(message);
+    return consistency::encode(message);
   }
 
   void play(const std::string& bytes) {
@@ -134,7 +134,7 @@
     if (question) {
       digest_.add(fmt::format("question {}", *question));
     }
-    const auto account = consistency::message_in(bytes);
+    const auto account = consistency::decode(bytes);
     if (account) {
       add(*account);
     }
@@ -162,8 +162,8 @@
   }
   void add(const consistency::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
-                            message.place.number, message.account.sums[0], message.account.sums[1],
-                            message.account.sums[2], message.account.revision, message.word_age));
+                            message.slot.number, message.digest.sums[0], message.digest.sums[1],
+                            message.digest.sums[2], message.digest.revision, message.discovery_age));
     for (const std::uint32_t mark : message.marks) {
       digest_.add(fmt::format("mark {}", mark));
     }
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -31,13 +31,13 @@
 
  private:
   std::unique_ptr<ConsistencyMonitor> make(int front) override {
-    Options charge;
-    charge.place = {front};
-    charge.silence = odd_ ? 3000 : 10000;
-    charge.writes_for = odd_ ? 8000 : 20000;
-    charge.reads_for = odd_ ? 12000 : 40000;
-    lists_[static_cast<std::size_t>(front)] = ListHeld();
-    return make_consistency_monitor(charge, static_cast<std::uint64_t>(draws.below(1000000)));
+    Options options;
+    options.slot = {front};
+    options.silence = odd_ ? 3000 : 10000;
+    options.writes_for = odd_ ? 8000 : 20000;
+    options.reads_for = odd_ ? 12000 : 40000;
+    lists_[static_cast<std::size_t>(front)] = EndpointListState();
+    return make_consistency_monitor(options, static_cast<std::uint64_t>(draws.below(1000000)));
   }
   void heard(int front, int from, const std::string& bytes) override {
     at(front).core->enqueue(DatagramReceived{{from}, bytes});
@@ -51,7 +51,7 @@
     return entry;
   }
   void list(int front) {
-    ListHeld& held = lists_[static_cast<std::size_t>(front)];
+    EndpointListState& held = lists_[static_cast<std::size_t>(front)];
     std::vector<ServerEntry> members;
     const int count = draws.below(4);
     for (int number = 0; number < count; ++number) {
@@ -62,8 +62,8 @@
     if (!behind) {
       ++revision_;
     }
-    held.learn(kind, revision_, members);
-    Acts acts;
+    held.apply(kind, revision_, members);
+    AppliedState acts;
     for (const auto& [mark, entry] : held.ready()) {
       acts.ready.insert(mark);
       digest.add(fmt::format("ready {} {}", mark, entry.id.address));
@@ -81,10 +81,10 @@
         there.insert({other});
       }
     }
-    acts.account.sums = {held.sum(), sum_of_primaries(views), sum_of_view(there, {front})};
-    acts.account.revision = held.revision();
-    digest.add(fmt::format("{} {} acts on {} {} {} {}", now, front, acts.account.sums[0],
-                           acts.account.sums[1], acts.account.sums[2], acts.account.revision));
+    acts.digest.sums = {held.digest(), digest_of_primaries(views), digest_of_view(there, {front})};
+    acts.digest.revision = held.revision();
+    digest.add(fmt::format("{} {} acts on {} {} {} {}", now, front, acts.digest.sums[0], acts.digest.sums[1],
+                           acts.digest.sums[2], acts.digest.revision));
     at(front).core->enqueue(acts);
   }
   void happen(int front) override {
@@ -93,15 +93,15 @@
       PeersChanged fellows;
       for (int other = 0; other < kFronts; ++other) {
         if (other != front && (at(other).core || draws.one_in(10))) {
-          fellows.there.insert({other});
+          fellows.alive.insert({other});
         }
       }
-      fellows.counted = kFronts - draws.below(2);
+      fellows.fleet_size = kFronts - draws.below(2);
       at(front).core->enqueue(fellows);
     } else if (kind < 5) {
       list(front);
     } else if (kind == 5 && now >= silent_) {
-      at(front).core->enqueue(Confirmed{});
+      at(front).core->enqueue(DiscoveryAnswered{});
     } else if (kind == 6 && draws.one_in(10)) {
       silent_ = now + draws.below(60000);
     } else {
@@ -113,21 +113,21 @@
     Message message;
     message.kind = static_cast<Kind>(draws.below(4));
     message.number = static_cast<std::uint32_t>(draws.below(300));
-    message.place = {draws.below(kFronts + 1)};
-    for (std::uint32_t& sum : message.account.sums) {
+    message.slot = {draws.below(kFronts + 1)};
+    for (std::uint32_t& sum : message.digest.sums) {
       sum = static_cast<std::uint32_t>(draws.below(50));
     }
-    message.account.revision = static_cast<std::uint64_t>(draws.below(300));
-    message.word_age = draws.below(5000) - 1000;
-    const int marks = message.kind == Kind::checks || message.kind == Kind::leave ? draws.below(6) : 0;
+    message.digest.revision = static_cast<std::uint64_t>(draws.below(300));
+    message.discovery_age = draws.below(5000) - 1000;
+    const int marks = message.kind == Kind::check || message.kind == Kind::removed ? draws.below(6) : 0;
     for (int number = 0; number < marks; ++number) {
       message.marks.push_back(static_cast<std::uint32_t>(draws.below(1 << 24)));
     }
-    const std::string bytes = bytes_of(message);
+    const std::string bytes = encode(message);
     digest.add(fmt::format("to {} drawn {}", front, digests::hex(bytes)));
     return bytes;
   }
-  void read(const std::string& bytes) override { message_in(bytes); }
+  void read(const std::string& bytes) override { decode(bytes); }
   void take(int front) override {
     for (const auto& decision : at(front).core->process(clock(front))) {
       std::visit([this, front](const auto& one) { take(front, one); }, decision);
@@ -138,18 +138,18 @@
     digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
     wake(front, wanted.at);
   }
-  static std::string text_of(const Account& account) {
-    return fmt::format("{}/{}/{}/{}", account.sums[0], account.sums[1], account.sums[2], account.revision);
+  static std::string text_of(const StateDigest& digest) {
+    return fmt::format("{}/{}/{}/{}", digest.sums[0], digest.sums[1], digest.sums[2], digest.revision);
   }
-  void take(int front, const Found& found) {
-    digest.add(fmt::format("{} {} finds {} {} {} {} {} {:.3f}", now, front, static_cast<int>(found.finding),
-                           static_cast<int>(found.matter), found.place.number, text_of(found.mine),
-                           text_of(found.theirs), found.span));
+  void take(int front, const ConsistencyReport& found) {
+    digest.add(fmt::format("{} {} finds {} {} {} {} {} {:.3f}", now, front, static_cast<int>(found.event),
+                           static_cast<int>(found.kind), found.slot.number, text_of(found.local),
+                           text_of(found.remote), found.duration));
   }
-  void take(int front, const Allowed& allowed) {
+  void take(int front, const Admission& allowed) {
     digest.add(fmt::format("{} {} may {} {}", now, front, allowed.writes, allowed.reads));
   }
-  void take(int front, const Doubted& doubted) {
+  void take(int front, const SuspectServers& doubted) {
     digest.add(fmt::format("{} {} doubts {}", now, front, doubted.marks.size()));
     for (const std::uint32_t mark : doubted.marks) {
       digest.add(fmt::format("doubts {}", mark));
@@ -157,8 +157,9 @@
   }
   void show(int front) override {
     const View view = at(front).core->view();
-    digest.add(fmt::format("{} view {:.3f} {} {} {} {} {}", front, view.contact, view.cut_off,
-                           view.allowed.writes, view.allowed.reads, view.doubted.size(), view.dropped));
+    digest.add(fmt::format("{} view {:.3f} {} {} {} {} {}", front, view.last_contact, view.isolated,
+                           view.admission.writes, view.admission.reads, view.suspect_servers.size(),
+                           view.dropped));
     for (const Difference& one : view.differences) {
       digest.add(fmt::format("differ {} {} {:.3f} {} {}", one.differ, one.compared, one.since,
                              one.first.number, one.behind));
@@ -168,7 +169,7 @@
   const bool odd_;
   std::uint64_t revision_ = 1;
   Millis silent_ = 0;
-  std::array<ListHeld, kFronts> lists_;
+  std::array<EndpointListState, kFronts> lists_;
 };
 
 }  // namespace
