--- /dev/null
+++ b/src/membership/membership_impl.hpp
@@ -0,0 +1,213 @@
+// The implementation of Membership: its state and the declarations of its parts. Each part is defined in a
+// file of its own; all of them run on the thread that calls process().
+#pragma once
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <functional>
+#include <limits>
+#include <map>
+#include <optional>
+#include <random>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "membership/peer_table.hpp"
+
+namespace reedspindle::membership {
+
+inline constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
+
+// Values from the literature: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018).
+inline constexpr int kIndirectProbers = 3;  // members asked for an indirect probe
+inline constexpr int kMaxSuspecters = 3;    // independent suspicions that shorten the timeout to its minimum
+inline constexpr double kMaxSuspicionFactor = 6;  // longest suspicion, in shortest ones
+// Upper bound of the local health score. Lifeguard has 8; with it two survivors of eight took 25 s instead of
+// 18 s to detect six failures (virtual time, one run).
+inline constexpr int kMaxHealthScore = 3;
+inline constexpr double kRetransmitFactor = 4;  // transmissions of an update, times log10 of the fleet's size
+inline constexpr double kNackTimeoutShare = 0.8;  // of the probe timeout, until a nack is sent
+
+// Values of this implementation. A pace is the protocol period, Options::pace.
+inline constexpr int kLeaveRecipients = 8;          // members notified directly of a graceful shutdown
+inline constexpr int kMaxUpdatesOfRange = 8;        // in one anti-entropy datagram, for names of 8 bytes
+inline constexpr double kEmptySlotPingPaces = 2;    // between two pings of empty slots
+inline constexpr double kAntiEntropyPaces = 10;     // between two anti-entropy exchanges
+inline constexpr int kAntiEntropyBudget = 16;       // anti-entropy datagrams sent in one pace at most
+inline constexpr int kMaxIndirectProbes = 64;       // run for other members at a time
+inline constexpr int kMaxDatagramsPerPace = 64;     // accepted from one slot; the protocol needs under ten
+inline constexpr int kNameConflictTries = 3;        // pings of the other process until it counts as gone
+inline constexpr Millis kMaxClockAhead = 86400000;  // one day: incarnations further ahead are rejected
+inline constexpr double kNameConflictRetryPaces =
+    20;  // after yielding, until the other process is pinged again
+
+class MembershipImpl final : public Membership {
+ public:
+  MembershipImpl(const Options& options, std::uint64_t seed)
+      : options_(options),
+        random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
+        peers_(options.most),
+        datagrams_from_(static_cast<std::size_t>(options.slots)) {}
+
+  void enqueue(Event event) override { events_.push_back(std::move(event)); }
+
+  std::vector<Decision> process(Millis now) override;
+
+  [[nodiscard]] View view() const override;
+
+ private:
+  // The probe of the current protocol period.
+  struct Probe {
+    std::string name;
+    SlotId slot;
+    std::uint32_t number = 0;
+    Millis sent = 0;
+    bool indirect_sent = false;
+    int helpers = 0, nacks = 0;
+  };
+  // A probe on behalf of another member.
+  struct IndirectProbe {
+    SlotId requester, slot;
+    std::uint32_t requester_sequence = 0, number = 0;
+    Millis until = 0;
+  };
+  // An update in dissemination.
+  struct QueuedUpdate {
+    GossipUpdate update;
+    int sent = 0;
+  };
+  // Another process with the name of this instance.
+  struct NameConflict {
+    SlotId slot;
+    Incarnation incarnation;
+    int tries = 0;
+    Millis next = 0;
+  };
+
+  void start(Millis now);
+
+  // After a pause of this process missing acks say nothing about the peers: sets the health score to its
+  // maximum and extends suspicions by the length of the pause.
+  void detect_pause(Millis now);
+
+  void on(const SlotCountChanged& listed);
+
+  void on(const Leaving& /*unused*/);
+
+  void on(const DatagramReceived& datagram);
+
+  // Whether an incarnation is not too far ahead of this clock: one near the maximum could not be overridden.
+  [[nodiscard]] bool is_plausible(Incarnation incarnation) const;
+
+  // Applies what a message says about its sender. Returns the update that the sender should refute, if any.
+  std::optional<GossipUpdate> observe_sender(const Message& message);
+
+  void handle(const Message& message, const std::optional<GossipUpdate>& outdated);
+
+  void handle_ack(const Message& message);
+
+  void receive_update(const GossipUpdate& update);
+
+  // Counts an independent suspicion, which shortens the timeout, and disseminates it.
+  void confirm_suspicion(Peer& peer, SlotId suspected_by);
+
+  // Applies an update that overrides the stored one.
+  void apply_update(GossipUpdate update);
+
+  void receive_update_of_self(const GossipUpdate& update);
+
+  void raise_incarnation(Incarnation above);
+
+  void note_name_conflict(SlotId slot, Incarnation incarnation);
+
+  // Of two live processes with one name the one that started later yields; with equal starts, the one with
+  // the higher slot. Both decide by the same values, so exactly one yields.
+  void resolve_name_conflict(const Message& message);
+
+  void probe_name_conflict();
+
+  [[nodiscard]] Millis scaled_by_health(Millis duration) const { return duration * (1 + health_); }
+
+  void probe();
+
+  // Sends a ping, with the update about its receiver where there is one.
+  void ping(SlotId slot, const GossipUpdate* update = nullptr);
+
+  void handle_probe_timeout(const Probe& probe);
+
+  // Round robin over a random permutation that is drawn anew each round: SWIM's bound on detection time.
+  const Peer* next_probe_target();
+
+  // Slots of up to count random members, without the given one.
+  std::vector<SlotId> random_members(int count, SlotId without);
+
+  void start_indirect_probe(const Message& message);
+
+  void expire_indirect_probes();
+
+  // Turns suspicions past their deadline into failures. The fewer members share one, the later its deadline.
+  void expire_suspicions();
+
+  [[nodiscard]] Millis min_suspicion() const;
+
+  [[nodiscard]] Millis suspicion_deadline(const Peer& peer) const;
+
+  // Pings slots without a known member: at the start, after a partition, and after the list has grown.
+  void ping_empty_slots();
+
+  void start_anti_entropy();
+
+  void send_digest(SlotId to, Range range);
+
+  void handle_digest(const Message& message);
+
+  void handle_updates(const Message& message);
+
+  // Sends the updates of a range without those the peer has sent; digests of its children where they are
+  // many.
+  void send_range(SlotId to, Range range, bool is_reply, const std::vector<GossipUpdate>* sent = nullptr);
+
+  [[nodiscard]] GossipUpdate self() const;
+
+  void disseminate(const GossipUpdate& update) { queue_[update.name] = {update, 0}; }
+
+  // Sends a message; queued updates fill the datagram, those sent least often first.
+  void send(SlotId to, Kind kind, std::uint32_t number, const std::function<void(Message&)>& fill);
+  void send(SlotId to, Kind kind, std::uint32_t number);
+
+  void report_change(const GossipUpdate& update, PeerEvent event);
+  void report(SelfEvent event, SlotId slot, Millis duration = 0);
+
+  void schedule_wakeup();
+
+  double random_fraction() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
+
+  Options options_;
+  const SlotId slot_ = options_.slot;
+  std::minstd_rand random_;
+  std::vector<Event> events_;
+  std::vector<Decision> decisions_;
+  PeerTable peers_;
+  std::vector<std::string> ring_;  // names of members in probe order
+  std::size_t ring_position_ = 0;
+  std::map<std::string, QueuedUpdate> queue_;
+  std::optional<Probe> probe_;
+  std::vector<IndirectProbe> indirect_probes_;
+  std::optional<NameConflict> name_conflict_;
+  std::optional<SlotId> sync_with_;
+  std::array<std::pair<std::uint32_t, SlotId>, 16> recent_pings_{};  // sequence and slot
+  std::size_t last_ping_ = 0;
+  std::vector<int> datagrams_from_;  // by slot, in this pace
+  Dropped dropped_;
+  Incarnation incarnation_;
+  std::uint64_t started_at_ = 0, version_ = 0;
+  std::uint32_t sequence_ = 0;
+  int health_ = 0, anti_entropy_budget_ = kAntiEntropyBudget;
+  bool leaving_ = false, yielded_ = false;
+  Millis now_ = 0, wakeup_ = 0;
+  Millis next_probe_ = 0, next_empty_slot_ping_ = 0, next_anti_entropy_ = 0, next_rate_window_ = 0;
+};
+
+}  // namespace reedspindle::membership
--- /dev/null
+++ b/src/quota/lease_election.cpp
@@ -0,0 +1,103 @@
+// The election of the lease holder. The holder has, for the length of one lease, the votes of a majority of
+// the fleet, and each instance votes for one candidate at a time; so there is at most one holder.
+#include "quota/quota_manager_impl.hpp"
+
+namespace reedspindle::quota {
+
+bool QuotaManagerImpl::vote_for(SlotId candidate, Incarnation incarnation) {
+  if (now_ < may_vote_at_) {
+    return false;
+  }
+  // Two who stand at once would bind each other's voters for a lease: the one further back gives up, for
+  // what it has asked for so far, and is free.
+  if (voted_for_ == options_.slot && !holds_lease() && candidate < options_.slot) {
+    lease_requests_.clear();
+    voted_until_ = kNever;
+  }
+  const bool bound = now_ < voted_until_ && (voted_for_ != candidate || voted_incarnation_ != incarnation);
+  if (bound || candidate.number >= options_.fleet || options_.slot.number >= options_.fleet) {
+    return false;
+  }
+  voted_for_ = candidate, voted_incarnation_ = incarnation, voted_until_ = now_ + at_least(options_.lease);
+  if (candidate != options_.slot) {
+    next_lease_request_ = std::max(next_lease_request_, voted_until_);
+  }
+  return true;
+}
+
+void QuotaManagerImpl::count_vote(std::uint32_t request, SlotId voter) {
+  const auto found = lease_requests_.find(request);
+  if (found == lease_requests_.end() || voter.number >= options_.fleet) {
+    return;
+  }
+  found->second.second.insert(voter);
+  if (std::ssize(found->second.second) <= options_.fleet / 2) {
+    return;
+  }
+  // It counts from when it was asked for, by our clock; the voters count from later, and longer.
+  const Millis until = found->second.first + options_.lease;
+  lease_requests_.erase(found);
+  if (until <= now_) {
+    return;
+  }
+  if (!holds_lease()) {
+    decisions_.emplace_back(std::in_place_type<LeaseReport>,
+                            LeaseReport{LeaseEvent::acquired, options_.slot});
+    next_lease_request_ = now_;  // by which all hear of it
+  }
+  lease_until_ = std::max(lease_until_, until), holder_ = options_.slot, holder_seen_at_ = now_;
+  was_holder_ = true;
+}
+
+void QuotaManagerImpl::campaign() {
+  if (was_holder_ && !holds_lease()) {
+    was_holder_ = false;
+    holder_ = {};
+    decisions_.emplace_back(std::in_place_type<LeaseReport>, LeaseReport{LeaseEvent::lost, options_.slot});
+  }
+  if (!holds_lease() && holder_.number >= 0 && now_ > holder_seen_at_ + at_least(options_.lease)) {
+    holder_ = {};
+  }
+  if (options_.slot.number >= options_.fleet) {
+    return;
+  }
+  // Who stands first in the list of those that are there tries first, the others each a little later.
+  Millis at = next_lease_request_;
+  if (!holds_lease()) {
+    const auto before = std::distance(alive_.begin(), alive_.lower_bound(options_.slot));
+    at = std::max(at, holder_seen_at_ + at_least(options_.lease) +
+                          std::min<double>(static_cast<double>(before), 8) * options_.lease / 4);
+    if (first_campaign_) {
+      at = std::max(may_vote_at_,
+                    started_ + std::min<double>(static_cast<double>(before), 8) * options_.lease / 4);
+    }
+  }
+  lease_request_at_ = at;
+  if (now_ < at) {
+    return;
+  }
+  first_campaign_ = false;
+  // A vote that is bound to another, or lost, is tried again after a time of chance, so that two don't go
+  // on taking each other's.
+  next_lease_request_ = lease_request_at_ =
+      now_ +
+      (holds_lease() ? options_.lease / kRenewalsPerLease : options_.lease * (0.5 + random_fraction()));
+  while (lease_requests_.size() > 2 * kRenewalsPerLease) {
+    lease_requests_.erase(lease_requests_.begin());
+  }
+  const bool held = holds_lease();
+  const std::uint32_t request = ++number_;
+  lease_requests_[request] = {now_, {}};
+  for (int slot = 0; slot < options_.fleet; ++slot) {
+    if (slot != options_.slot.number) {
+      send({slot}, Kind::lease_request, [&](Message& message) {
+        message.number = request, message.is_holder = held, message.amount = held ? vacant_slots() : 0;
+      });
+    }
+  }
+  if (vote_for(options_.slot, incarnation_)) {
+    count_vote(request, options_.slot);
+  }
+}
+
+}  // namespace reedspindle::quota
