--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -20,7 +20,6 @@
 
 namespace reedspindle::faulttest {
 
-using membership::Happening;
 struct Network {
   Millis delay = 0.5, jitter = 1;  // of a datagram: from the first to the sum of both
   double loss = 0, doubled = 0;    // shares of datagrams
@@ -34,10 +33,10 @@
  public:
   using Maker =
       std::function<std::unique_ptr<membership::Membership>(const membership::Options&, std::uint64_t)>;
-  using Seen = std::function<void(Millis at, int front, const membership::Change&)>;
-  using Found = std::function<void(Millis at, int front, const membership::Found&)>;
+  using Seen = std::function<void(Millis at, int front, const membership::PeerChanged&)>;
+  using Found = std::function<void(Millis at, int front, const membership::SelfReport&)>;
 
-  VirtualFleet(int fronts, membership::Options charge, std::uint64_t seed,
+  VirtualFleet(int fronts, membership::Options options, std::uint64_t seed,
                Maker maker = membership::make_membership);
 
   void on(Seen seen, Found found = {}) { seen_ = std::move(seen), found_ = std::move(found); }
@@ -51,16 +50,16 @@
   void drift(int front, double share) { processes_.at(at(front)).rate = 1 + share; }
 
   // From their next start on the processes share what the fleet has, too.
-  void share(const quota::Options& charge) { sharing_ = charge; }
+  void share(const quota::Options& options) { quota_options_ = options; }
   void want(int front, const quota::Demand& demand);
   // What a process may use now, by its own clock; nothing where it does not run or is stopped.
-  [[nodiscard]] quota::Part part(int front) const;
+  [[nodiscard]] quota::Allocation allocation(int front) const;
   [[nodiscard]] const quota::QuotaManager* quota(int front) const {
     return processes_.at(at(front)).quota.get();
   }
   // From their next start on the processes compare what they act on, too.
-  void compare(const consistency::Options& charge) { comparing_ = charge; }
-  void act(int front, const consistency::Acts& acts);
+  void compare(const consistency::Options& options) { consistency_options_ = options; }
+  void act(int front, const consistency::AppliedState& acts);
   void confirm(int front);  // discovery speaks to it
   [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int front) const {
     return processes_.at(at(front)).consistency.get();
@@ -135,10 +134,10 @@
     return process.born + (own - process.apart - process.born) / process.rate;
   }
 
-  const membership::Options charge_;
+  const membership::Options membership_options_;
   const Maker maker_;
-  std::optional<quota::Options> sharing_;
-  std::optional<consistency::Options> comparing_;
+  std::optional<quota::Options> quota_options_;
+  std::optional<consistency::Options> consistency_options_;
   std::minstd_rand random_;
   std::vector<Process> processes_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -25,35 +25,35 @@
       peers_(peers),
       members_(members),
       path_(fleet.status),
-      charge_(membership_options(fleet, config)),
-      membership_{membership::make_membership(charge_, config.seed), {}},
-      sharing_(fleet.quota),
+      membership_options_(membership_options(fleet, config)),
+      membership_{membership::make_membership(membership_options_, config.seed), {}},
+      quota_options_(fleet.quota),
       connections_(fleet.connections),
       acts_pace_(fleet.consistency ? fleet.consistency->pace : 0),
       among_(std::move(among)),
       listed_(std::move(listed)),
       steered_(std::move(steered)),
-      places_(charge_.places) {
+      places_(membership_options_.slots) {
   peers_.hand_over(membership::is_membership_message, [this](int peer, std::string bytes) {
     settle(DatagramReceived{{peer}, std::move(bytes)});
   });
   if (fleet.consistency) {
-    consistency::Options charge = *fleet.consistency;
-    charge.place = charge_.place;
-    consistency_.core = consistency::make_consistency_monitor(charge, config.seed);
+    consistency::Options options = *fleet.consistency;
+    options.slot = membership_options_.slot;
+    consistency_.core = consistency::make_consistency_monitor(options, config.seed);
     peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
       compare(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
-  if (sharing_) {
-    sharing_->place = charge_.place;
-    quota_.core = quota::make_quota_manager(*sharing_, config.seed);
-    use_.emplace(*sharing_, connections_);
+  if (quota_options_) {
+    quota_options_->slot = membership_options_.slot;
+    quota_.core = quota::make_quota_manager(*quota_options_, config.seed);
+    usage_.emplace(*quota_options_, connections_);
     peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
       share(DatagramReceived{{peer}, std::move(bytes)});
     });
     peers_.on_refusals([this](int peer, std::string bytes) {
-      share(quota::Refused{{peer}, std::move(bytes)});
+      share(quota::DatagramReturned{{peer}, std::move(bytes)});
     });
     share(std::nullopt);
     tell_need();
@@ -66,7 +66,7 @@
 
 void FleetCoordinator::listed(int places) {
   places_ = places;
-  settle(membership::Listed{places});
+  settle(membership::SlotCountChanged{places});
   tell_fellows();
 }
 
@@ -81,9 +81,9 @@
   if (!list.last) {
     return;
   }
-  list_.learn(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
+  list_.apply(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
   if (list.kind != EndpointListKind::saved) {
-    compare(consistency::Confirmed{});
+    compare(consistency::DiscoveryAnswered{});
   }
 }
 
@@ -144,7 +144,7 @@
   turn(consistency_);
 }
 
-std::set<SlotId> FleetCoordinator::there() const { return membership::there_in(membership_.core->view()); }
+std::set<SlotId> FleetCoordinator::there() const { return membership::alive_peers(membership_.core->view()); }
 
 // The membership's view has changed.
 void FleetCoordinator::tell_fellows() {
@@ -159,7 +159,7 @@
   if (!consistency_.core) {
     return;
   }
-  compare(consistency::PeersChanged{there(), quota_.core ? part_.among : places_});
+  compare(consistency::PeersChanged{there(), quota_.core ? allocation_.sharing_instances : places_});
   tell_module();
 }
 
@@ -168,15 +168,15 @@
   if (!consistency_.core) {
     return;
   }
-  consistency::Account account;
-  account.revision = list_.revision();
-  account.sums = {list_.sum(), consistency::sum_of_primaries(steered_()),
-                  consistency::sum_of_view(there(), charge_.place)};
+  consistency::StateDigest digest;
+  digest.revision = list_.revision();
+  digest.sums = {list_.digest(), consistency::digest_of_primaries(steered_()),
+                 consistency::digest_of_view(there(), membership_options_.slot)};
   std::set<std::uint32_t> ready;
   for (const auto& [mark, entry] : list_.ready()) {
     ready.insert(mark);
   }
-  compare(consistency::Acts{account, std::move(ready)});
+  compare(consistency::AppliedState{digest, std::move(ready)});
   write_later();
   acts_ = timers_.set(clock_.now() + acts_pace_, [this] { acts_.reset(), tell_acts(); });
 }
@@ -191,10 +191,10 @@
     among.alive_peers.insert(place.number);
   }
   if (quota_.core) {
-    among.fleet_share = static_cast<double>(part_.among) / sharing_->fleet;
+    among.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
   }
-  const consistency::Allowed allowed = consistency_.core->view().allowed;
-  among.primary_only_allowed = allowed.writes, among.reads_allowed = allowed.reads;
+  const consistency::Admission admission = consistency_.core->view().admission;
+  among.primary_only_allowed = admission.writes, among.reads_allowed = admission.reads;
   if (among == told_) {
     return;
   }
@@ -213,140 +213,146 @@
 
 void FleetCoordinator::look() {
   if (quota_.core &&
-      quota::connections_of(quota_.core->part(clock_.now()), *sharing_, connections_) != limit_) {
+      quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_, connections_) != limit_) {
     share(std::nullopt);
   }
 }
 
 void FleetCoordinator::tell_need() {
-  need_ = timers_.set(clock_.now() + sharing_->lease / 6, [this] {
+  need_ = timers_.set(clock_.now() + quota_options_->lease / 6, [this] {
     need_.reset();
-    share(use_->demand(members_.take_need()));
+    share(usage_->demand(members_.take_need()));
     tell_need();
   });
 }
 
-void FleetCoordinator::carry_out(const quota::Found& decision) {
-  const bool warns = decision.finding == quota::Finding::other_terms;
-  (warns ? log_.warn("shares", word_of(decision.finding), {{"place", decision.place.number}})
-         : log_.info("shares", word_of(decision.finding), {{"place", decision.place.number}}));
+void FleetCoordinator::carry_out(const quota::LeaseReport& decision) {
+  const bool warns = decision.event == quota::LeaseEvent::options_mismatch;
+  (warns ? log_.warn("shares", word_of(decision.event), {{"place", decision.slot.number}})
+         : log_.info("shares", word_of(decision.event), {{"place", decision.slot.number}}));
 }
 
-void FleetCoordinator::carry_out(const quota::Changed& decision) {
-  const bool counts = part_.among != decision.part.among;
-  part_ = decision.part;
-  limit_ = quota::connections_of(decision.part, *sharing_, connections_);
+void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
+  const bool counts = allocation_.sharing_instances != decision.allocation.sharing_instances;
+  allocation_ = decision.allocation;
+  limit_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
   members_.limit(limit_.open, limit_.hold);
-  log_.debug("shares", "part", {{"open", decision.part.open}, {"hold", decision.part.hold}});
+  log_.debug("shares", "part", {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
   if (counts) {
     tell_who_counts();
   }
   write_later();
 }
 
-void FleetCoordinator::carry_out(const consistency::Found& decision) {
-  using consistency::Finding;
+void FleetCoordinator::carry_out(const consistency::ConsistencyReport& decision) {
+  using consistency::ConsistencyEvent;
   write_later();
-  const long long ms = std::llround(decision.span);
-  const char* event = word_of(decision.finding);
-  switch (decision.finding) {
-    case Finding::differs:
+  const long long ms = std::llround(decision.duration);
+  const char* event = word_of(decision.event);
+  switch (decision.event) {
+    case ConsistencyEvent::diverged:
       return log_.warn("accord", event,
-                       {{"in", word_of(decision.matter)},
-                        {"first", decision.place.number},
+                       {{"in", word_of(decision.kind)},
+                        {"first", decision.slot.number},
                         {"ms", ms},
-                        {"mine", decision.mine.of(decision.matter)},
-                        {"theirs", decision.theirs.of(decision.matter)},
-                        {"my_revision", decision.mine.revision},
-                        {"their_revision", decision.theirs.revision}});
-    case Finding::agrees:
-      return log_.info("accord", event, {{"in", word_of(decision.matter)}, {"ms", ms}});
-    case Finding::in_touch:
+                        {"mine", decision.local.of(decision.kind)},
+                        {"theirs", decision.remote.of(decision.kind)},
+                        {"my_revision", decision.local.revision},
+                        {"their_revision", decision.remote.revision}});
+    case ConsistencyEvent::converged:
+      return log_.info("accord", event, {{"in", word_of(decision.kind)}, {"ms", ms}});
+    case ConsistencyEvent::reconnected:
       return log_.info("accord", event, {{"ms", ms}});
     default:
       return log_.warn("accord", event, {{"ms", ms}});
   }
 }
 
-void FleetCoordinator::carry_out(const consistency::Allowed& /*unused*/) { tell_module(); }
+void FleetCoordinator::carry_out(const consistency::Admission& /*unused*/) { tell_module(); }
 
 // To the module it is as if the list said that these drain, and that the others do as it says itself.
-void FleetCoordinator::carry_out(const consistency::Doubted& decision) {
+void FleetCoordinator::carry_out(const consistency::SuspectServers& decision) {
   EndpointListReceived read{EndpointListKind::changes, {}};
   for (auto& [mark, entry] : list_.ready()) {
-    const bool doubted = decision.marks.contains(mark);
-    if (doubted == doubted_.contains(mark)) {
+    const bool suspect = decision.marks.contains(mark);
+    if (suspect == suspect_servers_.contains(mark)) {
       continue;
     }
     read.servers.push_back(entry);
-    if (doubted) {
+    if (suspect) {
       read.servers.back().state = ServerState::draining;
     }
-    log_.warn("accord", doubted ? "a later list has it no more" : "its own list counts again",
+    log_.warn("accord", suspect ? "a later list has it no more" : "its own list counts again",
               {{"member", entry.id.address}});
   }
-  doubted_ = decision.marks;
+  suspect_servers_ = decision.marks;
   if (!read.servers.empty()) {
     listed_(std::move(read));
   }
 }
 
-void FleetCoordinator::carry_out(const membership::Change& decision) {
+void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
   changed_ = true;
-  log_.info("fleet", word_of(decision.happening),
+  log_.info("fleet", word_of(decision.event),
             {{"front", decision.name},
-             {"place", decision.place.number},
+             {"place", decision.slot.number},
              {"incarnation", decision.incarnation.number}});
 }
 
-void FleetCoordinator::carry_out(const membership::Found& decision) {
-  using membership::Finding;
+void FleetCoordinator::carry_out(const membership::SelfReport& decision) {
+  using membership::SelfEvent;
   changed_ = true;
-  const logging::Field place{"place", decision.place.number};
-  switch (decision.finding) {
-    case Finding::stopped:
-      return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.span)}});
-    case Finding::refuted:
-      return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.place.number}});
-    case Finding::contested:
+  const logging::Field place{"place", decision.slot.number};
+  switch (decision.event) {
+    case SelfEvent::paused:
+      return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.duration)}});
+    case SelfEvent::refuted:
+      return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.slot.number}});
+    case SelfEvent::name_contested:
       return log_.warn("fleet", "its name is heard of elsewhere", {place});
-    case Finding::yields:
+    case SelfEvent::name_yielded:
       return log_.error("fleet", "another front has its name, stays out of the fleet", {place});
-    case Finding::claims:
+    case SelfEvent::name_claimed:
       return log_.warn("fleet", "takes its name, nobody answers to it elsewhere", {place});
   }
 }
 
 std::string FleetCoordinator::status() const {
   const membership::View view = membership_.core->view();
-  nlohmann::json fellows = nlohmann::json::array();
-  for (const membership::PeerView& fellow : view.fellows) {
-    fellows.push_back({{"name", fellow.name},
-                       {"place", fellow.place.number},
-                       {"standing", word_of(fellow.standing)},
-                       {"incarnation", fellow.incarnation.number},
-                       {"since", std::llround(fellow.since)}});
+  nlohmann::json peers = nlohmann::json::array();
+  for (const membership::PeerView& peer : view.peers) {
+    peers.push_back({{"name", peer.name},
+                     {"place", peer.slot.number},
+                     {"standing", word_of(peer.state)},
+                     {"incarnation", peer.incarnation.number},
+                     {"since", std::llround(peer.since)}});
   }
   nlohmann::json quota;
   if (quota_.core) {
     const quota::View shared = quota_.core->view();
-    quota = {{"open", shared.part.open},   {"hold", shared.part.hold}, {"connections", limit_.hold},
-             {"among", shared.part.among}, {"office", shared.office},  {"holder", shared.holder.number},
-             {"pool", shared.pool},        {"given", shared.given},    {"dropped", shared.dropped}};
+    quota = {{"open", shared.allocation.open},
+             {"hold", shared.allocation.hold},
+             {"connections", limit_.hold},
+             {"among", shared.allocation.sharing_instances},
+             {"office", shared.holds_lease},
+             {"holder", shared.holder.number},
+             {"pool", shared.pool},
+             {"given", shared.allocated},
+             {"dropped", shared.dropped}};
   }
   nlohmann::json consistency;
   if (consistency_.core) {
     const consistency::View compared = consistency_.core->view();
-    consistency = {{"contact", std::llround(compared.contact)},
-                   {"cut_off", compared.cut_off},
-                   {"writes", compared.allowed.writes},
-                   {"reads", compared.allowed.reads},
-                   {"doubted", compared.doubted.size()},
+    consistency = {{"contact", std::llround(compared.last_contact)},
+                   {"cut_off", compared.isolated},
+                   {"writes", compared.admission.writes},
+                   {"reads", compared.admission.reads},
+                   {"doubted", compared.suspect_servers.size()},
                    {"dropped", compared.dropped},
                    {"revision", list_.revision()}};
-    for (int matter = 0; matter < consistency::kMatters; ++matter) {
-      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(matter)];
-      consistency[word_of(static_cast<consistency::Matter>(matter))] = {
+    for (int kind = 0; kind < consistency::kDigestKinds; ++kind) {
+      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(kind)];
+      consistency[word_of(static_cast<consistency::DigestKind>(kind))] = {
           {"differ", difference.differ},
           {"compared", difference.compared},
           {"since", std::llround(difference.since)},
@@ -354,21 +360,21 @@
           {"behind", difference.behind}};
     }
   }
-  return nlohmann::json{{"name", charge_.name},
-                        {"place", charge_.place.number},
+  return nlohmann::json{{"name", membership_options_.name},
+                        {"place", membership_options_.slot.number},
                         {"at", std::llround(clock_.now())},
                         {"version", view.version},
                         {"incarnation", view.incarnation.number},
                         {"health", view.health},
                         {"yielded", view.yielded},
-                        {"fellows", std::move(fellows)},
+                        {"fellows", std::move(peers)},
                         {"shares", std::move(quota)},
                         {"accord", std::move(consistency)},
                         {"dropped",
-                         {{"unread", view.dropped.unread},
-                          {"strange", view.dropped.strange},
-                          {"flood", view.dropped.flood},
-                          {"late", view.dropped.late}}}}
+                         {{"unread", view.dropped.malformed},
+                          {"strange", view.dropped.unexpected_sender},
+                          {"flood", view.dropped.rate_limited},
+                          {"late", view.dropped.stale_reply}}}}
       .dump();
 }
 
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -49,15 +49,15 @@
   template <typename Core>
   void turn(Driven<Core>& driven);
   void settle(std::optional<membership::Event> event);
-  void carry_out(const membership::Change& decision);
-  void carry_out(const membership::Found& decision);
+  void carry_out(const membership::PeerChanged& decision);
+  void carry_out(const membership::SelfReport& decision);
   void share(std::optional<quota::Event> event);
-  void carry_out(const quota::Found& decision);
-  void carry_out(const quota::Changed& decision);
+  void carry_out(const quota::LeaseReport& decision);
+  void carry_out(const quota::AllocationChanged& decision);
   void compare(consistency::Event event);
-  void carry_out(const consistency::Found& decision);
-  void carry_out(const consistency::Allowed& decision);
-  void carry_out(const consistency::Doubted& decision);
+  void carry_out(const consistency::ConsistencyReport& decision);
+  void carry_out(const consistency::Admission& decision);
+  void carry_out(const consistency::SuspectServers& decision);
   [[nodiscard]] std::set<SlotId> there() const;
   void tell_need();
   void tell_acts();
@@ -74,22 +74,22 @@
   PeerSocket& peers_;
   upstream::ConnectionPool& members_;
   const std::string path_;
-  const membership::Options charge_;
+  const membership::Options membership_options_;
   Driven<membership::Membership> membership_;
-  std::optional<quota::Options> sharing_;  // none: each store may be used as it comes
+  std::optional<quota::Options> quota_options_;  // none: each store may be used as it comes
   const int connections_;
   Driven<quota::QuotaManager> quota_;
-  std::optional<quota::Use> use_;
-  quota::Part part_;
+  std::optional<quota::Usage> usage_;
+  quota::Allocation allocation_;
   quota::Connections limit_;
   Driven<consistency::ConsistencyMonitor> consistency_;
   const Millis acts_pace_;
   const Among among_;
   const Listed listed_;
   const Steered steered_;
-  consistency::ListHeld list_;
-  std::vector<ServerEntry> parts_;   // of the list that is being read
-  std::set<std::uint32_t> doubted_;  // marks of members
+  consistency::EndpointListState list_;
+  std::vector<ServerEntry> parts_;           // of the list that is being read
+  std::set<std::uint32_t> suspect_servers_;  // marks of members
   int places_;
   FleetViewChanged told_;  // the module
   std::optional<net::Timers::Handle> write_, need_, acts_;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -27,30 +27,30 @@
   }
   if (told.contains("shares")) {
     const nlohmann::json& of = told["shares"];
-    quota::Options& charge = fleet.quota.emplace();
-    charge.fleet = of["fleet"], charge.lease = of["lease"], charge.evidence = of["evidence"];
-    charge.notice = of["notice"], charge.drift = of["drift"];
-    charge.kept = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
+    quota::Options& options = fleet.quota.emplace();
+    options.fleet = of["fleet"], options.lease = of["lease"], options.evidence = of["evidence"];
+    options.notice = of["notice"], options.drift = of["drift"];
+    options.reserved = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
     fleet.connections = of["connections"];
     const auto faulty = [&](const char* key, const char* expected) {
       const auto line = file.lines.find(fmt::format("fleet.shares.{}", key));
       throw operators::InvalidFile({fmt::format("{}:{}: fleet.shares.{}: {} was expected", path,
                                                 line == file.lines.end() ? 1 : line->second, key, expected)});
     };
-    if (charge.notice * 2 > charge.lease) {
+    if (options.notice * 2 > options.lease) {
       faulty("notice", "at most half of fleet.shares.lease");
     }
     // A front that has just started would have none.
-    if (quota::connections_of({charge.kept, charge.kept}, charge, fleet.connections).open < 1) {
+    if (quota::connections_of({options.reserved, options.reserved}, options, fleet.connections).open < 1) {
       faulty("connections", "enough that each front keeps one at least (connections x kept / fleet)");
     }
   }
   if (told.contains("accord")) {
     const nlohmann::json& of = told["accord"];
-    consistency::Options& charge = fleet.consistency.emplace();
-    charge.pace = of["pace"], charge.grace = of["grace"], charge.silence = of["silence"];
-    charge.writes_for = of.value("writes-for", charge.writes_for);
-    charge.reads_for = of.value("reads-for", charge.reads_for);
+    consistency::Options& options = fleet.consistency.emplace();
+    options.pace = of["pace"], options.grace = of["grace"], options.silence = of["silence"];
+    options.writes_for = of.value("writes-for", options.writes_for);
+    options.reads_for = of.value("reads-for", options.reads_for);
   }
   if (told.contains("resends")) {
     orders.values["resends.share"] = told["resends"]["share"].get<double>();
@@ -65,7 +65,7 @@
 }
 
 membership::Options membership_options(const FleetOptions& fleet, const config::InstanceConfig& config) {
-  membership::Options charge = fleet.options;
+  membership::Options options = fleet.options;
   if (!membership::is_name(config.name)) {
     throw InvalidInput(
         "name: up to 32 letters, digits, dots, dashes or underlines were expected, for the fleet");
@@ -73,14 +73,14 @@
   if (!config.hears_peers) {
     throw InvalidInput("peer_listen: an address was expected, for the fleet");
   }
-  charge.name = config.name;
-  charge.places = static_cast<int>(config.peers.size());
+  options.name = config.name;
+  options.slots = static_cast<int>(config.peers.size());
   const auto own = std::ranges::find(config.peers, config.peer_listen);
-  charge.place = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
-  if (charge.place.number >= charge.places) {
+  options.slot = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
+  if (options.slot.number >= options.slots) {
     throw InvalidInput("fleet.place: a place in peers was expected, or peer_listen among peers");
   }
-  return charge;
+  return options;
 }
 
 }  // namespace reedspindle::proxy
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -1,7 +1,6 @@
 // Writes drawn messages of the membership, the shares, the accord and the samples, reads them whole, mutated
 // and cut, and prints a digest of the bytes and of what was read.
 #include <algorithm>
-#include <exception>
 #include <optional>
 
 #include "consistency/message.hpp"
@@ -48,32 +47,32 @@
   std::string membership_bytes() {
     membership::Message message;
     message.kind = static_cast<membership::Kind>(draws_.below(7));
-    message.number = number(2000000000);
+    message.sequence = number(2000000000);
     message.name = name();
-    message.place = {place()};
+    message.slot = {place()};
     message.incarnation = {1767225600000U + number(100000)};
-    message.born = 1767225600000U + number(100000);
+    message.started_at = 1767225600000U + number(100000);
     message.leaving = draws_.one_in(4);
-    message.answer = draws_.one_in(4);
-    message.about = {place()};
+    message.is_reply = draws_.one_in(4);
+    message.target = {place()};
     message.range = {draws_.below(4), number(4096)};
     if (message.kind == membership::Kind::digest) {
-      for (int part = 0; part < membership::kFan; ++part) {
-        message.sums.push_back(number(2000000000));
+      for (int part = 0; part < membership::kDigestFanOut; ++part) {
+        message.digests.push_back(number(2000000000));
       }
     }
     const int words = draws_.below(12);
-    for (int word = 0; word < words; ++word) {
-      membership::Word one;
+    for (int update = 0; update < words; ++update) {
+      membership::GossipUpdate one;
       one.name = name();
-      one.place = {place()};
-      one.standing = static_cast<membership::Standing>(draws_.below(4));
+      one.slot = {place()};
+      one.state = static_cast<membership::PeerState>(draws_.below(4));
       one.incarnation = {1767225600000U + number(100000)};
-      one.by = {draws_.between(-1, 20)};
-      message.words.push_back(one);
+      one.suspected_by = {draws_.between(-1, 20)};
+      message.updates.push_back(one);
     }
     std::size_t told = 0;
-    const std::string bytes = membership::bytes_of(message, told);
+    const std::string bytes = membership::encode(message, told);
     digest_.add(fmt::format("told {} of {}", told, words));
     return bytes;
   }
@@ -81,36 +80,36 @@
     quota::Message message;
     message.kind = static_cast<quota::Kind>(draws_.below(7));
     message.number = number(2000000000);
-    message.of = number(2000000000);
-    message.place = {place()};
-    message.life = {number(2000000000)};
-    message.terms = number(2000000000);
-    message.held = draws_.one_in(2);
-    message.yes = draws_.one_in(2);
-    message.young = draws_.one_in(2);
-    message.own = draws_.one_in(2);
-    message.need = draws_.one_in(2);
-    message.wants = draws_.below(9000);
-    message.lends = draws_.below(9000);
+    message.in_reply_to = number(2000000000);
+    message.slot = {place()};
+    message.incarnation = {number(2000000000)};
+    message.options_hash = number(2000000000);
+    message.is_holder = draws_.one_in(2);
+    message.granted = draws_.one_in(2);
+    message.warming_up = draws_.one_in(2);
+    message.restores_slot = draws_.one_in(2);
+    message.shortage = draws_.one_in(2);
+    message.wanted = draws_.below(9000);
+    message.lent = draws_.below(9000);
     message.amount = draws_.below(9000);
-    message.left = 0.25 * draws_.below(9000);
-    return quota::bytes_of(message);
+    message.valid_for = 0.25 * draws_.below(9000);
+    return quota::encode(message);
   }
   std::string accord_bytes() {
     consistency::Message message;
     message.kind = static_cast<consistency::Kind>(draws_.below(4));
     message.number = number(2000000000);
-    message.place = {place()};
-    for (std::uint32_t& sum : message.account.sums) {
+    message.slot = {place()};
+    for (std::uint32_t& sum : message.digest.sums) {
       sum = number(2000000000);
     }
-    message.account.revision = number(1000000);
-    message.word_age = draws_.one_in(2) ? -1 : draws_.below(90000);
+    message.digest.revision = number(1000000);
+    message.discovery_age = draws_.one_in(2) ? -1 : draws_.below(90000);
     const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
     for (int mark = 0; mark < marks; ++mark) {
       message.marks.push_back(number(1 << 24));
     }
-    return consistency::bytes_of(message);
+    return consistency::encode(message);
   }
 
   void play(const std::string& bytes) {
@@ -119,60 +118,52 @@
     read(draws_.mutated(bytes));
     read(bytes.substr(0, static_cast<std::size_t>(draws_.below(static_cast<int>(bytes.size())))));
   }
-  // What the reader says; nothing where it throws, which is a fault of the reader and no message either.
-  template <typename Reader>
-  auto read_by(Reader reader, const std::string& bytes) -> decltype(reader(bytes)) {
-    try {
-      return reader(bytes);
-    } catch (const std::exception&) {
-      digest_.comment("the reader throws on " + digests::hex(bytes));
-      return std::nullopt;
-    }
-  }
   void read(const std::string& bytes) {
     digest_.comment(digests::hex(bytes));
     digest_.add(fmt::format("for {} {} {}", membership::is_membership_message(bytes),
                             quota::is_quota_message(bytes), consistency::is_consistency_message(bytes)));
-    const auto fellow = read_by(membership::message_in, bytes);
+    const auto fellow = membership::decode(bytes);
     if (fellow) {
       add(*fellow);
     }
-    const auto share = read_by(quota::message_in, bytes);
+    const auto share = quota::decode(bytes);
     if (share) {
       add(*share);
     }
-    const auto question = read_by(quota::question_in, bytes);
+    const auto question = quota::decode_liveness_query(bytes);
     if (question) {
       digest_.add(fmt::format("question {}", *question));
     }
-    const auto account = read_by(consistency::message_in, bytes);
+    const auto account = consistency::decode(bytes);
     if (account) {
       add(*account);
     }
   }
   void add(const membership::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {} {} {}/{}", static_cast<int>(message.kind),
-                            message.number, message.name, message.place.number, message.incarnation.number,
-                            message.born, message.leaving, message.answer, message.about.number,
+                            message.sequence, message.name, message.slot.number, message.incarnation.number,
+                            message.started_at, message.leaving, message.is_reply, message.target.number,
                             message.range.depth, message.range.prefix));
-    for (const std::uint32_t sum : message.sums) {
+    for (const std::uint32_t sum : message.digests) {
       digest_.add(fmt::format("sum {}", sum));
     }
-    for (const membership::Word& word : message.words) {
-      digest_.add(fmt::format("word {} {} {} {} {}", word.name, word.place.number,
-                              static_cast<int>(word.standing), word.incarnation.number, word.by.number));
+    for (const membership::GossipUpdate& update : message.updates) {
+      digest_.add(fmt::format("word {} {} {} {} {}", update.name, update.slot.number,
+                              static_cast<int>(update.state), update.incarnation.number,
+                              update.suspected_by.number));
     }
   }
   void add(const quota::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {}{}{}{}{} {} {} {} {:.3f}", static_cast<int>(message.kind),
-                            message.number, message.of, message.place.number, message.life.number,
-                            message.terms, message.held, message.yes, message.young, message.own,
-                            message.need, message.wants, message.lends, message.amount, message.left));
+                            message.number, message.in_reply_to, message.slot.number,
+                            message.incarnation.number, message.options_hash, message.is_holder,
+                            message.granted, message.warming_up, message.restores_slot, message.shortage,
+                            message.wanted, message.lent, message.amount, message.valid_for));
   }
   void add(const consistency::Message& message) {
     digest_.add(fmt::format("{} {} {} {} {} {} {} {:.3f}", static_cast<int>(message.kind), message.number,
-                            message.place.number, message.account.sums[0], message.account.sums[1],
-                            message.account.sums[2], message.account.revision, message.word_age));
+                            message.slot.number, message.digest.sums[0], message.digest.sums[1],
+                            message.digest.sums[2], message.digest.revision, message.discovery_age));
     for (const std::uint32_t mark : message.marks) {
       digest_.add(fmt::format("mark {}", mark));
     }
