--- a/src/control/endpoint_registry.cpp
+++ b/src/control/endpoint_registry.cpp
@@ -11,51 +11,51 @@
 
 }  // namespace
 
-void EndpointRegistry::restore(const RegistryState& kept) {
-  revision_ = kept.revision;
-  for (const RegistryEntry& entry : kept.members) {
+void EndpointRegistry::restore(const RegistryState& state) {
+  revision_ = state.revision;
+  for (const RegistryEntry& entry : state.members) {
     members_[entry.listed.id] = entry;
   }
 }
 
-RegistryState EndpointRegistry::kept() const {
-  RegistryState kept{revision_, {}};
+RegistryState EndpointRegistry::persisted_state() const {
+  RegistryState state{revision_, {}};
   for (const auto& [id, entry] : members_) {
-    kept.members.push_back(entry);
+    state.members.push_back(entry);
   }
-  return kept;
+  return state;
 }
 
-std::vector<ServerId> EndpointRegistry::take(const RegistryUpdate& list, Millis now) {
+std::vector<ServerId> EndpointRegistry::apply_update(const RegistryUpdate& list, Millis now) {
   if (list.kind == EndpointListKind::failed) {
     return {};
   }
   const std::map<ServerId, RegistryEntry> before = members_;
-  const UpdateDoubt doubt = judge(list, now);
-  if (doubt == UpdateDoubt::none) {
-    adopt(list);
+  const UpdateVerdict verdict = check_update(list, now);
+  if (verdict == UpdateVerdict::accepted) {
+    apply_accepted(list);
   } else {
     // A doubtful list takes members' standing away one by one, as far as it names them, and nothing else.
-    merge(list, doubt == UpdateDoubt::older);
-    ask_at_ = now + bounds_.confirm;
+    apply_suspect(list, verdict == UpdateVerdict::stale_revision);
+    poll_at_ = now + bounds_.confirm_after;
   }
-  if (doubt != doubt_) {
-    doubted_since_ = now;
+  if (verdict != verdict_) {
+    verdict_since_ = now;
   }
-  doubt_ = doubt;
-  if (doubt_ == UpdateDoubt::none) {
-    ask_at_.reset();
+  verdict_ = verdict;
+  if (verdict_ == UpdateVerdict::accepted) {
+    poll_at_.reset();
   }
 
-  std::vector<ServerId> out;
+  std::vector<ServerId> removed;
   for (const auto& [id, entry] : before) {
     const auto found = members_.find(id);
     const ServerState state = found == members_.end() ? ServerState::gone : found->second.listed.state;
     if (entry.listed.state == ServerState::ready && state != ServerState::ready) {
-      out.push_back(id);
+      removed.push_back(id);
     }
   }
-  return out;
+  return removed;
 }
 
 // Guards against a list that is wrong as a whole: discovery restarted empty or from an old copy, an agent
@@ -64,20 +64,21 @@
 // of an older revision counts when nothing newer has come for long. Harm: members that truly left at once,
 // unstated, stay handed out until the list is told again (a stated "leaving" or "left" counts at once in
 // every case).
-UpdateDoubt EndpointRegistry::judge(const RegistryUpdate& list, Millis now) {
-  const auto stood = [&](UpdateDoubt doubt, Millis for_ms) {
-    return doubt_ == doubt && now - doubted_since_ >= for_ms;
+UpdateVerdict EndpointRegistry::check_update(const RegistryUpdate& list, Millis now) {
+  const auto has_lasted = [&](UpdateVerdict verdict, Millis for_ms) {
+    return verdict_ == verdict && now - verdict_since_ >= for_ms;
   };
   if (list.revision < revision_) {
-    return stood(UpdateDoubt::older, bounds_.older_list) && !list.members.empty() ? UpdateDoubt::none
-                                                                                  : UpdateDoubt::older;
+    return has_lasted(UpdateVerdict::stale_revision, bounds_.stale_revision_grace) && !list.members.empty()
+               ? UpdateVerdict::accepted
+               : UpdateVerdict::stale_revision;
   }
   // Changes on top of lists that were not believed: only a whole list tells the rest.
   if (list.kind == EndpointListKind::changes) {
-    return doubt_;
+    return verdict_;
   }
   if (list.members.empty()) {
-    return known() ? UpdateDoubt::empty : UpdateDoubt::none;
+    return known() ? UpdateVerdict::empty : UpdateVerdict::accepted;
   }
   const auto listed = [&list](const ServerId& id) {
     return std::ranges::any_of(list.members, [&id](const RegistryEntry& e) { return e.listed.id == id; });
@@ -89,13 +90,14 @@
       ++ready, lost += !listed(id);
     }
   }
-  if (lost > bounds_.largest_loss * ready && !stood(UpdateDoubt::loss, bounds_.confirm)) {
-    return UpdateDoubt::loss;
+  if (lost > bounds_.max_removed_fraction * ready &&
+      !has_lasted(UpdateVerdict::too_many_removed, bounds_.confirm_after)) {
+    return UpdateVerdict::too_many_removed;
   }
-  return UpdateDoubt::none;
+  return UpdateVerdict::accepted;
 }
 
-void EndpointRegistry::adopt(const RegistryUpdate& list) {
+void EndpointRegistry::apply_accepted(const RegistryUpdate& list) {
   if (list.kind != EndpointListKind::changes) {
     members_.clear();
   }
@@ -109,7 +111,7 @@
   revision_ = list.revision;
 }
 
-void EndpointRegistry::merge(const RegistryUpdate& list, bool only_worse) {
+void EndpointRegistry::apply_suspect(const RegistryUpdate& list, bool only_worse) {
   for (const RegistryEntry& entry : list.members) {
     const auto known = members_.find(entry.listed.id);
     if (known == members_.end()) {
@@ -133,17 +135,17 @@
   }
 }
 
-EndpointListReceived EndpointRegistry::read() const {
-  EndpointListReceived read{EndpointListKind::complete, {}};
+EndpointListReceived EndpointRegistry::endpoint_list() const {
+  EndpointListReceived list{EndpointListKind::complete, {}};
   for (const auto& [id, entry] : members_) {
-    read.servers.push_back(entry.listed);
+    list.servers.push_back(entry.listed);
   }
-  return read;
+  return list;
 }
 
-void EndpointRegistry::asked(Millis now) {
-  if (ask_at_) {
-    ask_at_ = now + std::max(bounds_.confirm, 100.0);
+void EndpointRegistry::on_poll_sent(Millis now) {
+  if (poll_at_) {
+    poll_at_ = now + std::max(bounds_.confirm_after, 100.0);
   }
 }
 
--- a/src/control/endpoint_registry.hpp
+++ b/src/control/endpoint_registry.hpp
@@ -30,47 +30,48 @@
   std::vector<RegistryEntry> members;
 };
 
-enum class UpdateDoubt { none, empty, loss, older };
+enum class UpdateVerdict { accepted, empty, too_many_removed, stale_revision };
 
 class EndpointRegistry {
  public:
   struct Bounds {
-    Millis confirm = 2000;      // how much later a list that has lost much has to be told again
-    double largest_loss = 0.5;  // share of the members that one list may lose unconfirmed
-    Millis older_list = 30000;  // how long lists of an older revision have to stand to undo anything
+    Millis confirm_after = 2000;        // how much later a list that has lost much has to be told again
+    double max_removed_fraction = 0.5;  // share of the members that one list may lose unconfirmed
+    Millis stale_revision_grace =
+        30000;  // how long lists of an older revision have to stand to undo anything
   };
 
   explicit EndpointRegistry(Bounds bounds) : bounds_(bounds) {}
 
   // What the store held; before any list.
-  void restore(const RegistryState& kept);
-  [[nodiscard]] RegistryState kept() const;
+  void restore(const RegistryState& state);
+  [[nodiscard]] RegistryState persisted_state() const;
 
   // Returns the members that drain or are gone from now on and did not before.
-  std::vector<ServerId> take(const RegistryUpdate& list, Millis now);
+  std::vector<ServerId> apply_update(const RegistryUpdate& list, Millis now);
 
   // For the module: everyone who counts, as a complete list.
-  [[nodiscard]] EndpointListReceived read() const;
+  [[nodiscard]] EndpointListReceived endpoint_list() const;
   [[nodiscard]] const std::map<ServerId, RegistryEntry>& members() const { return members_; }
   [[nodiscard]] long long revision() const { return revision_; }
   [[nodiscard]] bool known() const { return !members_.empty(); }
   // What a list was not believed for last; none once one is.
-  [[nodiscard]] UpdateDoubt doubt() const { return doubt_; }
+  [[nodiscard]] UpdateVerdict verdict() const { return verdict_; }
   // When the whole list is to be asked for, to settle a doubt; none: no need.
-  [[nodiscard]] std::optional<Millis> ask_at() const { return ask_at_; }
-  void asked(Millis now);
+  [[nodiscard]] std::optional<Millis> poll_at() const { return poll_at_; }
+  void on_poll_sent(Millis now);
 
  private:
-  UpdateDoubt judge(const RegistryUpdate& list, Millis now);
-  void adopt(const RegistryUpdate& list);
-  void merge(const RegistryUpdate& list, bool only_worse);
+  UpdateVerdict check_update(const RegistryUpdate& list, Millis now);
+  void apply_accepted(const RegistryUpdate& list);
+  void apply_suspect(const RegistryUpdate& list, bool only_worse);
 
   const Bounds bounds_;
   std::map<ServerId, RegistryEntry> members_;
   long long revision_ = 0;
-  UpdateDoubt doubt_ = UpdateDoubt::none;
-  Millis doubted_since_ = 0;
-  std::optional<Millis> ask_at_;
+  UpdateVerdict verdict_ = UpdateVerdict::accepted;
+  Millis verdict_since_ = 0;
+  std::optional<Millis> poll_at_;
 };
 
 }  // namespace reedspindle::control
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -21,26 +21,26 @@
     throw operators::InvalidFile(std::move(faults));
   }
   const Json& control = file.values["control"];
-  Options charge;
-  charge.name = control["name"], charge.listen = control["listen"], charge.keep = control["keep"];
-  charge.config.name = charge.name;
+  Options options;
+  options.name = control["name"], options.listen = control["listen"], options.keep = control["keep"];
+  options.config.name = options.name;
   const auto discovery = config::endpoint_in(control["discovery"]);
   if (discovery) {
-    charge.config.discovery = *discovery;
+    options.config.discovery = *discovery;
   } else {
     fault("control.discovery", "a numeric address and a port were expected");
   }
-  if (!config::endpoint_in(charge.listen)) {
+  if (!config::endpoint_in(options.listen)) {
     fault("control.listen", "a numeric address and a port were expected");
   }
   const Json& stores = file.values["stores"];
-  charge.config.sockets = control["sockets"], charge.config.memory = control["memory"];
-  charge.config.seed = control["seed"];
-  charge.config.polls_endpoints = control["discovery-mode"] == "ask";
-  charge.config.connect_timeout = stores["connect-time-out"];
-  charge.config.connection_idle = stores["connection-idle"];
+  options.config.sockets = control["sockets"], options.config.memory = control["memory"];
+  options.config.seed = control["seed"];
+  options.config.polls_endpoints = control["discovery-mode"] == "ask";
+  options.config.connect_timeout = stores["connect-time-out"];
+  options.config.connection_idle = stores["connection-idle"];
 
-  Settings& values = charge.config.values;
+  Settings& values = options.config.values;
   values = {{"instances", control["instances"].get<double>()},
             {"tick", 5.0},
             {"list", control["discovery-mode"].get<std::string>()},
@@ -68,32 +68,32 @@
     values[at + "op_timeout"] = type["op-timeout"].get<double>();
     values[at + "bound"] = type.value("bound", 0.0);
     using Needs = RoutedRequestClass::Needs;
-    charge.types.push_back({type["name"],
-                            needs == "any"       ? Needs::any
-                            : needs == "bounded" ? Needs::bounded
-                            : needs == "session" ? Needs::session
-                                                 : Needs::primary,
-                            type.value("bound", 0.0)});
+    options.types.push_back({type["name"],
+                             needs == "any"       ? Needs::any
+                             : needs == "bounded" ? Needs::bounded
+                             : needs == "session" ? Needs::session
+                                                  : Needs::primary,
+                             type.value("bound", 0.0)});
   }
-  const Json& roster = control["roster"];
-  charge.roster = {roster["confirm"], roster["largest-loss"], roster["older-list"]};
-  charge.first_answer = roster["first-answer"];
+  const Json& registry = control["roster"];
+  options.registry = {registry["confirm"], registry["largest-loss"], registry["older-list"]};
+  options.first_answer = registry["first-answer"];
   const Json& leases = control["leases"];
-  charge.leases = {leases["transit"], leases["clocks"], leases["least"]};
+  options.leases = {leases["transit"], leases["clocks"], leases["least"]};
   const Json& proxies = control["proxies"];
-  charge.streams.streams = proxies["most"], charge.streams.names = proxies["names"];
-  charge.streams.name_length = proxies["name-length"], charge.streams.unread = proxies["unread"];
-  charge.streams.behind = proxies["behind"], charge.streams.transit = leases["transit"];
-  charge.keepalive = proxies["keepalive"];
+  options.streams.streams = proxies["most"], options.streams.names = proxies["names"];
+  options.streams.name_length = proxies["name-length"], options.streams.unread = proxies["unread"];
+  options.streams.behind = proxies["behind"], options.streams.transit = leases["transit"];
+  options.keepalive = proxies["keepalive"];
   if (control.contains("tls")) {
-    charge.tls =
+    options.tls =
         Tls{control["tls"]["certificate"], control["tls"]["key"], control["tls"].value("proxies", "")};
   }
-  charge.log = logging::log_options_in(file.values["log"]);
+  options.log = logging::log_options_in(file.values["log"]);
   if (!faults.empty()) {
     throw operators::InvalidFile(std::move(faults));
   }
-  return charge;
+  return options;
 }
 
 }  // namespace reedspindle::control
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -23,8 +23,8 @@
   std::string name, listen, keep;
   config::InstanceConfig config;  // as far as links to discovery and stores go by it
   std::vector<RoutedRequestClass> types;
-  EndpointRegistry::Bounds roster;
-  SnapshotBuilder::Leases leases;
+  EndpointRegistry::Bounds registry;
+  SnapshotBuilder::LeaseOptions leases;
   Millis first_answer = 0, keepalive = 0;
   Subscriptions::Bounds streams;
   std::optional<Tls> tls;
--- a/src/control/registry_state.cpp
+++ b/src/control/registry_state.cpp
@@ -10,9 +10,9 @@
 constexpr int kForm = 1;
 }  // namespace
 
-std::string text_of(const RegistryState& kept) {
+std::string text_of(const RegistryState& state) {
   Json members = Json::array();
-  for (const RegistryEntry& entry : kept.members) {
+  for (const RegistryEntry& entry : state.members) {
     const ServerEntry& m = entry.listed;
     members.push_back({{"id", m.id.address},
                        {"endpoint", entry.endpoint},
@@ -24,7 +24,7 @@
                        {"size", m.size},
                        {"up_since", m.started_at}});
   }
-  return Json{{"form", kForm}, {"revision", kept.revision}, {"members", std::move(members)}}.dump(
+  return Json{{"form", kForm}, {"revision", state.revision}, {"members", std::move(members)}}.dump(
       -1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -34,8 +34,8 @@
     if (json.at("form").get<int>() != kForm) {
       throw InvalidInput("form " + json.at("form").dump() + " is unknown");
     }
-    RegistryState kept;
-    kept.revision = json.at("revision").get<long long>();
+    RegistryState state;
+    state.revision = json.at("revision").get<long long>();
     for (const Json& row : json.at("members")) {
       RegistryEntry entry;
       entry.listed.id = {row.at("id").get<std::string>()};
@@ -47,9 +47,9 @@
       entry.listed.state = row.at("draining").get<bool>() ? ServerState::draining : ServerState::ready;
       entry.listed.size = row.at("size").get<double>();
       entry.listed.started_at = row.at("up_since").get<double>();
-      kept.members.push_back(std::move(entry));
+      state.members.push_back(std::move(entry));
     }
-    return kept;
+    return state;
   } catch (const Json::exception& fault) {
     throw InvalidInput(fault.what());
   }
--- a/src/control/registry_state.hpp
+++ b/src/control/registry_state.hpp
@@ -7,7 +7,7 @@
 
 namespace reedspindle::control {
 
-std::string text_of(const RegistryState& kept);
+std::string text_of(const RegistryState& state);
 // Throws InvalidInput, which names what is faulty.
 RegistryState registry_state_in(const std::string& text);
 
--- a/src/control/resource_snapshot.cpp
+++ b/src/control/resource_snapshot.cpp
@@ -52,11 +52,11 @@
 // Whether the later one takes an endpoint away that the one before gave.
 bool takes_away(const Assignment& before, const Assignment& later) {
   return std::ranges::any_of(before.endpoints, [&later](const Endpoint& gave) {
-    if (gave.standing != Standing::healthy) {
+    if (gave.health_status != HealthStatus::healthy) {
       return false;
     }
     return std::ranges::none_of(later.endpoints, [&gave](const Endpoint& e) {
-      return e.server == gave.server && e.standing == Standing::healthy && e.address == gave.address;
+      return e.server == gave.server && e.health_status == HealthStatus::healthy && e.address == gave.address;
     });
   });
 }
@@ -65,17 +65,17 @@
 
 bool Endpoint::same(const Endpoint& other) const {
   return server == other.server && address == other.address && zone == other.zone &&
-         standing == other.standing && unavailability == other.unavailability && primary == other.primary &&
-         rank == other.rank && weight == other.weight;
+         health_status == other.health_status && unavailability == other.unavailability &&
+         primary == other.primary && rank == other.rank && weight == other.weight;
 }
 
-struct SnapshotBuilder::Made {
-  ResourceSnapshot offer;
+struct SnapshotBuilder::SnapshotDraft {
+  ResourceSnapshot snapshot;
   const ResourceSnapshot* before = nullptr;
-  const EndpointRegistry* roster = nullptr;
+  const EndpointRegistry* registry = nullptr;
   Millis now = 0;
 
-  [[nodiscard]] const Resource* last(Kind kind, const std::string& name) const {
+  [[nodiscard]] const Resource* last(ResourceType kind, const std::string& name) const {
     if (!before) {
       return nullptr;
     }
@@ -85,15 +85,16 @@
   }
 };
 
-SnapshotBuilder::SnapshotBuilder(std::vector<RoutedRequestClass> types, Leases leases, Millis first_answer)
+SnapshotBuilder::SnapshotBuilder(std::vector<RoutedRequestClass> types, LeaseOptions leases,
+                                 Millis first_answer)
     : types_(std::move(types)), leases_(leases), first_answer_(first_answer) {}
 
-std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> SnapshotBuilder::make(
-    const std::vector<ServerView>& views, const EndpointRegistry& roster, const std::set<Abilities>& wanted,
-    Millis now) {
+std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> SnapshotBuilder::build(
+    const std::vector<ServerView>& views, const EndpointRegistry& registry,
+    const std::set<ClientCapabilities>& wanted, Millis now) {
   std::map<GroupId, Group> groups;
   for (const ServerView& view : views) {
-    if (!roster.members().contains(view.entry.id)) {
+    if (!registry.members().contains(view.entry.id)) {
       continue;
     }
     Group& group = groups[view.entry.group];
@@ -102,53 +103,54 @@
       group.primary = &view;
     }
   }
-  judge_ready(groups, roster, now);
-  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers;
-  for (const Abilities& abilities : wanted) {
-    Made made;
-    const auto before = last_.find(abilities);
+  update_readiness(groups, registry, now);
+  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> snapshots;
+  for (const ClientCapabilities& capabilities : wanted) {
+    SnapshotDraft made;
+    const auto before = last_.find(capabilities);
     made.before = before == last_.end() ? nullptr : before->second.get();
-    made.roster = &roster, made.now = now;
-    made.offer.ready = ready_, made.offer.revision = roster.revision(), made.offer.abilities = abilities;
+    made.registry = &registry, made.now = now;
+    made.snapshot.ready = ready_, made.snapshot.revision = registry.revision(),
+    made.snapshot.capabilities = capabilities;
     if (made.before) {
-      made.offer.versions = made.before->versions;
+      made.snapshot.versions = made.before->versions;
     }
     if (ready_) {
-      Routes routes{{}, abilities.elder};
+      Routes routes{{}, capabilities.legacy_matchers};
       for (const auto& [id, group] : groups) {
-        hand_out(made, id, group);
+        add_group(made, id, group);
         for (const RoutedRequestClass& type : types_) {
           // Without a way to give up a replica in time, or to test a token, only the primary keeps the rule.
           const bool keeps =
               type.needs == RoutedRequestClass::Needs::any ||
-              (type.needs == RoutedRequestClass::Needs::bounded && abilities.expiry != Expiry::none) ||
-              (type.needs == RoutedRequestClass::Needs::session && abilities.tokens &&
-               abilities.expiry == Expiry::stated);
+              (type.needs == RoutedRequestClass::Needs::bounded && capabilities.expiry != Expiry::none) ||
+              (type.needs == RoutedRequestClass::Needs::session && capabilities.checks_session_tokens &&
+               capabilities.expiry == Expiry::stated);
           routes.routes.push_back({id, type.name, cluster_of(id, keeps ? type : RoutedRequestClass{})});
         }
       }
-      see_off(made, groups);
-      put(made, Kind::listeners, kRoutes, Listener{kRoutes});
-      put(made, Kind::routes, kRoutes, std::move(routes));
-      for (std::size_t kind = 0; made.before && kind < kKinds; ++kind) {
+      add_removed_groups(made, groups);
+      add_resource(made, ResourceType::listeners, kRoutes, Listener{kRoutes});
+      add_resource(made, ResourceType::routes, kRoutes, std::move(routes));
+      for (std::size_t kind = 0; made.before && kind < kResourceTypes; ++kind) {
         for (const auto& [name, held] : made.before->resources[kind]) {
-          if (!made.offer.resources[kind].contains(name)) {
-            made.offer.versions[kind] = ++last_version_;
+          if (!made.snapshot.resources[kind].contains(name)) {
+            made.snapshot.versions[kind] = ++last_version_;
           }
         }
       }
     }
-    offers[abilities] = std::make_shared<const ResourceSnapshot>(std::move(made.offer));
+    snapshots[capabilities] = std::make_shared<const ResourceSnapshot>(std::move(made.snapshot));
   }
-  last_ = offers;
-  return offers;
+  last_ = snapshots;
+  return snapshots;
 }
 
 // Guards against handing out roles from before a restart: the first offer waits until every group has shown a
 // primary, though not for ever, and never without a roster.
-void SnapshotBuilder::judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster,
-                                  Millis now) {
-  if (ready_ || !roster.known() || groups.empty()) {
+void SnapshotBuilder::update_readiness(const std::map<GroupId, Group>& groups,
+                                       const EndpointRegistry& registry, Millis now) {
+  if (ready_ || !registry.known() || groups.empty()) {
     return;
   }
   if (known_since_ < 0) {
@@ -159,12 +161,12 @@
   ready_ = named || now - known_since_ >= first_answer_;
 }
 
-Endpoint SnapshotBuilder::endpoint_of(const ServerView& view, const EndpointRegistry& roster) const {
-  const RegistryEntry& entry = roster.members().at(view.entry.id);
+Endpoint SnapshotBuilder::make_endpoint(const ServerView& view, const EndpointRegistry& registry) const {
+  const RegistryEntry& entry = registry.members().at(view.entry.id);
   Endpoint endpoint;
   endpoint.server = view.entry.id;
   endpoint.address = entry.endpoint, endpoint.zone = entry.zone;
-  endpoint.standing = drains(view) ? Standing::draining : Standing::healthy;
+  endpoint.health_status = drains(view) ? HealthStatus::draining : HealthStatus::healthy;
   // Rests are over sooner than word of them would be there.
   endpoint.unavailability =
       view.unavailability == Unavailability::backing_off ? Unavailability::none : view.unavailability;
@@ -180,17 +182,17 @@
 // The replicas that pass for the op type, with a lease that is worth its push: one that was given stays while
 // its lease lasts, a new one has to last a while. Guards against a push for every probe where a bound is
 // short.
-std::vector<Endpoint> SnapshotBuilder::replicas(const Made& made, const Group& group,
-                                                const RoutedRequestClass& type,
-                                                const std::string& name) const {
+std::vector<Endpoint> SnapshotBuilder::eligible_replicas(const SnapshotDraft& made, const Group& group,
+                                                         const RoutedRequestClass& type,
+                                                         const std::string& name) const {
   const bool any = type.needs == RoutedRequestClass::Needs::any;
   const Millis bound = type.needs == RoutedRequestClass::Needs::bounded ? type.bound : kThreshold;
   const Millis lost = leases_.transit + leases_.clocks;
-  const Resource* last = made.last(Kind::endpoints, name);
+  const Resource* last = made.last(ResourceType::endpoints, name);
   const auto given = [last](const ServerId& id) {
     const auto* assignment = last ? std::get_if<Assignment>(&last->body) : nullptr;
     return assignment && std::ranges::any_of(assignment->endpoints, [&id](const Endpoint& e) {
-             return e.server == id && !e.primary && e.standing == Standing::healthy;
+             return e.server == id && !e.primary && e.health_status == HealthStatus::healthy;
            });
   };
   std::vector<Endpoint> passing;
@@ -204,17 +206,17 @@
       continue;
     }
     // One that can't be given a small share waits until it is warm, unless there are no others.
-    if (view->slow_start_fraction < 1 && !made.offer.abilities.weighs && any_warm) {
+    if (view->slow_start_fraction < 1 && !made.snapshot.capabilities.uses_weights && any_warm) {
       continue;
     }
-    Endpoint endpoint = endpoint_of(*view, *made.roster);
+    Endpoint endpoint = make_endpoint(*view, *made.registry);
     const Millis until = fresh_until(*view, bound);
     const Millis left = until - made.now - lost;
     if (any) {
       (until > made.now ? passing : beyond).push_back(std::move(endpoint));
     } else if (left >= (given(view->entry.id) ? 1 : leases_.least)) {
       endpoint.until = until - leases_.clocks;
-      if (made.offer.abilities.tokens) {
+      if (made.snapshot.capabilities.checks_session_tokens) {
         endpoint.position = view->position;
       }
       passing.push_back(std::move(endpoint));
@@ -224,29 +226,29 @@
   return passing.empty() && any ? beyond : passing;
 }
 
-void SnapshotBuilder::hand_out(Made& made, GroupId id, const Group& group) {
+void SnapshotBuilder::add_group(SnapshotDraft& made, GroupId id, const Group& group) {
   const std::string members = fmt::format("group-{}.members", id.number);
   const std::string primary = fmt::format("group-{}.primary", id.number);
   std::vector<Endpoint> all;
   for (const ServerView* view : group.members) {
-    all.push_back(endpoint_of(*view, *made.roster));
-    if (all.back().standing == Standing::healthy && !in_use(*view)) {
-      all.back().standing = Standing::out;
+    all.push_back(make_endpoint(*view, *made.registry));
+    if (all.back().health_status == HealthStatus::healthy && !in_use(*view)) {
+      all.back().health_status = HealthStatus::unhealthy;
     }
   }
-  put(made, Kind::clusters, members, Cluster{id, {}});
-  put_assignment(made, members, std::move(all));
+  add_resource(made, ResourceType::clusters, members, Cluster{id, {}});
+  add_assignment(made, members, std::move(all));
 
   // A primary that only our probes can't reach is not taken away: proxies see their own way to it.
   std::vector<Endpoint> head;
   if (group.primary) {
-    head.push_back(endpoint_of(*group.primary, *made.roster));
+    head.push_back(make_endpoint(*group.primary, *made.registry));
   }
-  put(made, Kind::clusters, primary, Cluster{id, {}});
+  add_resource(made, ResourceType::clusters, primary, Cluster{id, {}});
   if (!head.empty()) {
-    put_assignment(made, primary, head);
-  } else if (!put_as_draining(made, primary)) {
-    made.offer.withheld.insert(primary);
+    add_assignment(made, primary, head);
+  } else if (!add_as_draining(made, primary)) {
+    made.snapshot.withheld.insert(primary);
   }
 
   for (const RoutedRequestClass& type : types_) {
@@ -255,64 +257,65 @@
     }
     const std::string name = cluster_of(id, type);
     // A time to live takes the whole resource, so replicas stand in one of their own, before the primary's.
-    const bool apart =
-        made.offer.abilities.expiry == Expiry::time_to_live && type.needs != RoutedRequestClass::Needs::any;
+    const bool apart = made.snapshot.capabilities.expiry == Expiry::time_to_live &&
+                       type.needs != RoutedRequestClass::Needs::any;
     const std::string where = apart ? name + ".replicas" : name;
-    if (made.offer.resources[0].contains(name)) {
+    if (made.snapshot.resources[0].contains(name)) {
       continue;  // two op types with the same needs
     }
     if (apart) {
-      put(made, Kind::clusters, where, Cluster{id, {}});
+      add_resource(made, ResourceType::clusters, where, Cluster{id, {}});
     }
-    put(made, Kind::clusters, name,
-        Cluster{id, apart ? std::vector{where, primary} : std::vector<std::string>{}});
+    add_resource(made, ResourceType::clusters, name,
+                 Cluster{id, apart ? std::vector{where, primary} : std::vector<std::string>{}});
     std::vector<Endpoint> endpoints;
     const bool leased =
-        type.needs == RoutedRequestClass::Needs::any || made.offer.abilities.expiry != Expiry::none;
-    const bool tested = type.needs != RoutedRequestClass::Needs::session || made.offer.abilities.tokens;
+        type.needs == RoutedRequestClass::Needs::any || made.snapshot.capabilities.expiry != Expiry::none;
+    const bool tested =
+        type.needs != RoutedRequestClass::Needs::session || made.snapshot.capabilities.checks_session_tokens;
     if (leased && tested) {
-      endpoints = replicas(made, group, type, where);
+      endpoints = eligible_replicas(made, group, type, where);
     }
     if (!apart) {
       const int rank = endpoints.empty() ? 0 : 1;
       for (const Endpoint& endpoint : head) {
-        if (endpoint.standing == Standing::healthy || endpoints.empty()) {
+        if (endpoint.health_status == HealthStatus::healthy || endpoints.empty()) {
           endpoints.push_back(endpoint);
           endpoints.back().rank = rank;
         }
       }
     }
     if (!endpoints.empty() || apart) {
-      put_assignment(made, where, std::move(endpoints));
-    } else if (!put_as_draining(made, where)) {
-      made.offer.withheld.insert(where);
+      add_assignment(made, where, std::move(endpoints));
+    } else if (!add_as_draining(made, where)) {
+      made.snapshot.withheld.insert(where);
     }
   }
 }
 
 // Nobody is left to hand out: what was given before is taken back by its standing, since an assignment
 // without endpoints reads as "no such server ever" at some proxies. False: nothing was given.
-bool SnapshotBuilder::put_as_draining(Made& made, const std::string& name) {
-  const Resource* last = made.last(Kind::endpoints, name);
+bool SnapshotBuilder::add_as_draining(SnapshotDraft& made, const std::string& name) {
+  const Resource* last = made.last(ResourceType::endpoints, name);
   if (!last) {
     return false;
   }
   std::vector<Endpoint> endpoints = std::get<Assignment>(last->body).endpoints;
   for (Endpoint& endpoint : endpoints) {
-    endpoint.standing = Standing::draining, endpoint.until = -1;
+    endpoint.health_status = HealthStatus::draining, endpoint.until = -1;
   }
-  put_assignment(made, name, std::move(endpoints));
+  add_assignment(made, name, std::move(endpoints));
   return true;
 }
 
-void SnapshotBuilder::see_off(Made& made, const std::map<GroupId, Group>& groups) {
+void SnapshotBuilder::add_removed_groups(SnapshotDraft& made, const std::map<GroupId, Group>& groups) {
   std::erase_if(ended_, [&](const auto& item) {
     return groups.contains(item.first) || made.now - item.second > 2 * kSeenOff;
   });
   if (!made.before) {
     return;
   }
-  for (const auto& [name, held] : made.before->resources[static_cast<std::size_t>(Kind::clusters)]) {
+  for (const auto& [name, held] : made.before->resources[static_cast<std::size_t>(ResourceType::clusters)]) {
     const Cluster& cluster = std::get<Cluster>(held->body);
     if (groups.contains(cluster.group)) {
       continue;
@@ -320,22 +323,24 @@
     if (made.now - ended_.try_emplace(cluster.group, made.now).first->second > kSeenOff) {
       continue;
     }
-    put(made, Kind::clusters, name, cluster);
-    put_as_draining(made, name);
+    add_resource(made, ResourceType::clusters, name, cluster);
+    add_as_draining(made, name);
   }
 }
 
-void SnapshotBuilder::put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints) {
+void SnapshotBuilder::add_assignment(SnapshotDraft& made, const std::string& name,
+                                     std::vector<Endpoint> endpoints) {
   std::ranges::sort(endpoints, {}, [](const Endpoint& e) { return std::pair(e.rank, e.server); });
-  put(made, Kind::endpoints, name, Assignment{std::move(endpoints)});
+  add_resource(made, ResourceType::endpoints, name, Assignment{std::move(endpoints)});
 }
 
-void SnapshotBuilder::put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body) {
+void SnapshotBuilder::add_resource(SnapshotDraft& made, ResourceType kind, const std::string& name,
+                                   decltype(Resource::body) body) {
   Resource resource;
   resource.kind = kind, resource.name = name, resource.made = made.now;
-  resource.revision = made.roster->revision();
+  resource.revision = made.registry->revision();
   const Resource* last = made.last(kind, name);
-  auto& place = made.offer.resources[static_cast<std::size_t>(kind)][name];
+  auto& place = made.snapshot.resources[static_cast<std::size_t>(kind)][name];
   const auto keep = [&] { place = made.before->resources[static_cast<std::size_t>(kind)].at(name); };
   if (const auto* assignment = std::get_if<Assignment>(&body)) {
     for (const Endpoint& endpoint : assignment->endpoints) {
@@ -352,7 +357,7 @@
       if (!renew || resource.until <= last->until) {
         return keep();
       }
-      if (made.offer.abilities.expiry == Expiry::time_to_live) {
+      if (made.snapshot.capabilities.expiry == Expiry::time_to_live) {
         resource.version = last->version, resource.body = last->body;
         place = std::make_shared<const Resource>(std::move(resource));
         return;
@@ -376,7 +381,7 @@
   }
   resource.version = ++last_version_;
   resource.body = std::move(body);
-  made.offer.versions[static_cast<std::size_t>(kind)] = resource.version;
+  made.snapshot.versions[static_cast<std::size_t>(kind)] = resource.version;
   place = std::make_shared<const Resource>(std::move(resource));
 }
 
--- a/src/control/resource_snapshot.hpp
+++ b/src/control/resource_snapshot.hpp
@@ -19,27 +19,27 @@
 namespace reedspindle::control {
 
 // In the order in which a proxy that takes everything has to have them: make before break.
-enum class Kind { clusters, endpoints, listeners, routes };
-constexpr std::size_t kKinds = 4;
+enum class ResourceType { clusters, endpoints, listeners, routes };
+constexpr std::size_t kResourceTypes = 4;
 
 // How a proxy gives up what it was handed when nothing more is heard of us: not at all, a resource after its
 // time to live, or an endpoint at a stated time.
 enum class Expiry { none, time_to_live, stated };
 
-struct Abilities {
+struct ClientCapabilities {
   Expiry expiry = Expiry::none;
-  bool weighs = false;  // goes by endpoints' weights
-  bool tokens = false;  // tests endpoints' positions against sessions' tokens itself
-  bool elder = false;   // reads routes in the protocol's elder form alone
-  auto operator<=>(const Abilities&) const = default;
+  bool uses_weights = false;           // goes by endpoints' weights
+  bool checks_session_tokens = false;  // tests endpoints' positions against sessions' tokens itself
+  bool legacy_matchers = false;        // reads routes in the protocol's elder form alone
+  auto operator<=>(const ClientCapabilities&) const = default;
 };
 
-enum class Standing { healthy, draining, out };
+enum class HealthStatus { healthy, draining, unhealthy };
 
 struct Endpoint {
   ServerId server;
   std::string address, zone;
-  Standing standing = Standing::healthy;
+  HealthStatus health_status = HealthStatus::healthy;
   Unavailability unavailability = Unavailability::none;
   bool primary = false;
   int rank = 0;                      // endpoints of the next rank only where those before are not there
@@ -69,12 +69,12 @@
 };
 struct Routes {
   std::vector<Route> routes;
-  bool elder = false;
+  bool legacy_matchers = false;
   bool operator==(const Routes&) const = default;
 };
 
 struct Resource {
-  Kind kind = Kind::clusters;
+  ResourceType kind = ResourceType::clusters;
   std::string name;
   std::uint64_t version = 0;  // rises with every change; no two resources share one
   std::uint64_t revoked = 0;  // the last version that took an endpoint away
@@ -83,14 +83,14 @@
   Millis until = -1;  // below 0: holds until another comes
   std::variant<Cluster, Assignment, Listener, Routes> body;
 };
-using Held = std::shared_ptr<const Resource>;
+using ResourcePtr = std::shared_ptr<const Resource>;
 
 struct ResourceSnapshot {
   bool ready = false;      // not before that is anything handed out
   long long revision = 0;  // of the list it stands on
-  Abilities abilities;
-  std::array<std::map<std::string, Held>, kKinds> resources;
-  std::array<std::uint64_t, kKinds> versions{};  // the last change of each kind, removals too
+  ClientCapabilities capabilities;
+  std::array<std::map<std::string, ResourcePtr>, kResourceTypes> resources;
+  std::array<std::uint64_t, kResourceTypes> versions{};  // the last change of each kind, removals too
   std::set<std::string> withheld;  // assignments that there are, of which nothing can be told now
 };
 
@@ -105,18 +105,17 @@
 
 class SnapshotBuilder {
  public:
-  struct Leases {
+  struct LeaseOptions {
     Millis transit = 100, clocks = 10, least = 250;
   };
 
-  SnapshotBuilder(std::vector<RoutedRequestClass> types, Leases leases, Millis first_answer);
+  SnapshotBuilder(std::vector<RoutedRequestClass> types, LeaseOptions leases, Millis first_answer);
 
   // The offers for those abilities as of now; what has not changed is the same resource as before. Called
   // after every settle of the module.
-  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> make(const std::vector<ServerView>& views,
-                                                                    const EndpointRegistry& roster,
-                                                                    const std::set<Abilities>& wanted,
-                                                                    Millis now);
+  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> build(
+      const std::vector<ServerView>& views, const EndpointRegistry& registry,
+      const std::set<ClientCapabilities>& wanted, Millis now);
 
   // Whether anything has been offered as ready since the start.
   [[nodiscard]] bool ready() const { return ready_; }
@@ -126,26 +125,28 @@
     std::vector<const ServerView*> members;
     const ServerView* primary = nullptr;
   };
-  struct Made;  // an offer in the making
-
-  void judge_ready(const std::map<GroupId, Group>& groups, const EndpointRegistry& roster, Millis now);
-  void hand_out(Made& made, GroupId id, const Group& group);
-  [[nodiscard]] Endpoint endpoint_of(const ServerView& view, const EndpointRegistry& roster) const;
-  [[nodiscard]] std::vector<Endpoint> replicas(const Made& made, const Group& group,
-                                               const RoutedRequestClass& type, const std::string& name) const;
-  void put(Made& made, Kind kind, const std::string& name, decltype(Resource::body) body);
-  void put_assignment(Made& made, const std::string& name, std::vector<Endpoint> endpoints);
-  bool put_as_draining(Made& made, const std::string& name);
-  void see_off(Made& made, const std::map<GroupId, Group>& groups);
+  struct SnapshotDraft;  // an offer in the making
+
+  void update_readiness(const std::map<GroupId, Group>& groups, const EndpointRegistry& registry, Millis now);
+  void add_group(SnapshotDraft& made, GroupId id, const Group& group);
+  [[nodiscard]] Endpoint make_endpoint(const ServerView& view, const EndpointRegistry& registry) const;
+  [[nodiscard]] std::vector<Endpoint> eligible_replicas(const SnapshotDraft& made, const Group& group,
+                                                        const RoutedRequestClass& type,
+                                                        const std::string& name) const;
+  void add_resource(SnapshotDraft& made, ResourceType kind, const std::string& name,
+                    decltype(Resource::body) body);
+  void add_assignment(SnapshotDraft& made, const std::string& name, std::vector<Endpoint> endpoints);
+  bool add_as_draining(SnapshotDraft& made, const std::string& name);
+  void add_removed_groups(SnapshotDraft& made, const std::map<GroupId, Group>& groups);
 
   const std::vector<RoutedRequestClass> types_;
-  const Leases leases_;
+  const LeaseOptions leases_;
   const Millis first_answer_;
   std::uint64_t last_version_ = 0;
   bool ready_ = false;
   Millis known_since_ = -1;
   std::map<GroupId, Millis> ended_;  // groups without a member, and since when
-  std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> last_;
+  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> last_;
 };
 
 }  // namespace reedspindle::control
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -20,34 +20,34 @@
 
 namespace discovery = xds::discovery;
 
-constexpr int kLongestMessage = 4 << 20;  // of a proxy; some times what the names it may ask for come to
-constexpr Millis kFirstWord = 10000;      // a stream that says nothing is ended after this
-constexpr unsigned kReadAgain = 1;        // s between looks at the certificates' files
+constexpr int kMaxRequestBytes = 4 << 20;  // of a proxy; some times what the names it may ask for come to
+constexpr Millis kFirstRequestTimeout = 10000;    // a stream that says nothing is ended after this
+constexpr unsigned kCertificateCheckSeconds = 1;  // s between looks at the certificates' files
 
 }  // namespace
 
 class Server::Impl {
  public:
   // One stream, whatever its form.
-  class Link {
+  class StreamLink {
    public:
-    virtual ~Link() = default;
+    virtual ~StreamLink() = default;
     virtual void read_on() = 0;
     virtual void finish(const grpc::Status& status) = 0;
     bool finished = false, opened = false;
   };
 
   template <typename Message, typename Response>
-  class LinkOf final : public grpc::ServerBidiReactor<Message, Response>,
-                       public Link,
-                       public std::enable_shared_from_this<LinkOf<Message, Response>> {
+  class TypedStreamLink final : public grpc::ServerBidiReactor<Message, Response>,
+                                public StreamLink,
+                                public std::enable_shared_from_this<TypedStreamLink<Message, Response>> {
    public:
-    static LinkOf* make(Impl& server, Form form) {
-      auto link = std::make_shared<LinkOf>();
-      link->server_ = &server, link->form_ = form;
+    static TypedStreamLink* create(Impl& server, ProtocolVariant variant) {
+      auto link = std::make_shared<TypedStreamLink>();
+      link->server_ = &server, link->variant_ = variant;
       link->id_ = {++server.last_id_};
       link->self_ = link;
-      LinkOf* bare = link.get();
+      TypedStreamLink* bare = link.get();
       server.post([&server, id = link->id_, link] { server.links_[id] = link; });
       bare->StartRead(&bare->in_);
       return bare;
@@ -74,15 +74,16 @@
     // On gRPC's threads.
     void OnReadDone(bool ok) override {
       if (!ok) {
-        return server_->post([server = server_, id = id_] { server->leaves(id); });
+        return server_->post([server = server_, id = id_] { server->on_stream_ended(id); });
       }
-      server_->post([server = server_, id = id_, form = form_, message = std::move(in_)]() mutable {
-        server->read(id, form, std::move(message));
+      server_->post([server = server_, id = id_, variant = variant_, message = std::move(in_)]() mutable {
+        server->read(id, variant, std::move(message));
       });
     }
     void OnWriteDone(bool ok) override {
-      server_->post(
-          [server = server_, id = id_, ok] { ok ? server->hearer_.written(id) : server->leaves(id); });
+      server_->post([server = server_, id = id_, ok] {
+        ok ? server->listener_.on_response_sent(id) : server->on_stream_ended(id);
+      });
     }
     void OnDone() override {
       server_->post([server = server_, id = id_, self = std::move(self_)] { server->links_.erase(id); });
@@ -90,49 +91,50 @@
 
    private:
     Impl* server_ = nullptr;
-    Form form_ = Form::whole;
+    ProtocolVariant variant_ = ProtocolVariant::state_of_the_world;
     StreamId id_;
     std::mutex mutex_;  // nothing is written once it has been finished
     Message in_;
     Response out_;
-    std::shared_ptr<LinkOf> self_;  // until gRPC is done with it
+    std::shared_ptr<TypedStreamLink> self_;  // until gRPC is done with it
   };
-  using Whole = LinkOf<discovery::DiscoveryRequest, discovery::DiscoveryResponse>;
-  using Changes = LinkOf<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>;
+  using StateOfTheWorldStream = TypedStreamLink<discovery::DiscoveryRequest, discovery::DiscoveryResponse>;
+  using IncrementalStream =
+      TypedStreamLink<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>;
 
-  class Handed final : public discovery::AggregatedDiscoveryService::CallbackService {
+  class DiscoveryService final : public discovery::AggregatedDiscoveryService::CallbackService {
    public:
-    explicit Handed(Impl& server) : server_(server) {}
+    explicit DiscoveryService(Impl& server) : server_(server) {}
     grpc::ServerBidiReactor<discovery::DiscoveryRequest, discovery::DiscoveryResponse>*
     StreamAggregatedResources(grpc::CallbackServerContext* /*unused*/) override {
-      return Whole::make(server_, Form::whole);
+      return StateOfTheWorldStream::create(server_, ProtocolVariant::state_of_the_world);
     }
     grpc::ServerBidiReactor<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>*
     DeltaAggregatedResources(grpc::CallbackServerContext* /*unused*/) override {
-      return Changes::make(server_, Form::changes);
+      return IncrementalStream::create(server_, ProtocolVariant::incremental);
     }
 
    private:
     Impl& server_;
   };
 
-  Impl(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer)
-      : loop_(loop), hearer_(hearer), encoder_(charge.name, epoch), handed_(*this), sweep_(loop) {
+  Impl(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener)
+      : loop_(loop), listener_(listener), encoder_(options.name, epoch), service_(*this), sweep_(loop) {
     grpc::ServerBuilder builder;
-    builder.AddListeningPort(charge.listen, credentials(charge), &port_);
-    builder.RegisterService(&handed_);
-    builder.SetMaxReceiveMessageSize(kLongestMessage);
-    const int keepalive = static_cast<int>(charge.keepalive);
+    builder.AddListeningPort(options.listen, credentials(options), &port_);
+    builder.RegisterService(&service_);
+    builder.SetMaxReceiveMessageSize(kMaxRequestBytes);
+    const int keepalive = static_cast<int>(options.keepalive);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, keepalive);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, keepalive);
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, 1000);
     builder.AddChannelArgument(GRPC_ARG_MAX_CONCURRENT_STREAMS, 100);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.SetResourceQuota(grpc::ResourceQuota("proxies").Resize(charge.config.memory).SetMaxThreads(16));
+    builder.SetResourceQuota(grpc::ResourceQuota("proxies").Resize(options.config.memory).SetMaxThreads(16));
     server_ = builder.BuildAndStart();
     if (!server_ || port_ == 0) {
-      throw std::runtime_error(fmt::format("can't listen at {}", charge.listen));
+      throw std::runtime_error(fmt::format("can't listen at {}", options.listen));
     }
     sweep();
   }
@@ -154,35 +156,36 @@
   }
 
   template <typename Message>
-  void read(StreamId id, Form form, Message message) {
+  void read(StreamId id, ProtocolVariant variant, Message message) {
     const auto found = links_.find(id);
     if (found == links_.end() || found->second->finished) {
       return;
     }
-    Link& link = *found->second;
+    StreamLink& link = *found->second;
     if (!link.opened) {
       link.opened = true;
-      if (!hearer_.opened(id, form, xds::abilities_of(message.node()), message.node().id())) {
+      if (!listener_.on_stream_opened(id, variant, xds::capabilities_of(message.node()),
+                                      message.node().id())) {
         link.opened = false;
         return link.finish({grpc::StatusCode::RESOURCE_EXHAUSTED, "too many streams"});
       }
     }
-    if (auto heard = xds::heard_in(std::move(message))) {
-      hearer_.heard(id, std::move(*heard));
+    if (auto request = xds::decode_request(std::move(message))) {
+      listener_.on_request(id, std::move(*request));
     }
     link.read_on();
   }
 
-  void write(Form form, Write write) {
-    const auto found = links_.find(write.stream);
+  void write(ProtocolVariant variant, ResponseToSend response) {
+    const auto found = links_.find(response.stream);
     if (found == links_.end() || found->second->finished) {
       return;
     }
-    asio::post(writers_, [this, form, link = found->second, write = std::move(write)] {
-      if (form == Form::whole) {
-        static_cast<Whole&>(*link).write(encoder_.whole(write));
+    asio::post(writers_, [this, variant, link = found->second, response = std::move(response)] {
+      if (variant == ProtocolVariant::state_of_the_world) {
+        static_cast<StateOfTheWorldStream&>(*link).write(encoder_.encode_state_of_the_world(response));
       } else {
-        static_cast<Changes&>(*link).write(encoder_.changes(write));
+        static_cast<IncrementalStream&>(*link).write(encoder_.encode_incremental(response));
       }
     });
   }
@@ -193,17 +196,17 @@
       return;
     }
     found->second->finish({grpc::StatusCode::RESOURCE_EXHAUSTED, why});
-    told_closed(id, *found->second);
+    notify_closed(id, *found->second);
   }
 
   // The proxy has ended its side, or the stream has broken.
-  void leaves(StreamId id) {
+  void on_stream_ended(StreamId id) {
     const auto found = links_.find(id);
     if (found == links_.end()) {
       return;
     }
     found->second->finish(grpc::Status::OK);
-    told_closed(id, *found->second);
+    notify_closed(id, *found->second);
   }
 
   void stop() {
@@ -211,7 +214,7 @@
     sweep_.cancel();
     for (const auto& [id, link] : std::map(links_)) {
       link->finish({grpc::StatusCode::UNAVAILABLE, "the control service stops"});
-      told_closed(id, *link);
+      notify_closed(id, *link);
     }
     stopper_ = std::thread([this] {
       server_->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(500));
@@ -223,15 +226,15 @@
   int port_ = 0;
 
  private:
-  void told_closed(StreamId id, Link& link) {
+  void notify_closed(StreamId id, StreamLink& link) {
     if (std::exchange(link.opened, false)) {
-      hearer_.closed(id);
+      listener_.on_stream_closed(id);
     }
   }
 
   // Guards against streams that are opened and say nothing: nobody else counts them.
   void sweep() {
-    sweep_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstWord)));
+    sweep_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstRequestTimeout)));
     sweep_.async_wait([this](const asio::error_code& fault) {
       if (fault || stopping_) {
         return;
@@ -247,32 +250,33 @@
   }
 
   // Certificates are read again when their files change, so a new one needs neither restart nor signal.
-  static std::shared_ptr<grpc::ServerCredentials> credentials(const Options& charge) {
-    if (!charge.tls) {
+  static std::shared_ptr<grpc::ServerCredentials> credentials(const Options& options) {
+    if (!options.tls) {
       return grpc::InsecureServerCredentials();
     }
     namespace tls = grpc::experimental;
-    const auto files = charge.tls->proxies.empty()
-                           ? std::make_shared<tls::FileWatcherCertificateProvider>(
-                                 charge.tls->key, charge.tls->certificate, kReadAgain)
-                           : std::make_shared<tls::FileWatcherCertificateProvider>(
-                                 charge.tls->key, charge.tls->certificate, charge.tls->proxies, kReadAgain);
-    tls::TlsServerCredentialsOptions options(files);
-    options.watch_identity_key_cert_pairs();
-    if (!charge.tls->proxies.empty()) {
-      options.watch_root_certs();
-      options.set_cert_request_type(GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
+    const auto files =
+        options.tls->proxies.empty()
+            ? std::make_shared<tls::FileWatcherCertificateProvider>(
+                  options.tls->key, options.tls->certificate, kCertificateCheckSeconds)
+            : std::make_shared<tls::FileWatcherCertificateProvider>(
+                  options.tls->key, options.tls->certificate, options.tls->proxies, kCertificateCheckSeconds);
+    tls::TlsServerCredentialsOptions credentials_options(files);
+    credentials_options.watch_identity_key_cert_pairs();
+    if (!options.tls->proxies.empty()) {
+      credentials_options.watch_root_certs();
+      credentials_options.set_cert_request_type(GRPC_SSL_REQUEST_AND_REQUIRE_CLIENT_CERTIFICATE_AND_VERIFY);
     }
-    return tls::TlsServerCredentials(options);
+    return tls::TlsServerCredentials(credentials_options);
   }
 
   asio::io_context& loop_;
-  StreamListener& hearer_;
+  StreamListener& listener_;
   xds::Encoder encoder_;
-  Handed handed_;
+  DiscoveryService service_;
   std::atomic<std::uint64_t> last_id_ = 0;
   StreamId seen_;
-  std::map<StreamId, std::shared_ptr<Link>> links_;  // on the loop only
+  std::map<StreamId, std::shared_ptr<StreamLink>> links_;  // on the loop only
   asio::steady_timer sweep_;
   bool stopping_ = false;
   // Responses are put into bytes here: on the loop a thousand of them would keep probes waiting beyond their
@@ -282,10 +286,12 @@
   std::thread stopper_;
 };
 
-Server::Server(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer)
-    : impl_(std::make_unique<Impl>(loop, charge, epoch, hearer)) {}
+Server::Server(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener)
+    : impl_(std::make_unique<Impl>(loop, options, epoch, listener)) {}
 Server::~Server() = default;
-void Server::write(Form form, Write write) { impl_->write(form, std::move(write)); }
+void Server::write(ProtocolVariant variant, ResponseToSend response) {
+  impl_->write(variant, std::move(response));
+}
 void Server::end(StreamId id, const std::string& why) { impl_->end(id, why); }
 void Server::stop() { impl_->stop(); }
 bool Server::stopped() const { return impl_->stopped_; }
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -18,20 +18,21 @@
 struct StreamListener {
   virtual ~StreamListener() = default;
   // The first message of a stream. False: it is not taken.
-  virtual bool opened(StreamId id, Form form, Abilities abilities, const std::string& node) = 0;
-  virtual void heard(StreamId id, SubscriptionRequest heard) = 0;
-  virtual void written(StreamId id) = 0;
-  virtual void closed(StreamId id) = 0;
+  virtual bool on_stream_opened(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
+                                const std::string& node) = 0;
+  virtual void on_request(StreamId id, SubscriptionRequest request) = 0;
+  virtual void on_response_sent(StreamId id) = 0;
+  virtual void on_stream_closed(StreamId id) = 0;
 };
 
 class Server {
  public:
   // Throws std::runtime_error where it can't listen.
-  Server(asio::io_context& loop, const Options& charge, std::uint64_t epoch, StreamListener& hearer);
+  Server(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener);
   ~Server();
 
   // On the loop.
-  void write(Form form, Write write);
+  void write(ProtocolVariant variant, ResponseToSend response);
   void end(StreamId id, const std::string& why);
   // Ends all streams; the loop has to run on until stopped.
   void stop();
--- a/src/control/service.hpp
+++ b/src/control/service.hpp
@@ -28,46 +28,47 @@
 class Service : private StreamListener {
  public:
   // Throws keep::DiskFault or std::runtime_error where it can't start.
-  explicit Service(Options charge);
+  explicit Service(Options options);
 
   // Runs until it has been told to stop.
   void run();
 
  private:
-  bool opened(StreamId id, Form form, Abilities abilities, const std::string& node) override;
-  void heard(StreamId id, SubscriptionRequest heard) override;
-  void written(StreamId id) override;
-  void closed(StreamId id) override;
+  bool on_stream_opened(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
+                        const std::string& node) override;
+  void on_request(StreamId id, SubscriptionRequest request) override;
+  void on_response_sent(StreamId id) override;
+  void on_stream_closed(StreamId id) override;
 
-  std::uint64_t start_roster();
-  void list_read(net::EndpointList list);
-  void tell_module();
-  void settle();
-  void hand_out(Millis now);
-  void keep_roster();
-  void kept(const std::string& fault);
-  void hear_signals();
+  std::uint64_t restore_registry();
+  void on_endpoint_list(net::EndpointList list);
+  void notify_router();
+  void process_events();
+  void send_responses(Millis now);
+  void persist_registry();
+  void on_persisted(const std::string& fault);
+  void wait_for_signals();
   void wake_at(Millis at);
-  void report();
+  void log_state();
 
-  void carry_out(const StartProbe& decision);
-  void carry_out(const SetTimer& decision);
-  void carry_out(const WatchEndpoints& /*unused*/);
-  void carry_out(const ForgetServer& decision);
-  void carry_out(const LogMessage& decision);
+  void execute(const StartProbe& decision);
+  void execute(const SetTimer& decision);
+  void execute(const WatchEndpoints& /*unused*/);
+  void execute(const ForgetServer& decision);
+  void execute(const LogMessage& decision);
   template <typename Op>
-  void carry_out(const Op& /*unused*/) {}  // there are no ops here and no peers
+  void execute(const Op& /*unused*/) {}  // there are no ops here and no peers
 
-  void carry_out(const Write& write);
-  void carry_out(const End& end);
-  void carry_out(const Notice& notice);
+  void execute(const ResponseToSend& response);
+  void execute(const StreamToClose& end);
+  void execute(const OperatorNotice& notice);
 
   struct Proxy {
-    Form form;
+    ProtocolVariant variant;
     std::string node;
   };
 
-  const Options charge_;
+  const Options options_;
   const net::Clock clock_;
   logging::Log log_;
   asio::io_context io_;
@@ -75,24 +76,25 @@
   asio::signal_set signals_;
   snapshot::FolderDisk disk_;
   snapshot::Store store_;
-  EndpointRegistry roster_;
-  std::string kept_;           // what the store was told last; made before the start's number, which tells it
+  EndpointRegistry registry_;
+  std::string
+      persisted_state_;        // what the store was told last; made before the start's number, which tells it
   const std::uint64_t epoch_;  // the number of this start
   std::unique_ptr<Router> router_;
-  SnapshotBuilder offering_;
-  Subscriptions streams_;
+  SnapshotBuilder snapshot_builder_;
+  Subscriptions subscriptions_;
   upstream::ConnectionPool members_;
-  discovery::Client list_;
+  discovery::Client endpoint_watch_;
   std::map<StreamId, Proxy> proxies_;
-  UpdateDoubt told_doubt_ = UpdateDoubt::none;
+  UpdateVerdict logged_verdict_ = UpdateVerdict::accepted;
   // What has happened since the last settle: to a stream, to what the module knows, to the roster.
-  bool due_ = true, noted_ = true, listed_ = true;
-  Millis made_at_ = 0;  // when the offers were worked out last
+  bool due_ = true, router_pending_ = true, registry_changed_ = true;
+  Millis snapshot_built_at_ = 0;  // when the offers were worked out last
   bool stopping_ = false, was_ready_ = false;
-  std::set<Abilities> offered_;
+  std::set<ClientCapabilities> snapshot_capabilities_;
   std::optional<net::Timers::Handle> wake_;
   Millis wake_time_ = 0;
-  snapshot::SnapshotWriter keeper_;
+  snapshot::SnapshotWriter snapshot_writer_;
   Server server_;
 };
 
--- a/src/control/subscriptions.hpp
+++ b/src/control/subscriptions.hpp
@@ -24,7 +24,7 @@
 };
 
 // State of the world, or changes alone.
-enum class Form { whole, changes };
+enum class ProtocolVariant { state_of_the_world, incremental };
 
 // A version as it is written in responses and read back from proxies: of which list, of which start of which
 // service, and the how manieth change. Rises over restarts; told apart between services by their names.
@@ -34,26 +34,26 @@
   std::string service;
 };
 std::string text_of(const Version& version);
-std::optional<Version> version_in(const std::string& text);
-std::string version_of(const Resource& resource, std::uint64_t epoch, const std::string& service);
+std::optional<Version> parse_version(const std::string& text);
+std::string resource_version_text(const Resource& resource, std::uint64_t epoch, const std::string& service);
 
 // What a proxy said, read whole.
 struct SubscriptionRequest {
-  Kind kind = Kind::clusters;
-  std::string nonce;                 // of the response it answers; empty: of none
-  std::string version;               // whole: what it took last
-  std::vector<std::string> names;    // whole: all that it asks for; changes: what it asks for from now on
-  std::vector<std::string> no_more;  // changes
-  std::map<std::string, std::string> holds;  // changes: versions it comes with
-  std::optional<std::string> turned_down;    // the reason, where it did not take that response
+  ResourceType kind = ResourceType::clusters;
+  std::string nonce;               // of the response it answers; empty: of none
+  std::string version;             // whole: what it took last
+  std::vector<std::string> names;  // whole: all that it asks for; changes: what it asks for from now on
+  std::vector<std::string> unsubscribed;              // changes
+  std::map<std::string, std::string> known_versions;  // changes: versions it comes with
+  std::optional<std::string> rejection_reason;        // the reason, where it did not take that response
 };
 
-struct Write {
+struct ResponseToSend {
   StreamId stream;
-  Kind kind = Kind::clusters;
+  ResourceType kind = ResourceType::clusters;
   std::string nonce, version;
   struct Item {
-    Held resource;
+    ResourcePtr resource;
     Millis time_to_live = -1;  // below 0: none
     bool body = true;          // false: only its time to live goes on
   };
@@ -61,16 +61,16 @@
   std::vector<std::string> removed;
   bool urgent = false;
 };
-struct End {
+struct StreamToClose {
   StreamId stream;
   std::string why;
 };
 // Something operators want to know of.
-struct Notice {
+struct OperatorNotice {
   StreamId stream;
   std::string event, detail;
 };
-using Act = std::variant<Write, End, Notice>;
+using StreamAction = std::variant<ResponseToSend, StreamToClose, OperatorNotice>;
 
 class Subscriptions {
  public:
@@ -81,110 +81,113 @@
     Millis transit = 100;   // that a response may take
   };
   struct Counts {
-    std::uint64_t responses = 0, urgent = 0, taken = 0, turned_down = 0, stale_nonces = 0, ended = 0;
+    std::uint64_t responses = 0, urgent = 0, acknowledged = 0, rejected = 0, stale_nonces = 0, ended = 0;
   };
 
   Subscriptions(Bounds bounds, std::string service, std::uint64_t epoch);
 
   // False: there are too many.
-  bool open(StreamId id, Form form, Abilities abilities, Millis now);
-  void hear(StreamId id, SubscriptionRequest heard, Millis now);
+  bool open_stream(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities, Millis now);
+  void on_request(StreamId id, SubscriptionRequest request, Millis now);
   // The transport can take the next response of that stream.
-  void written(StreamId id);
-  void close(StreamId id);
+  void on_response_sent(StreamId id);
+  void close_stream(StreamId id);
 
-  [[nodiscard]] std::set<Abilities> abilities() const;
-  void offer(std::map<Abilities, std::shared_ptr<const ResourceSnapshot>> offers);
-  std::vector<Act> settle(Millis now);
+  [[nodiscard]] std::set<ClientCapabilities> capabilities() const;
+  void update_snapshots(std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> snapshots);
+  std::vector<StreamAction> collect_actions(Millis now);
   // When something is due though nothing happens; below 0: nothing.
-  [[nodiscard]] Millis due() const { return due_; }
+  [[nodiscard]] Millis next_deadline() const { return next_deadline_; }
 
   [[nodiscard]] std::size_t size() const { return streams_.size(); }
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   // What a proxy has of one resource.
-  struct Has {
-    Held sent, taken;
+  struct ClientResource {
+    ResourcePtr sent, taken;
     std::uint64_t turned_down = 0;  // the version that it did not take
   };
-  struct Response {
+  struct PendingResponse {
     std::string nonce;
-    Millis at = 0;
+    Millis sent_at = 0;
     bool leased = false;
-    std::map<std::string, Held> sent;
+    std::map<std::string, ResourcePtr> sent;
   };
-  struct OfKind {
+  struct TypeSubscription {
     bool asked = false, all = false;
     std::set<std::string> names;
-    std::map<std::string, Has> has;
-    std::set<std::string> told_missing;
-    std::deque<Response> out;  // not yet answered
+    std::map<std::string, ClientResource> has;
+    std::set<std::string> reported_missing;
+    std::deque<PendingResponse> out;  // not yet answered
     std::string last_nonce;
     std::uint64_t whole = 0;  // the version of the kind that was sent last
     // The offer of which it lacks nothing but what an answer is owed for; 0: all has to be looked at.
-    std::uint64_t clean_at = 0;
+    std::uint64_t complete_as_of = 0;
     Millis pause_until = 0, pause = 0;
   };
   struct Stream {
-    Form form = Form::whole;
-    Abilities abilities, can;  // can: what it said it can, abilities: what it is trusted with now
-    std::array<OfKind, kKinds> kinds;
+    ProtocolVariant variant = ProtocolVariant::state_of_the_world;
+    ClientCapabilities capabilities, can;  // can: what it said it can, abilities: what it is trusted with now
+    std::array<TypeSubscription, kResourceTypes> kinds;
     bool writing = false, dirty = true;
     bool returns = false;  // it comes with what this service told it before
     Millis written_at = 0, opened = 0;
-    long long must_reach = 0;  // a list that the proxy knows
-    Millis distrusted_until = 0;
+    long long required_revision = 0;  // a list that the proxy knows
+    Millis leases_disabled_until = 0;
     std::uint64_t nonces = 0;
     std::size_t name_count = 0;
     Millis again = -1;  // when to look at it though nothing happens; below 0: no need
     std::optional<std::string> end;
   };
 
-  OfKind& of(Stream& stream, Kind kind) { return stream.kinds[static_cast<std::size_t>(kind)]; }
-  [[nodiscard]] const OfKind& of(const Stream& stream, Kind kind) const {
+  TypeSubscription& of(Stream& stream, ResourceType kind) {
+    return stream.kinds[static_cast<std::size_t>(kind)];
+  }
+  [[nodiscard]] const TypeSubscription& of(const Stream& stream, ResourceType kind) const {
     return stream.kinds[static_cast<std::size_t>(kind)];
   }
   // What an offer changed, by kind, of the one before for the same abilities.
-  struct Past {
+  struct SnapshotChange {
     std::uint64_t serial = 0;
-    std::array<std::vector<std::string>, kKinds> names;
+    std::array<std::vector<std::string>, kResourceTypes> names;
   };
-  struct Current {
-    std::shared_ptr<const ResourceSnapshot> offer;
+  struct CurrentSnapshot {
+    std::shared_ptr<const ResourceSnapshot> snapshot;
     std::uint64_t serial = 0;
-    std::deque<Past> past;
+    std::deque<SnapshotChange> past;
   };
 
-  [[nodiscard]] const Current* standing_for(const Stream& stream) const;
-  void answered(StreamId id, Stream& stream, OfKind& kind, const SubscriptionRequest& heard, Millis now);
-  void ask(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
-  void come_with(Stream& stream, OfKind& kind, const SubscriptionRequest& heard);
+  [[nodiscard]] const CurrentSnapshot* snapshot_for(const Stream& stream) const;
+  void answered(StreamId id, Stream& stream, TypeSubscription& kind, const SubscriptionRequest& request,
+                Millis now);
+  void ask(Stream& stream, TypeSubscription& kind, const SubscriptionRequest& request);
+  void import_known_versions(Stream& stream, TypeSubscription& kind, const SubscriptionRequest& request);
   void trust(Stream& stream, Millis took, Millis now);
-  [[nodiscard]] Held wanted(const Stream& stream, Kind kind, const ResourceSnapshot& offer,
-                            const std::string& name) const;
-  [[nodiscard]] std::set<std::string> all_names(const Stream& stream, Kind kind,
-                                                const ResourceSnapshot& offer) const;
-  [[nodiscard]] std::optional<std::set<std::string>> changed(const OfKind& kind, std::size_t place,
-                                                             const Current& current) const;
-  [[nodiscard]] bool waits_for_clusters(const Stream& stream, const ResourceSnapshot& offer) const;
-  std::optional<Write> difference(StreamId id, Stream& stream, Kind kind, const Current& current,
-                                  bool urgent_only, Millis now);
-  std::optional<Write> difference(StreamId id, Stream& stream, bool urgent_only, Millis now);
-  static void look_again(Stream& stream, Millis at) {
+  [[nodiscard]] ResourcePtr wanted(const Stream& stream, ResourceType kind, const ResourceSnapshot& snapshot,
+                                   const std::string& name) const;
+  [[nodiscard]] std::set<std::string> relevant_names(const Stream& stream, ResourceType kind,
+                                                     const ResourceSnapshot& snapshot) const;
+  [[nodiscard]] std::optional<std::set<std::string>> changed(const TypeSubscription& kind, std::size_t place,
+                                                             const CurrentSnapshot& current) const;
+  [[nodiscard]] bool must_wait_for_clusters(const Stream& stream, const ResourceSnapshot& snapshot) const;
+  std::optional<ResponseToSend> next_response(StreamId id, Stream& stream, ResourceType kind,
+                                              const CurrentSnapshot& current, bool urgent_only, Millis now);
+  std::optional<ResponseToSend> next_response(StreamId id, Stream& stream, bool urgent_only, Millis now);
+  static void schedule_check(Stream& stream, Millis at) {
     stream.again = stream.again < 0 ? at : std::min(stream.again, at);
   }
-  void judge_slow(Stream& stream, Millis now);
+  void check_responsiveness(Stream& stream, Millis now);
 
   const Bounds bounds_;
   const std::string service_;
   const std::uint64_t epoch_;
   std::map<StreamId, Stream> streams_;
-  std::map<Abilities, Current> current_;
+  std::map<ClientCapabilities, CurrentSnapshot> current_;
   std::uint64_t last_serial_ = 0;
-  std::vector<Notice> notices_;
+  std::vector<OperatorNotice> notices_;
   Counts counts_;
-  Millis due_ = -1;
+  Millis next_deadline_ = -1;
 };
 
 }  // namespace reedspindle::control
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -23,15 +23,15 @@
 namespace listener = envoy::config::listener::v3;
 namespace hcm = envoy::extensions::filters::network::http_connection_manager::v3;
 
-constexpr const char* kTypes[] = {"type.googleapis.com/envoy.config.cluster.v3.Cluster",
-                                  "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
-                                  "type.googleapis.com/envoy.config.listener.v3.Listener",
-                                  "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"};
-constexpr std::size_t kEncoded = 4096;  // resources; some times what a thousand groups have
+constexpr const char* kTypeUrls[] = {"type.googleapis.com/envoy.config.cluster.v3.Cluster",
+                                     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+                                     "type.googleapis.com/envoy.config.listener.v3.Listener",
+                                     "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"};
+constexpr std::size_t kMaxCachedResources = 4096;  // resources; some times what a thousand groups have
 constexpr const char* kGroupHeader = "x-group";
 constexpr const char* kTypeHeader = "x-op-type";
 
-void from_us(core::ConfigSource& source) {
+void set_ads_source(core::ConfigSource& source) {
   source.mutable_ads();
   source.set_resource_api_version(core::V3);
 }
@@ -41,7 +41,7 @@
   message.set_name(resource.name);
   if (body.others.empty()) {
     message.set_type(cluster::Cluster::EDS);
-    from_us(*message.mutable_eds_cluster_config()->mutable_eds_config());
+    set_ads_source(*message.mutable_eds_cluster_config()->mutable_eds_config());
   } else {
     envoy::extensions::clusters::aggregate::v3::ClusterConfig others;
     for (const std::string& other : body.others) {
@@ -88,9 +88,9 @@
                                                         : static_cast<std::uint32_t>(std::strtoul(
                                                               e->address.c_str() + colon + 1, nullptr, 10)));
       row.mutable_endpoint()->set_hostname(e->server.address);
-      row.set_health_status(e->standing == Standing::healthy    ? core::HEALTHY
-                            : e->standing == Standing::draining ? core::DRAINING
-                                                                : core::UNHEALTHY);
+      row.set_health_status(e->health_status == HealthStatus::healthy    ? core::HEALTHY
+                            : e->health_status == HealthStatus::draining ? core::DRAINING
+                                                                         : core::UNHEALTHY);
       row.mutable_load_balancing_weight()->set_value(e->weight);
       weight += e->weight;
       auto& fields = *(*row.mutable_metadata()->mutable_filter_metadata())[kMetadata].mutable_fields();
@@ -114,7 +114,7 @@
   hcm::HttpConnectionManager manager;
   manager.set_stat_prefix(resource.name);
   manager.mutable_rds()->set_route_config_name(body.routes);
-  from_us(*manager.mutable_rds()->mutable_config_source());
+  set_ads_source(*manager.mutable_rds()->mutable_config_source());
   hcm::HttpFilter& filter = *manager.add_http_filters();
   filter.set_name("envoy.filters.http.router");
   filter.mutable_typed_config()->PackFrom(envoy::extensions::filters::http::router::v3::Router());
@@ -137,7 +137,7 @@
     const auto match = [&](const char* name, const std::string& value) {
       route::HeaderMatcher& header = *row.mutable_match()->add_headers();
       header.set_name(name);
-      if (body.elder) {
+      if (body.legacy_matchers) {
         header.set_exact_match(value);
       } else {
         header.mutable_string_match()->set_exact(value);
@@ -157,7 +157,7 @@
 }
 
 template <typename Names>
-std::vector<std::string> taken_from(Names& names) {
+std::vector<std::string> move_names(Names& names) {
   std::vector<std::string> taken;
   for (std::string& name : names) {
     taken.push_back(std::move(name));
@@ -167,62 +167,62 @@
 
 }  // namespace
 
-std::optional<Kind> kind_of(const std::string& type_url) {
-  for (std::size_t kind = 0; kind < kKinds; ++kind) {
-    if (type_url == kTypes[kind]) {
-      return static_cast<Kind>(kind);
+std::optional<ResourceType> resource_type_of(const std::string& type_url) {
+  for (std::size_t kind = 0; kind < kResourceTypes; ++kind) {
+    if (type_url == kTypeUrls[kind]) {
+      return static_cast<ResourceType>(kind);
     }
   }
   return std::nullopt;
 }
-const char* type_url_of(Kind kind) { return kTypes[static_cast<std::size_t>(kind)]; }
+const char* type_url(ResourceType kind) { return kTypeUrls[static_cast<std::size_t>(kind)]; }
 
-Abilities abilities_of(const core::Node& node) {
+ClientCapabilities capabilities_of(const core::Node& node) {
   const auto can = [&node](const char* feature) {
     return std::ranges::find(node.client_features(), feature) != node.client_features().end();
   };
   const bool envoy = node.user_agent_name() == "envoy";
-  Abilities abilities;
-  abilities.expiry = can(kStated)                ? Expiry::stated
-                     : can(kTimeToLive) || envoy ? Expiry::time_to_live
-                                                 : Expiry::none;
-  abilities.weighs = can(kWeighs) || envoy;
-  abilities.tokens = can(kTokens);
+  ClientCapabilities capabilities;
+  capabilities.expiry = can(kStatedExpiryFeature)          ? Expiry::stated
+                        : can(kTimeToLiveFeature) || envoy ? Expiry::time_to_live
+                                                           : Expiry::none;
+  capabilities.uses_weights = can(kWeightsFeature) || envoy;
+  capabilities.checks_session_tokens = can(kTokensFeature);
   // Its client turned string_match down up to 1.51, which is where we have met it; later ones read both.
-  abilities.elder = node.user_agent_name().starts_with("gRPC");
-  return abilities;
+  capabilities.legacy_matchers = node.user_agent_name().starts_with("gRPC");
+  return capabilities;
 }
 
-std::optional<SubscriptionRequest> heard_in(discovery::DiscoveryRequest&& message) {
-  const auto kind = kind_of(message.type_url());
+std::optional<SubscriptionRequest> decode_request(discovery::DiscoveryRequest&& message) {
+  const auto kind = resource_type_of(message.type_url());
   if (!kind) {
     return std::nullopt;
   }
-  SubscriptionRequest heard;
-  heard.kind = *kind, heard.nonce = message.response_nonce(), heard.version = message.version_info();
-  heard.names = taken_from(*message.mutable_resource_names());
+  SubscriptionRequest request;
+  request.kind = *kind, request.nonce = message.response_nonce(), request.version = message.version_info();
+  request.names = move_names(*message.mutable_resource_names());
   if (message.has_error_detail()) {
-    heard.turned_down = message.error_detail().message();
+    request.rejection_reason = message.error_detail().message();
   }
-  return heard;
+  return request;
 }
 
-std::optional<SubscriptionRequest> heard_in(discovery::DeltaDiscoveryRequest&& message) {
-  const auto kind = kind_of(message.type_url());
+std::optional<SubscriptionRequest> decode_request(discovery::DeltaDiscoveryRequest&& message) {
+  const auto kind = resource_type_of(message.type_url());
   if (!kind) {
     return std::nullopt;
   }
-  SubscriptionRequest heard;
-  heard.kind = *kind, heard.nonce = message.response_nonce();
-  heard.names = taken_from(*message.mutable_resource_names_subscribe());
-  heard.no_more = taken_from(*message.mutable_resource_names_unsubscribe());
+  SubscriptionRequest request;
+  request.kind = *kind, request.nonce = message.response_nonce();
+  request.names = move_names(*message.mutable_resource_names_subscribe());
+  request.unsubscribed = move_names(*message.mutable_resource_names_unsubscribe());
   for (const auto& [name, version] : message.initial_resource_versions()) {
-    heard.holds[name] = version;
+    request.known_versions[name] = version;
   }
   if (message.has_error_detail()) {
-    heard.turned_down = message.error_detail().message();
+    request.rejection_reason = message.error_detail().message();
   }
-  return heard;
+  return request;
 }
 
 std::shared_ptr<const std::string> Encoder::encoded(const Resource& resource) {
@@ -231,7 +231,7 @@
   if (found != encoded_.end()) {
     return found->second;
   }
-  while (encoded_.size() >= kEncoded) {
+  while (encoded_.size() >= kMaxCachedResources) {
     encoded_.erase(encoded_.begin());
   }
   auto bytes = std::make_shared<std::string>();
@@ -239,9 +239,9 @@
   return encoded_[resource.version] = std::move(bytes);
 }
 
-void Encoder::wrap(const Write::Item& item, discovery::Resource& into) {
+void Encoder::wrap(const ResponseToSend::Item& item, discovery::Resource& into) {
   into.set_name(item.resource->name);
-  into.set_version(version_of(*item.resource, epoch_, service_));
+  into.set_version(resource_version_text(*item.resource, epoch_, service_));
   if (item.time_to_live >= 0) {
     set(*into.mutable_ttl(), item.time_to_live);
   }
@@ -251,18 +251,18 @@
 }
 
 void Encoder::put(const Resource& resource, google::protobuf::Any& into) {
-  into.set_type_url(type_url_of(resource.kind));
+  into.set_type_url(type_url(resource.kind));
   into.set_value(*encoded(resource));
 }
 
-discovery::DiscoveryResponse Encoder::whole(const Write& write) {
-  discovery::DiscoveryResponse response;
-  response.set_version_info(write.version);
-  response.set_type_url(type_url_of(write.kind));
-  response.set_nonce(write.nonce);
-  response.mutable_control_plane()->set_identifier(service_);
-  for (const Write::Item& item : write.items) {
-    google::protobuf::Any& any = *response.add_resources();
+discovery::DiscoveryResponse Encoder::encode_state_of_the_world(const ResponseToSend& response) {
+  discovery::DiscoveryResponse message;
+  message.set_version_info(response.version);
+  message.set_type_url(type_url(response.kind));
+  message.set_nonce(response.nonce);
+  message.mutable_control_plane()->set_identifier(service_);
+  for (const ResponseToSend::Item& item : response.items) {
+    google::protobuf::Any& any = *message.add_resources();
     if (item.time_to_live < 0) {
       put(*item.resource, any);
       continue;
@@ -271,22 +271,22 @@
     wrap(item, wrapped);
     any.PackFrom(wrapped);
   }
-  return response;
+  return message;
 }
 
-discovery::DeltaDiscoveryResponse Encoder::changes(const Write& write) {
-  discovery::DeltaDiscoveryResponse response;
-  response.set_system_version_info(write.version);
-  response.set_type_url(type_url_of(write.kind));
-  response.set_nonce(write.nonce);
-  response.mutable_control_plane()->set_identifier(service_);
-  for (const Write::Item& item : write.items) {
-    wrap(item, *response.add_resources());
+discovery::DeltaDiscoveryResponse Encoder::encode_incremental(const ResponseToSend& response) {
+  discovery::DeltaDiscoveryResponse message;
+  message.set_system_version_info(response.version);
+  message.set_type_url(type_url(response.kind));
+  message.set_nonce(response.nonce);
+  message.mutable_control_plane()->set_identifier(service_);
+  for (const ResponseToSend::Item& item : response.items) {
+    wrap(item, *message.add_resources());
   }
-  for (const std::string& name : write.removed) {
-    response.add_removed_resources(name);
+  for (const std::string& name : response.removed) {
+    message.add_removed_resources(name);
   }
-  return response;
+  return message;
 }
 
 }  // namespace reedspindle::control::xds
--- a/src/control/xds.hpp
+++ b/src/control/xds.hpp
@@ -17,29 +17,30 @@
 namespace discovery = envoy::service::discovery::v3;
 
 // What proxies say of themselves in client_features, beside what is known of user agents.
-constexpr const char* kStated = "reedspindle.expiry.stated";   // gives endpoints up at fresh_until_ms
-constexpr const char* kTimeToLive = "reedspindle.expiry.ttl";  // gives resources up after their ttl
-constexpr const char* kWeighs = "reedspindle.weights";         // goes by load_balancing_weight
-constexpr const char* kTokens = "reedspindle.tokens";          // tests tokens against position_ms
-constexpr const char* kMetadata = "reedspindle";               // the key of an endpoint's metadata
+constexpr const char* kStatedExpiryFeature =
+    "reedspindle.expiry.stated";                                      // gives endpoints up at fresh_until_ms
+constexpr const char* kTimeToLiveFeature = "reedspindle.expiry.ttl";  // gives resources up after their ttl
+constexpr const char* kWeightsFeature = "reedspindle.weights";        // goes by load_balancing_weight
+constexpr const char* kTokensFeature = "reedspindle.tokens";          // tests tokens against position_ms
+constexpr const char* kMetadata = "reedspindle";                      // the key of an endpoint's metadata
 
-std::optional<Kind> kind_of(const std::string& type_url);
-const char* type_url_of(Kind kind);
-Abilities abilities_of(const envoy::config::core::v3::Node& node);
+std::optional<ResourceType> resource_type_of(const std::string& type_url);
+const char* type_url(ResourceType kind);
+ClientCapabilities capabilities_of(const envoy::config::core::v3::Node& node);
 
 // None: of a type that is not handed out.
-std::optional<SubscriptionRequest> heard_in(discovery::DiscoveryRequest&& message);
-std::optional<SubscriptionRequest> heard_in(discovery::DeltaDiscoveryRequest&& message);
+std::optional<SubscriptionRequest> decode_request(discovery::DiscoveryRequest&& message);
+std::optional<SubscriptionRequest> decode_request(discovery::DeltaDiscoveryRequest&& message);
 
 // Encodes each resource once, however many proxies are sent it. Any thread may ask it.
 class Encoder {
  public:
   Encoder(std::string service, std::uint64_t epoch) : service_(std::move(service)), epoch_(epoch) {}
-  discovery::DiscoveryResponse whole(const Write& write);
-  discovery::DeltaDiscoveryResponse changes(const Write& write);
+  discovery::DiscoveryResponse encode_state_of_the_world(const ResponseToSend& response);
+  discovery::DeltaDiscoveryResponse encode_incremental(const ResponseToSend& response);
 
  private:
-  void wrap(const Write::Item& item, discovery::Resource& into);
+  void wrap(const ResponseToSend::Item& item, discovery::Resource& into);
   void put(const Resource& resource, google::protobuf::Any& into);
   std::shared_ptr<const std::string> encoded(const Resource& resource);
 
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -19,10 +19,10 @@
 using namespace reedspindle::control;
 
 const char* const kKindNames[] = {"clusters", "endpoints", "listeners", "routes"};
-Kind kind_of(const std::string& word) {
+ResourceType parse_resource_type(const std::string& word) {
   for (int kind = 0; kind < 4; ++kind) {
     if (word == kKindNames[kind]) {
-      return static_cast<Kind>(kind);
+      return static_cast<ResourceType>(kind);
     }
   }
   throw std::runtime_error("unknown kind " + word);
@@ -73,28 +73,28 @@
     } else if (word == "close") {
       StreamId id;
       words >> id.number;
-      streams_->close(id);
+      subscriptions_->close_stream(id);
       last_.erase(id);
     } else if (word == "asks" || word == "takes" || word == "rejects" || word == "unasks") {
       hear(word, words);
     } else if (word == "reads") {  // the transport of that stream takes the next response
       StreamId id;
       words >> id.number;
-      streams_->written(id);
+      subscriptions_->on_response_sent(id);
     } else if (word == "restart") {  // another service, with what the store held, or without
       std::string service = "b";
       std::string with;
       words >> service >> with;
-      const std::string text = text_of(roster_->kept());
+      const std::string text = text_of(registry_->persisted_state());
       last_.clear();
       start(service);
       if (with == "kept") {
-        roster_->restore(registry_state_in(text));
-        router_->enqueue(roster_->read());
+        registry_->restore(registry_state_in(text));
+        router_->enqueue(registry_->endpoint_list());
       }
     } else if (word == "reads-all") {
       for (auto& [id, kinds] : last_) {
-        streams_->written(id);
+        subscriptions_->on_response_sent(id);
       }
     } else {
       throw std::runtime_error("unknown line " + text);
@@ -106,15 +106,15 @@
  private:
   void start(const std::string& service) {
     router_ = make_router(values(), 7);
-    roster_ = std::make_unique<EndpointRegistry>(EndpointRegistry::Bounds{2000, 0.5, 30000});
-    offering_ = std::make_unique<SnapshotBuilder>(
+    registry_ = std::make_unique<EndpointRegistry>(EndpointRegistry::Bounds{2000, 0.5, 30000});
+    snapshot_builder_ = std::make_unique<SnapshotBuilder>(
         std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
                                         {"browse", RoutedRequestClass::Needs::bounded, 1500},
                                         {"report", RoutedRequestClass::Needs::any, 0}},
-        SnapshotBuilder::Leases{100, 10, 250}, 2000);
+        SnapshotBuilder::LeaseOptions{100, 10, 250}, 2000);
     Subscriptions::Bounds bounds;
     bounds.streams = 3, bounds.names = 8, bounds.name_length = 32;
-    streams_ = std::make_unique<Subscriptions>(bounds, service, ++epoch_);
+    subscriptions_ = std::make_unique<Subscriptions>(bounds, service, ++epoch_);
   }
 
   // "list 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
@@ -139,40 +139,41 @@
       entry.endpoint = entry.listed.id.address + ":1";
       list.members.push_back(entry);
     }
-    const auto out = roster_->take(list, now_);
+    const auto out = registry_->apply_update(list, now_);
     for (const ServerId& id : out) {
       std::cout << "  out: " << id.address << '\n';
     }
     const char* const doubts[] = {"", "empty", "loss", "older"};
-    if (roster_->doubt() != UpdateDoubt::none) {
-      std::cout << "  doubted: " << doubts[static_cast<int>(roster_->doubt())] << '\n';
+    if (registry_->verdict() != UpdateVerdict::accepted) {
+      std::cout << "  doubted: " << doubts[static_cast<int>(registry_->verdict())] << '\n';
     }
-    if (!std::exchange(asked_, roster_->ask_at()) && roster_->ask_at()) {
-      std::cout << "  asks for the whole list at " << *roster_->ask_at() << '\n';
+    if (!std::exchange(poll_at_, registry_->poll_at()) && registry_->poll_at()) {
+      std::cout << "  asks for the whole list at " << *registry_->poll_at() << '\n';
     }
-    router_->enqueue(roster_->read());
+    router_->enqueue(registry_->endpoint_list());
   }
 
   void open(std::istream& words) {  // "open 1 whole|changes [ttl|stated] [weighs] [tokens]"
     StreamId id;
     std::string text;
     words >> id.number >> text;
-    const Form form = text == "whole" ? Form::whole : Form::changes;
-    Abilities abilities;
+    const ProtocolVariant variant =
+        text == "whole" ? ProtocolVariant::state_of_the_world : ProtocolVariant::incremental;
+    ClientCapabilities capabilities;
     while (words >> text) {
       if (text == "ttl") {
-        abilities.expiry = Expiry::time_to_live;
+        capabilities.expiry = Expiry::time_to_live;
       }
       if (text == "stated") {
-        abilities.expiry = Expiry::stated;
+        capabilities.expiry = Expiry::stated;
       }
-      abilities.weighs |= text == "weighs", abilities.tokens |= text == "tokens";
+      capabilities.uses_weights |= text == "weighs", capabilities.checks_session_tokens |= text == "tokens";
     }
-    if (!streams_->open(id, form, abilities, now_)) {
+    if (!subscriptions_->open_stream(id, variant, capabilities, now_)) {
       std::cout << "  too many streams\n";
     }
     last_[id];
-    whole_[id] = form == Form::whole;
+    whole_[id] = variant == ProtocolVariant::state_of_the_world;
   }
 
   // "asks 1 endpoints [name ...] [with version|name=version]", "takes 1 endpoints", "rejects 1 endpoints
@@ -180,39 +181,39 @@
   void hear(const std::string& word, std::istream& words) {
     StreamId id;
     std::string text;
-    SubscriptionRequest heard;
+    SubscriptionRequest request;
     words >> id.number >> text;
-    heard.kind = kind_of(text);
-    Last& last = last_[id][heard.kind];
+    request.kind = parse_resource_type(text);
+    Last& last = last_[id][request.kind];
     if (word == "asks" || word == "unasks") {
       while (words >> text) {
         if (text.starts_with("with=")) {
-          heard.version = text.substr(5);
+          request.version = text.substr(5);
         } else if (text.starts_with("nonce=")) {
-          heard.nonce = text.substr(6);
+          request.nonce = text.substr(6);
         } else if (const auto sign = text.find('='); sign != std::string::npos) {
-          heard.holds[text.substr(0, sign)] = text.substr(sign + 1);
+          request.known_versions[text.substr(0, sign)] = text.substr(sign + 1);
         } else if (text.starts_with("x*")) {  // many names, or a long one
           for (int i = 0; i < 20; ++i) {
-            heard.names.push_back(fmt::format("n{}", i));
+            request.names.push_back(fmt::format("n{}", i));
           }
         } else {
-          (word == "asks" ? heard.names : heard.no_more).push_back(text);
+          (word == "asks" ? request.names : request.unsubscribed).push_back(text);
         }
       }
-      last.names = heard.names;
+      last.names = request.names;
     } else {
-      heard.nonce = last.nonce;
-      heard.version = last.version;
+      request.nonce = last.nonce;
+      request.version = last.version;
       if (whole_[id]) {
-        heard.names = last.names;
+        request.names = last.names;
       }
       if (word == "rejects") {
         std::getline(words >> std::ws, text);
-        heard.turned_down = text;
+        request.rejection_reason = text;
       }
     }
-    streams_->hear(id, heard, now_);
+    subscriptions_->on_request(id, request, now_);
   }
 
   void settle() {
@@ -222,20 +223,21 @@
       }
     }
     for (int turn = 0; turn < 2; ++turn) {  // once more where abilities have changed
-      streams_->offer(offering_->make(router_->view(), *roster_, streams_->abilities(), now_));
-      for (const Act& act : streams_->settle(now_)) {
+      subscriptions_->update_snapshots(
+          snapshot_builder_->build(router_->view(), *registry_, subscriptions_->capabilities(), now_));
+      for (const StreamAction& act : subscriptions_->collect_actions(now_)) {
         std::visit([this](const auto& a) { print(a); }, act);
       }
     }
   }
 
-  void print(const Write& write) {
-    Last& last = last_[write.stream][write.kind];
-    last.nonce = write.nonce, last.version = write.version;
-    std::cout << fmt::format("  {} {} {} {}{}\n", write.stream.number,
-                             kKindNames[static_cast<int>(write.kind)], write.nonce, write.version,
-                             write.urgent ? " urgent" : "");
-    for (const Write::Item& item : write.items) {
+  void print(const ResponseToSend& response) {
+    Last& last = last_[response.stream][response.kind];
+    last.nonce = response.nonce, last.version = response.version;
+    std::cout << fmt::format("  {} {} {} {}{}\n", response.stream.number,
+                             kKindNames[static_cast<int>(response.kind)], response.nonce, response.version,
+                             response.urgent ? " urgent" : "");
+    for (const ResponseToSend::Item& item : response.items) {
       std::cout << "    " << item.resource->name;
       if (item.time_to_live >= 0) {
         std::cout << fmt::format(" ttl {}", item.time_to_live);
@@ -247,7 +249,7 @@
       }
       std::cout << '\n';
     }
-    for (const std::string& name : write.removed) {
+    for (const std::string& name : response.removed) {
       std::cout << "    " << name << " removed\n";
     }
   }
@@ -262,8 +264,8 @@
       if (e.weight != 100) {
         std::cout << fmt::format("x{}", e.weight);
       }
-      if (e.standing != Standing::healthy) {
-        std::cout << (e.standing == Standing::draining ? " drains" : " out");
+      if (e.health_status != HealthStatus::healthy) {
+        std::cout << (e.health_status == HealthStatus::draining ? " drains" : " out");
       }
       if (e.until >= 0) {
         std::cout << fmt::format(" until {}", e.until);
@@ -279,8 +281,10 @@
       std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.request_class, route.cluster);
     }
   }
-  void print(const End& end) { std::cout << fmt::format("  {} ends: {}\n", end.stream.number, end.why); }
-  void print(const Notice& notice) {
+  void print(const StreamToClose& end) {
+    std::cout << fmt::format("  {} ends: {}\n", end.stream.number, end.why);
+  }
+  void print(const OperatorNotice& notice) {
     std::cout << fmt::format("  {} {}: {}\n", notice.stream.number, notice.event, notice.detail);
   }
 
@@ -290,12 +294,12 @@
   };
   Millis now_ = 0;
   std::uint64_t epoch_ = 0;
-  std::optional<Millis> asked_;
+  std::optional<Millis> poll_at_;
   std::unique_ptr<Router> router_;
-  std::unique_ptr<EndpointRegistry> roster_;
-  std::unique_ptr<SnapshotBuilder> offering_;
-  std::unique_ptr<Subscriptions> streams_;
-  std::map<StreamId, std::map<Kind, Last>> last_;
+  std::unique_ptr<EndpointRegistry> registry_;
+  std::unique_ptr<SnapshotBuilder> snapshot_builder_;
+  std::unique_ptr<Subscriptions> subscriptions_;
+  std::map<StreamId, std::map<ResourceType, Last>> last_;
   std::map<StreamId, bool> whole_;
 };
 }  // namespace
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -38,49 +38,51 @@
       for (int event = 0; event < events; ++event) {
         stream_event();
       }
-      const std::set<Abilities> wanted = streams_->abilities();
-      const auto offers = offering_->make(members_.views(now_), members_.roster(), wanted, now_);
-      for (const auto& [abilities, offer] : offers) {
-        add(abilities, *offer);
+      const std::set<ClientCapabilities> wanted = subscriptions_->capabilities();
+      const auto snapshots =
+          snapshot_builder_->build(members_.views(now_), members_.registry(), wanted, now_);
+      for (const auto& [capabilities, snapshot] : snapshots) {
+        add(capabilities, *snapshot);
       }
-      streams_->offer(offers);
-      for (const Act& act : streams_->settle(now_)) {
+      subscriptions_->update_snapshots(snapshots);
+      for (const StreamAction& act : subscriptions_->collect_actions(now_)) {
         std::visit([this](const auto& one) { add(one); }, act);
       }
-      digest_.add(fmt::format("due {:.3f} of {} {}", streams_->due(), streams_->size(), offering_->ready()));
+      digest_.add(fmt::format("due {:.3f} of {} {}", subscriptions_->next_deadline(), subscriptions_->size(),
+                              snapshot_builder_->ready()));
     }
     members_.add();
-    const Subscriptions::Counts& counts = streams_->counts();
-    digest_.add(fmt::format("{} {} {} {} {} {}", counts.responses, counts.urgent, counts.taken,
-                            counts.turned_down, counts.stale_nonces, counts.ended));
+    const Subscriptions::Counts& counts = subscriptions_->counts();
+    digest_.add(fmt::format("{} {} {} {} {} {}", counts.responses, counts.urgent, counts.acknowledged,
+                            counts.rejected, counts.stale_nonces, counts.ended));
     return digest_.text();
   }
 
  private:
   struct Asked {
-    Form form = Form::whole;
-    std::map<Kind, std::string> version;
-    std::map<Kind, std::vector<std::string>> names;
-    std::deque<std::pair<Kind, std::string>> unanswered;
+    ProtocolVariant variant = ProtocolVariant::state_of_the_world;
+    std::map<ResourceType, std::string> version;
+    std::map<ResourceType, std::vector<std::string>> names;
+    std::deque<std::pair<ResourceType, std::string>> unanswered;
   };
 
   void start() {
     members_.start();
-    offering_ = std::make_unique<SnapshotBuilder>(
+    snapshot_builder_ = std::make_unique<SnapshotBuilder>(
         std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
                                         {"browse", RoutedRequestClass::Needs::bounded, 1500},
                                         {"own", RoutedRequestClass::Needs::session, 0},
                                         {"report", RoutedRequestClass::Needs::any, 0}},
-        SnapshotBuilder::Leases{100, 10, 250}, 2000);
+        SnapshotBuilder::LeaseOptions{100, 10, 250}, 2000);
     Subscriptions::Bounds bounds;
     bounds.streams = kStreams - 1;
     bounds.names = 24;
     bounds.name_length = 40;
-    streams_ = std::make_unique<Subscriptions>(bounds, fmt::format("service-{}", epoch_ % 2), epoch_);
+    subscriptions_ = std::make_unique<Subscriptions>(bounds, fmt::format("service-{}", epoch_ % 2), epoch_);
     asked_.clear();
   }
   void restart() {
-    const std::string text = text_of(members_.roster().kept());
+    const std::string text = text_of(members_.registry().persisted_state());
     ++epoch_;
     start();
     if (!draws_.one_in(4)) {
@@ -115,50 +117,50 @@
     }
     const int kind = draws_.below(40);
     if (kind == 0) {
-      streams_->close(id);
+      subscriptions_->close_stream(id);
       asked_.erase(found);
     } else if (kind < 14) {
       ask(id, found->second);
     } else if (kind < 30) {
       answer(id, found->second);
     } else {
-      streams_->written(id);
+      subscriptions_->on_response_sent(id);
     }
   }
   void open(StreamId id) {
-    Abilities abilities;
-    abilities.expiry = static_cast<Expiry>(draws_.below(3));
-    abilities.weighs = draws_.one_in(2);
-    abilities.tokens = draws_.one_in(3);
-    abilities.elder = draws_.one_in(3);
-    const Form form = static_cast<Form>(draws_.below(2));
-    const bool opened = streams_->open(id, form, abilities, now_);
-    digest_.add(fmt::format("open {} {} {}", id.number, static_cast<int>(form), opened));
+    ClientCapabilities capabilities;
+    capabilities.expiry = static_cast<Expiry>(draws_.below(3));
+    capabilities.uses_weights = draws_.one_in(2);
+    capabilities.checks_session_tokens = draws_.one_in(3);
+    capabilities.legacy_matchers = draws_.one_in(3);
+    const ProtocolVariant variant = static_cast<ProtocolVariant>(draws_.below(2));
+    const bool opened = subscriptions_->open_stream(id, variant, capabilities, now_);
+    digest_.add(fmt::format("open {} {} {}", id.number, static_cast<int>(variant), opened));
     if (!opened) {
       return;
     }
-    asked_[id] = Asked{form, {}, {}, {}};
+    asked_[id] = Asked{variant, {}, {}, {}};
   }
   void ask(StreamId id, Asked& asked) {
-    SubscriptionRequest heard;
-    heard.kind = static_cast<Kind>(draws_.below(static_cast<int>(kKinds)));
+    SubscriptionRequest request;
+    request.kind = static_cast<ResourceType>(draws_.below(static_cast<int>(kResourceTypes)));
     const int names = draws_.below(5);
     for (int number = 0; number < names; ++number) {
-      heard.names.push_back(name());
+      request.names.push_back(name());
     }
-    if (asked.form == Form::whole) {
-      asked.names[heard.kind] = heard.names;
-      heard.version = asked.version[heard.kind];
+    if (asked.variant == ProtocolVariant::state_of_the_world) {
+      asked.names[request.kind] = request.names;
+      request.version = asked.version[request.kind];
     } else {
       if (draws_.one_in(4)) {
-        heard.no_more.push_back(name());
+        request.unsubscribed.push_back(name());
       }
       if (draws_.one_in(6)) {
         const std::string held = name();
-        heard.holds[held] = text_of(version());
+        request.known_versions[held] = text_of(version());
       }
     }
-    streams_->hear(id, heard, now_);
+    subscriptions_->on_request(id, request, now_);
   }
   Version version() {
     Version version;
@@ -167,7 +169,7 @@
     version.change = static_cast<std::uint64_t>(draws_.below(400));
     version.service = fmt::format("service-{}", draws_.below(2));
     const std::string text = draws_.mutated(text_of(version));
-    const auto read = version_in(text);
+    const auto read = parse_version(text);
     digest_.add(fmt::format("{} reads {}", digests::hex(text), read ? text_of(*read) : "not"));
     return version;
   }
@@ -175,35 +177,36 @@
     if (asked.unanswered.empty()) {
       return;
     }
-    SubscriptionRequest heard;
-    heard.kind = asked.unanswered.front().first;
-    heard.nonce = asked.unanswered.front().second;
+    SubscriptionRequest request;
+    request.kind = asked.unanswered.front().first;
+    request.nonce = asked.unanswered.front().second;
     if (!draws_.one_in(12)) {
       asked.unanswered.pop_front();
     }
-    if (asked.form == Form::whole) {
-      heard.names = asked.names[heard.kind];
+    if (asked.variant == ProtocolVariant::state_of_the_world) {
+      request.names = asked.names[request.kind];
     }
-    heard.version = asked.version[heard.kind];
+    request.version = asked.version[request.kind];
     if (draws_.one_in(12)) {
-      heard.turned_down = "no";
+      request.rejection_reason = "no";
     }
     if (draws_.one_in(30)) {
-      heard.nonce = "n0";
+      request.nonce = "n0";
     }
-    streams_->hear(id, heard, now_);
+    subscriptions_->on_request(id, request, now_);
   }
 
-  void add(const Abilities& abilities, const ResourceSnapshot& offer) {
-    digest_.add(fmt::format("offer {} {} {} {}: {} {} {}", static_cast<int>(abilities.expiry),
-                            abilities.weighs, abilities.tokens, abilities.elder, offer.ready, offer.revision,
-                            offer.withheld.size()));
-    for (const std::string& withheld : offer.withheld) {
+  void add(const ClientCapabilities& capabilities, const ResourceSnapshot& snapshot) {
+    digest_.add(fmt::format("offer {} {} {} {}: {} {} {}", static_cast<int>(capabilities.expiry),
+                            capabilities.uses_weights, capabilities.checks_session_tokens,
+                            capabilities.legacy_matchers, snapshot.ready, snapshot.revision,
+                            snapshot.withheld.size()));
+    for (const std::string& withheld : snapshot.withheld) {
       digest_.add("withheld " + withheld);
     }
-    for (std::size_t kind = 0; kind < kKinds; ++kind) {
-      digest_.add(fmt::format("kind {} {}", kind, offer.versions[kind]));
-      for (const auto& [name, held] : offer.resources[kind]) {
+    for (std::size_t kind = 0; kind < kResourceTypes; ++kind) {
+      digest_.add(fmt::format("kind {} {}", kind, snapshot.versions[kind]));
+      for (const auto& [name, held] : snapshot.resources[kind]) {
         if (!known_.insert({epoch_, held->version}).second) {
           continue;
         }
@@ -225,45 +228,46 @@
   void add(const Assignment& assignment) {
     for (const Endpoint& one : assignment.endpoints) {
       digest_.add(fmt::format("{} {} {} {} {} {} {} {} {:.3f} {:.3f}", one.server.address, one.address,
-                              one.zone, static_cast<int>(one.standing), static_cast<int>(one.unavailability),
-                              one.primary, one.rank, one.weight, one.position, one.until));
+                              one.zone, static_cast<int>(one.health_status),
+                              static_cast<int>(one.unavailability), one.primary, one.rank, one.weight,
+                              one.position, one.until));
     }
   }
   void add(const Listener& listener) { digest_.add("by " + listener.routes); }
   void add(const Routes& routes) {
-    digest_.add(fmt::format("elder {}", routes.elder));
+    digest_.add(fmt::format("elder {}", routes.legacy_matchers));
     for (const Route& one : routes.routes) {
       digest_.add(fmt::format("{} {} to {}", one.group.number, one.request_class, one.cluster));
     }
   }
-  void add(const Write& write) {
-    digest_.add(fmt::format("write {} {} {} {} {}", write.stream.number, static_cast<int>(write.kind),
-                            write.nonce, write.version, write.urgent));
-    for (const Write::Item& item : write.items) {
+  void add(const ResponseToSend& response) {
+    digest_.add(fmt::format("write {} {} {} {} {}", response.stream.number, static_cast<int>(response.kind),
+                            response.nonce, response.version, response.urgent));
+    for (const ResponseToSend::Item& item : response.items) {
       digest_.add(fmt::format("item {} {} {:.3f} {}", item.resource->name, item.resource->version,
                               item.time_to_live, item.body));
     }
-    for (const std::string& name : write.removed) {
+    for (const std::string& name : response.removed) {
       digest_.add("removed " + name);
     }
-    Asked& asked = asked_[write.stream];
-    asked.version[write.kind] = write.version;
-    asked.unanswered.emplace_back(write.kind, write.nonce);
+    Asked& asked = asked_[response.stream];
+    asked.version[response.kind] = response.version;
+    asked.unanswered.emplace_back(response.kind, response.nonce);
   }
-  void add(const End& end) {
+  void add(const StreamToClose& end) {
     digest_.add(fmt::format("end {} {}", end.stream.number, end.why.empty()));
-    streams_->close(end.stream);
+    subscriptions_->close_stream(end.stream);
     asked_.erase(end.stream);
   }
-  void add(const Notice& notice) { digest_.add(fmt::format("notice {}", notice.stream.number)); }
+  void add(const OperatorNotice& notice) { digest_.add(fmt::format("notice {}", notice.stream.number)); }
 
   digests::Draws draws_;
   digests::Digest digest_;
   Millis now_ = 1767225600000;
   std::uint64_t epoch_ = 1;
   DrawnMembers members_;
-  std::unique_ptr<SnapshotBuilder> offering_;
-  std::unique_ptr<Subscriptions> streams_;
+  std::unique_ptr<SnapshotBuilder> snapshot_builder_;
+  std::unique_ptr<Subscriptions> subscriptions_;
   std::map<StreamId, Asked> asked_;
   std::set<std::pair<std::uint64_t, std::uint64_t>> known_;
   std::vector<std::string> seen_;
--- a/tests/digests/drawn_members.hpp
+++ b/tests/digests/drawn_members.hpp
@@ -21,12 +21,12 @@
 
   DrawnMembers(Draws& draws, Digest& digest) : draws_(draws), digest_(digest) {}
 
-  void start() { roster_.emplace(control::EndpointRegistry::Bounds{2000, 0.5, 10000}); }
+  void start() { registry_.emplace(control::EndpointRegistry::Bounds{2000, 0.5, 10000}); }
   void restore(const std::string& text) {
-    roster_->restore(control::registry_state_in(text));
-    digest_.add(fmt::format("restored {}", text_of(roster_->kept()) == text));
+    registry_->restore(control::registry_state_in(text));
+    digest_.add(fmt::format("restored {}", text_of(registry_->persisted_state()) == text));
   }
-  const control::EndpointRegistry& roster() const { return *roster_; }
+  const control::EndpointRegistry& registry() const { return *registry_; }
   long long told() const { return revision_; }
 
   void list(Millis now) {
@@ -41,19 +41,19 @@
                                                                : 9;
     for (int number = 0; number < kMembers; ++number)
       if (draws_.below(10) < share) list.members.push_back(entry(number, now));
-    const auto leaving = roster_->take(list, now);
+    const auto leaving = registry_->apply_update(list, now);
     digest_.add(
         fmt::format("list {} {} of {}", static_cast<int>(list.kind), list.revision, list.members.size()));
     for (const ServerId& id : leaving) digest_.add("leaves " + id.address);
     add();
-    const auto ask_at = roster_->ask_at();
-    if (ask_at && *ask_at <= now) roster_->asked(now);
+    const auto poll_at = registry_->poll_at();
+    if (poll_at && *poll_at <= now) registry_->on_poll_sent(now);
   }
   void add() {
-    digest_.add(text_of(roster_->kept()));
-    digest_.add(fmt::format("{} {} {} {:.3f}", roster_->revision(), roster_->known(),
-                            static_cast<int>(roster_->doubt()), roster_->ask_at().value_or(-1)));
-    const EndpointListReceived read = roster_->read();
+    digest_.add(text_of(registry_->persisted_state()));
+    digest_.add(fmt::format("{} {} {} {:.3f}", registry_->revision(), registry_->known(),
+                            static_cast<int>(registry_->verdict()), registry_->poll_at().value_or(-1)));
+    const EndpointListReceived read = registry_->endpoint_list();
     digest_.add(fmt::format("read {} {}", static_cast<int>(read.kind), read.servers.size()));
     for (const ServerEntry& one : read.servers)
       digest_.add(fmt::format("{} {} {} {} {} {:.3f} {:.3f} {}", one.id.address, one.zone.number, one.kind,
@@ -62,7 +62,7 @@
   }
 
   std::vector<ServerView> views(Millis now) {
-    if (draws_.one_in(3) || views_.size() != roster_->members().size()) change_views(now);
+    if (draws_.one_in(3) || views_.size() != registry_->members().size()) change_views(now);
     return views_;
   }
 
@@ -85,7 +85,7 @@
   void change_views(Millis now) {
     views_.clear();
     const int moved = draws_.below(6);
-    for (const auto& [id, one] : roster_->members()) {
+    for (const auto& [id, one] : registry_->members()) {
       ServerView view;
       view.entry = one.listed;
       view.primary = one.listed.primary != (moved == 0 && draws_.one_in(8));
@@ -104,7 +104,7 @@
 
   Draws& draws_;
   Digest& digest_;
-  std::optional<control::EndpointRegistry> roster_;
+  std::optional<control::EndpointRegistry> registry_;
   long long revision_ = 5;
   std::vector<ServerView> views_;
 };
