--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -188,8 +188,8 @@
   }
   // Leases run out and rosters are asked for by time alone; the module wakes for its probes, which is
   // oftener.
-  if (const Millis due = subscriptions_.next_deadline(); due >= 0) {
-    wake_at(due);
+  if (const auto deadline = subscriptions_.next_deadline()) {
+    wake_at(*deadline);
   }
   if (const auto ask = registry_.poll_at()) {
     wake_at(*ask);
@@ -267,7 +267,7 @@
 }
 
 void Service::on_request(StreamId id, SubscriptionRequest request) {
-  subscriptions_.on_request(id, std::move(request), clock_.now());
+  subscriptions_.on_request(id, request, clock_.now());
   due_ = true;
 }
 
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -199,7 +199,7 @@
     return std::nullopt;
   }
   SubscriptionRequest request;
-  request.kind = *kind, request.nonce = message.response_nonce(), request.version = message.version_info();
+  request.type = *kind, request.nonce = message.response_nonce(), request.version = message.version_info();
   request.names = move_names(*message.mutable_resource_names());
   if (message.has_error_detail()) {
     request.rejection_reason = message.error_detail().message();
@@ -213,7 +213,7 @@
     return std::nullopt;
   }
   SubscriptionRequest request;
-  request.kind = *kind, request.nonce = message.response_nonce();
+  request.type = *kind, request.nonce = message.response_nonce();
   request.names = move_names(*message.mutable_resource_names_subscribe());
   request.unsubscribed = move_names(*message.mutable_resource_names_unsubscribe());
   for (const auto& [name, version] : message.initial_resource_versions()) {
@@ -242,8 +242,8 @@
 void Encoder::wrap(const ResponseToSend::Item& item, discovery::Resource& into) {
   into.set_name(item.resource->name);
   into.set_version(resource_version_text(*item.resource, epoch_, service_));
-  if (item.time_to_live >= 0) {
-    set(*into.mutable_ttl(), item.time_to_live);
+  if (item.time_to_live) {
+    set(*into.mutable_ttl(), *item.time_to_live);
   }
   if (item.body) {
     put(*item.resource, *into.mutable_resource());
@@ -258,12 +258,12 @@
 discovery::DiscoveryResponse Encoder::encode_state_of_the_world(const ResponseToSend& response) {
   discovery::DiscoveryResponse message;
   message.set_version_info(response.version);
-  message.set_type_url(type_url(response.kind));
+  message.set_type_url(type_url(response.type));
   message.set_nonce(response.nonce);
   message.mutable_control_plane()->set_identifier(service_);
   for (const ResponseToSend::Item& item : response.items) {
     google::protobuf::Any& any = *message.add_resources();
-    if (item.time_to_live < 0) {
+    if (!item.time_to_live) {
       put(*item.resource, any);
       continue;
     }
@@ -277,7 +277,7 @@
 discovery::DeltaDiscoveryResponse Encoder::encode_incremental(const ResponseToSend& response) {
   discovery::DeltaDiscoveryResponse message;
   message.set_system_version_info(response.version);
-  message.set_type_url(type_url(response.kind));
+  message.set_type_url(type_url(response.type));
   message.set_nonce(response.nonce);
   message.mutable_control_plane()->set_identifier(service_);
   for (const ResponseToSend::Item& item : response.items) {
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -183,8 +183,8 @@
     std::string text;
     SubscriptionRequest request;
     words >> id.number >> text;
-    request.kind = parse_resource_type(text);
-    Last& last = last_[id][request.kind];
+    request.type = parse_resource_type(text);
+    Last& last = last_[id][request.type];
     if (word == "asks" || word == "unasks") {
       while (words >> text) {
         if (text.starts_with("with=")) {
@@ -232,15 +232,15 @@
   }
 
   void print(const ResponseToSend& response) {
-    Last& last = last_[response.stream][response.kind];
+    Last& last = last_[response.stream][response.type];
     last.nonce = response.nonce, last.version = response.version;
     std::cout << fmt::format("  {} {} {} {}{}\n", response.stream.number,
-                             kKindNames[static_cast<int>(response.kind)], response.nonce, response.version,
+                             kKindNames[static_cast<int>(response.type)], response.nonce, response.version,
                              response.urgent ? " urgent" : "");
     for (const ResponseToSend::Item& item : response.items) {
       std::cout << "    " << item.resource->name;
-      if (item.time_to_live >= 0) {
-        std::cout << fmt::format(" ttl {}", item.time_to_live);
+      if (item.time_to_live) {
+        std::cout << fmt::format(" ttl {}", *item.time_to_live);
       }
       if (item.body) {
         std::visit([](const auto& body) { print(body); }, item.resource->body);
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -48,8 +48,8 @@
       for (const StreamAction& act : subscriptions_->collect_actions(now_)) {
         std::visit([this](const auto& one) { add(one); }, act);
       }
-      digest_.add(fmt::format("due {:.3f} of {} {}", subscriptions_->next_deadline(), subscriptions_->size(),
-                              snapshot_builder_->ready()));
+      digest_.add(fmt::format("due {:.3f} of {} {}", subscriptions_->next_deadline().value_or(-1),
+                              subscriptions_->size(), snapshot_builder_->ready()));
     }
     members_.add();
     const Subscriptions::Counts& counts = subscriptions_->counts();
@@ -143,14 +143,14 @@
   }
   void ask(StreamId id, Asked& asked) {
     SubscriptionRequest request;
-    request.kind = static_cast<ResourceType>(draws_.below(static_cast<int>(kResourceTypes)));
+    request.type = static_cast<ResourceType>(draws_.below(static_cast<int>(kResourceTypes)));
     const int names = draws_.below(5);
     for (int number = 0; number < names; ++number) {
       request.names.push_back(name());
     }
     if (asked.variant == ProtocolVariant::state_of_the_world) {
-      asked.names[request.kind] = request.names;
-      request.version = asked.version[request.kind];
+      asked.names[request.type] = request.names;
+      request.version = asked.version[request.type];
     } else {
       if (draws_.one_in(4)) {
         request.unsubscribed.push_back(name());
@@ -178,15 +178,15 @@
       return;
     }
     SubscriptionRequest request;
-    request.kind = asked.unanswered.front().first;
+    request.type = asked.unanswered.front().first;
     request.nonce = asked.unanswered.front().second;
     if (!draws_.one_in(12)) {
       asked.unanswered.pop_front();
     }
     if (asked.variant == ProtocolVariant::state_of_the_world) {
-      request.names = asked.names[request.kind];
+      request.names = asked.names[request.type];
     }
-    request.version = asked.version[request.kind];
+    request.version = asked.version[request.type];
     if (draws_.one_in(12)) {
       request.rejection_reason = "no";
     }
@@ -241,18 +241,18 @@
     }
   }
   void add(const ResponseToSend& response) {
-    digest_.add(fmt::format("write {} {} {} {} {}", response.stream.number, static_cast<int>(response.kind),
+    digest_.add(fmt::format("write {} {} {} {} {}", response.stream.number, static_cast<int>(response.type),
                             response.nonce, response.version, response.urgent));
     for (const ResponseToSend::Item& item : response.items) {
       digest_.add(fmt::format("item {} {} {:.3f} {}", item.resource->name, item.resource->version,
-                              item.time_to_live, item.body));
+                              item.time_to_live.value_or(-1), item.body));
     }
     for (const std::string& name : response.removed) {
       digest_.add("removed " + name);
     }
     Asked& asked = asked_[response.stream];
-    asked.version[response.kind] = response.version;
-    asked.unanswered.emplace_back(response.kind, response.nonce);
+    asked.version[response.type] = response.version;
+    asked.unanswered.emplace_back(response.type, response.nonce);
   }
   void add(const StreamToClose& end) {
     digest_.add(fmt::format("end {} {}", end.stream.number, end.why.empty()));
