--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -68,16 +68,16 @@
     values[at + "op_timeout"] = type["op-timeout"].get<double>();
     values[at + "bound"] = type.value("bound", 0.0);
     using Needs = RoutedRequestClass::Needs;
-    options.types.push_back({type["name"],
-                             needs == "any"       ? Needs::any
-                             : needs == "bounded" ? Needs::bounded
-                             : needs == "session" ? Needs::session
-                                                  : Needs::primary,
-                             type.value("bound", 0.0)});
+    options.request_classes.push_back({type["name"],
+                                       needs == "any"       ? Needs::any
+                                       : needs == "bounded" ? Needs::bounded
+                                       : needs == "session" ? Needs::session
+                                                            : Needs::primary,
+                                       type.value("bound", 0.0)});
   }
   const Json& registry = control["roster"];
   options.registry = {registry["confirm"], registry["largest-loss"], registry["older-list"]};
-  options.first_answer = registry["first-answer"];
+  options.startup_timeout = registry["first-answer"];
   const Json& leases = control["leases"];
   options.leases = {leases["transit"], leases["clocks"], leases["least"]};
   const Json& proxies = control["proxies"];
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -22,10 +22,11 @@
 struct Options {
   std::string name, listen, keep;
   config::InstanceConfig config;  // as far as links to discovery and stores go by it
-  std::vector<RoutedRequestClass> types;
+  std::vector<RoutedRequestClass> request_classes;
   EndpointRegistry::Bounds registry;
   SnapshotBuilder::LeaseOptions leases;
-  Millis first_answer = 0, keepalive = 0;
+  Millis startup_timeout = 0;
+  Millis keepalive = 0;
   Subscriptions::Bounds streams;
   std::optional<Tls> tls;
   logging::LogOptions log;
--- a/src/control/request_handler.cpp
+++ b/src/control/request_handler.cpp
@@ -167,7 +167,7 @@
     }
     const auto& resources = snapshot_->resources[static_cast<std::size_t>(request.type)];
     const auto known = resources.find(name);
-    if (known != resources.end() && known->second->until < 0 &&
+    if (known != resources.end() && known->second->valid_until < 0 &&
         resource_version_text(*known->second, context_.epoch, context_.service) == text) {
       client.sent = known->second;
       client.acknowledged = known->second;
--- a/src/control/resource_snapshot.hpp
+++ b/src/control/resource_snapshot.hpp
@@ -1,6 +1,6 @@
-// What is handed out: the module's view of the members, as resources for proxies. Free of I/O and of the
-// protocol's own words. One Offer for each set of abilities that proxies have; resources are shared and never
-// change once made.
+// The resources that clients are sent, built from the router's view of the servers. Free of I/O and of the
+// xDS messages' own types. There is one snapshot for each set of client capabilities; resources are shared
+// between snapshots and never change once built. Times in ms.
 #pragma once
 
 #include <array>
@@ -8,6 +8,7 @@
 #include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <variant>
@@ -18,19 +19,19 @@
 
 namespace reedspindle::control {
 
-// In the order in which a proxy that takes everything has to have them: make before break.
+// In the order in which a client that subscribes to everything has to get them: make before break.
 enum class ResourceType { clusters, endpoints, listeners, routes };
 constexpr std::size_t kResourceTypes = 4;
 
-// How a proxy gives up what it was handed when nothing more is heard of us: not at all, a resource after its
-// time to live, or an endpoint at a stated time.
+// How a client gives up what it was sent when the control service falls silent: not at all, a resource after
+// its time to live, or an endpoint at a stated time.
 enum class Expiry { none, time_to_live, stated };
 
 struct ClientCapabilities {
   Expiry expiry = Expiry::none;
-  bool uses_weights = false;           // goes by endpoints' weights
-  bool checks_session_tokens = false;  // tests endpoints' positions against sessions' tokens itself
-  bool legacy_matchers = false;        // reads routes in the protocol's elder form alone
+  bool uses_weights = false;           // balances by endpoints' weights
+  bool checks_session_tokens = false;  // compares endpoints' positions with session tokens itself
+  bool legacy_matchers = false;        // reads only the older form of header matchers in routes
   auto operator<=>(const ClientCapabilities&) const = default;
 };
 
@@ -38,24 +39,26 @@
 
 struct Endpoint {
   ServerId server;
-  std::string address, zone;
+  std::string address;
+  std::string zone;
   HealthStatus health_status = HealthStatus::healthy;
   Unavailability unavailability = Unavailability::none;
   bool primary = false;
-  int rank = 0;                      // endpoints of the next rank only where those before are not there
-  std::uint32_t weight = 100;        // 100 for one that is warm and of the usual size
-  Millis position = -1, until = -1;  // below 0: not told, or not bound to a time
-  // What matters to who is sent to; positions and times move all the while.
+  int rank = 0;  // endpoints of the next rank are used only where those before are not available
+  std::uint32_t weight = 100;  // 100 for a warm server of the usual size
+  Millis position = -1;        // below 0: not sent
+  Millis valid_until = -1;     // below 0: not bound to a time
+  // Whether clients would balance equally; positions and times change all the while and don't count.
   [[nodiscard]] bool same(const Endpoint& other) const;
 };
 
 struct Assignment {
   std::vector<Endpoint> endpoints;
 };
-// Where the endpoints come from: an assignment of the same name, or other clusters one after the other.
+// Has the assignment of the same name, or uses other clusters in their order.
 struct Cluster {
   GroupId group;
-  std::vector<std::string> others;
+  std::vector<std::string> fallback_clusters;
   bool operator==(const Cluster&) const = default;
 };
 struct Listener {
@@ -64,7 +67,8 @@
 };
 struct Route {
   GroupId group;
-  std::string request_class, cluster;
+  std::string request_class;
+  std::string cluster;
   bool operator==(const Route&) const = default;
 };
 struct Routes {
@@ -72,52 +76,63 @@
   bool legacy_matchers = false;
   bool operator==(const Routes&) const = default;
 };
+using ResourceBody = std::variant<Cluster, Assignment, Listener, Routes>;
 
 struct Resource {
-  ResourceType kind = ResourceType::clusters;
+  ResourceType type = ResourceType::clusters;
   std::string name;
-  std::uint64_t version = 0;  // rises with every change; no two resources share one
-  std::uint64_t revoked = 0;  // the last version that took an endpoint away
-  long long revision = 0;     // of the list it was made from
-  Millis made = 0;
-  Millis until = -1;  // below 0: holds until another comes
-  std::variant<Cluster, Assignment, Listener, Routes> body;
+  std::uint64_t version = 0;          // rises with every change; no two bodies share one
+  std::uint64_t last_revocation = 0;  // the last version that took an endpoint away
+  long long revision = 0;             // of the endpoint list that it was built from
+  Millis built_at = 0;
+  Millis valid_until = -1;  // below 0: until it is replaced
+  ResourceBody body;
 };
 using ResourcePtr = std::shared_ptr<const Resource>;
 
 struct ResourceSnapshot {
-  bool ready = false;      // not before that is anything handed out
-  long long revision = 0;  // of the list it stands on
+  bool ready = false;      // nothing is sent before
+  long long revision = 0;  // of the endpoint list that it was built from
   ClientCapabilities capabilities;
   std::array<std::map<std::string, ResourcePtr>, kResourceTypes> resources;
-  std::array<std::uint64_t, kResourceTypes> versions{};  // the last change of each kind, removals too
-  std::set<std::string> withheld;  // assignments that there are, of which nothing can be told now
+  std::array<std::uint64_t, kResourceTypes> versions{};  // the last change of each type, removals too
+  std::set<std::string> withheld;  // assignments that exist, but have no known endpoints now
 };
 
-// An op type as routes name it.
+// A request class as routes name it.
 struct RoutedRequestClass {
+  // The freshness that its reads need.
+  enum class Needs { any, bounded, session, primary };
+
   std::string name;
-  enum class Needs { any, bounded, session, primary } needs = Needs::primary;
-  Millis bound = 0;
+  Needs needs = Needs::primary;
+  Millis bound = 0;  // of the data's age, where needs is bounded
 };
 
 constexpr const char* kRoutes = "reedspindle";  // the name of the one listener and of its routes
 
+class SnapshotDraft;
+
+// Builds the snapshots; remembers the last ones, so that what has not changed keeps its version.
 class SnapshotBuilder {
  public:
   struct LeaseOptions {
-    Millis transit = 100, clocks = 10, least = 250;
+    Millis max_transit = 100;    // longest time for a response to reach its client
+    Millis max_clock_skew = 10;  // between this service and its clients
+    Millis min_duration = 250;   // of a lease on a replica that the client does not have yet
   };
 
-  SnapshotBuilder(std::vector<RoutedRequestClass> types, LeaseOptions leases, Millis first_answer);
+  // startup_timeout: how long to wait at start until every group has a primary.
+  SnapshotBuilder(std::vector<RoutedRequestClass> request_classes, LeaseOptions leases,
+                  Millis startup_timeout);
 
-  // The offers for those abilities as of now; what has not changed is the same resource as before. Called
-  // after every settle of the module.
-  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> build(
+  // The snapshots for those capabilities as of now; what has not changed is the same resource as before.
+  // `views` are the router's, after it has processed its events.
+  [[nodiscard]] std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> build(
       const std::vector<ServerView>& views, const EndpointRegistry& registry,
-      const std::set<ClientCapabilities>& wanted, Millis now);
+      const std::set<ClientCapabilities>& client_capabilities, Millis now);
 
-  // Whether anything has been offered as ready since the start.
+  // Whether snapshots are ready to be sent; stays true once it is.
   [[nodiscard]] bool ready() const { return ready_; }
 
  private:
@@ -125,28 +140,32 @@
     std::vector<const ServerView*> members;
     const ServerView* primary = nullptr;
   };
-  struct SnapshotDraft;  // an offer in the making
-
-  void update_readiness(const std::map<GroupId, Group>& groups, const EndpointRegistry& registry, Millis now);
-  void add_group(SnapshotDraft& made, GroupId id, const Group& group);
-  [[nodiscard]] Endpoint make_endpoint(const ServerView& view, const EndpointRegistry& registry) const;
-  [[nodiscard]] std::vector<Endpoint> eligible_replicas(const SnapshotDraft& made, const Group& group,
-                                                        const RoutedRequestClass& type,
+  using Groups = std::map<GroupId, Group>;
+
+  [[nodiscard]] static Groups groups_of(const std::vector<ServerView>& views,
+                                        const EndpointRegistry& registry);
+  [[nodiscard]] static Endpoint make_endpoint(const ServerView& view, const EndpointRegistry& registry);
+  void update_readiness(const Groups& groups, const EndpointRegistry& registry, Millis now);
+  void add_resources(SnapshotDraft& draft, const Groups& groups, const EndpointRegistry& registry);
+  void add_group(SnapshotDraft& draft, GroupId id, const Group& group,
+                 const EndpointRegistry& registry) const;
+  void add_request_class(SnapshotDraft& draft, GroupId id, const Group& group,
+                         const EndpointRegistry& registry, const RoutedRequestClass& request_class,
+                         const std::vector<Endpoint>& primary) const;
+  [[nodiscard]] std::vector<Endpoint> eligible_replicas(const SnapshotDraft& draft, const Group& group,
+                                                        const EndpointRegistry& registry,
+                                                        const RoutedRequestClass& request_class,
                                                         const std::string& name) const;
-  void add_resource(SnapshotDraft& made, ResourceType kind, const std::string& name,
-                    decltype(Resource::body) body);
-  void add_assignment(SnapshotDraft& made, const std::string& name, std::vector<Endpoint> endpoints);
-  bool add_as_draining(SnapshotDraft& made, const std::string& name);
-  void add_removed_groups(SnapshotDraft& made, const std::map<GroupId, Group>& groups);
+  void add_removed_groups(SnapshotDraft& draft, const Groups& groups);
 
-  const std::vector<RoutedRequestClass> types_;
+  const std::vector<RoutedRequestClass> request_classes_;
   const LeaseOptions leases_;
-  const Millis first_answer_;
+  const Millis startup_timeout_;
   std::uint64_t last_version_ = 0;
   bool ready_ = false;
-  Millis known_since_ = -1;
-  std::map<GroupId, Millis> ended_;  // groups without a member, and since when
-  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> last_;
+  std::optional<Millis> registry_known_since_;
+  std::map<GroupId, Millis> removed_at_;  // groups without a member, and since when
+  std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> previous_snapshots_;
 };
 
 }  // namespace reedspindle::control
--- a/src/control/response_builder.cpp
+++ b/src/control/response_builder.cpp
@@ -201,15 +201,15 @@
                                        Difference& difference) const {
   const bool full = sends_full_state(difference.response.type);
   const ResourcePtr sent = client ? client->sent : nullptr;
-  const bool leased = stream_.capabilities.expiry == Expiry::time_to_live && wanted->until >= 0;
+  const bool leased = stream_.capabilities.expiry == Expiry::time_to_live && wanted->valid_until >= 0;
   const bool same = sent && sent->version == wanted->version;
-  const bool renewed = same && leased && wanted->until > sent->until;
+  const bool renewed = same && leased && wanted->valid_until > sent->valid_until;
   const bool rejected = !full && client && client->rejected_version == wanted->version;
   if ((same && !renewed && !full) || rejected) {
     return;
   }
   const bool urgent =
-      difference.response.type == ResourceType::endpoints && sent && wanted->revoked > sent->version;
+      difference.response.type == ResourceType::endpoints && sent && wanted->last_revocation > sent->version;
   if (urgent_only_ && !urgent) {
     return;
   }
@@ -218,7 +218,7 @@
   difference.response.urgent |= urgent;
   std::optional<Millis> time_to_live;
   if (leased) {
-    time_to_live = std::max(1.0, wanted->until - now_ - context_.bounds.transit);
+    time_to_live = std::max(1.0, wanted->valid_until - now_ - context_.bounds.transit);
   }
   difference.response.items.push_back({wanted, time_to_live, full || !renewed});
 }
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -42,7 +42,7 @@
       registry_(options_.registry),
       epoch_(restore_registry()),
       router_(make_router(options_.config.values, options_.config.seed)),
-      snapshot_builder_(options_.types, options_.leases, options_.first_answer),
+      snapshot_builder_(options_.request_classes, options_.leases, options_.startup_timeout),
       subscriptions_(options_.streams, options_.name, epoch_),
       members_(
           io_, timers_, clock_, log_, options_.config, [](AttemptCompleted, std::string) {},
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -3,7 +3,9 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <cmath>
+#include <compare>
+#include <cstdlib>
+#include <utility>
 
 #include "envoy/config/cluster/v3/cluster.pb.h"
 #include "envoy/config/endpoint/v3/endpoint.pb.h"
@@ -39,12 +41,12 @@
 void encode(const Cluster& body, const Resource& resource, std::string& into) {
   cluster::Cluster message;
   message.set_name(resource.name);
-  if (body.others.empty()) {
+  if (body.fallback_clusters.empty()) {
     message.set_type(cluster::Cluster::EDS);
     set_ads_source(*message.mutable_eds_cluster_config()->mutable_eds_config());
   } else {
     envoy::extensions::clusters::aggregate::v3::ClusterConfig others;
-    for (const std::string& other : body.others) {
+    for (const std::string& other : body.fallback_clusters) {
       others.add_clusters(other);
     }
     message.mutable_cluster_type()->set_name("envoy.clusters.aggregate");
@@ -61,49 +63,69 @@
   message.SerializeToString(&into);
 }
 
+// "10.1.0.18:6432" or "[::1]:6432"; port 0 where there is none.
+void set_address(const std::string& text, core::SocketAddress& address) {
+  const std::size_t colon = text.rfind(':');
+  std::string_view host = std::string_view(text).substr(0, colon);
+  if (host.starts_with('[') && host.ends_with(']')) {
+    host = host.substr(1, host.size() - 2);
+  }
+  const unsigned long port =
+      colon == std::string::npos ? 0 : std::strtoul(text.c_str() + colon + 1, nullptr, 10);
+  address.set_address(std::string(host));
+  address.set_port_value(static_cast<std::uint32_t>(port));
+}
+
+core::HealthStatus health_status_of(HealthStatus status) {
+  switch (status) {
+    case HealthStatus::healthy:
+      return core::HEALTHY;
+    case HealthStatus::draining:
+      return core::DRAINING;
+    case HealthStatus::unhealthy:
+      break;
+  }
+  return core::UNHEALTHY;
+}
+
+void encode_endpoint(const Endpoint& e, endpoint::LbEndpoint& row) {
+  set_address(e.address, *row.mutable_endpoint()->mutable_address()->mutable_socket_address());
+  row.mutable_endpoint()->set_hostname(e.server.address);
+  row.set_health_status(health_status_of(e.health_status));
+  row.mutable_load_balancing_weight()->set_value(e.weight);
+  auto& fields = *(*row.mutable_metadata()->mutable_filter_metadata())[kMetadata].mutable_fields();
+  static const char* const hindrances[] = {"none", "drains", "gone", "down", "resting"};  // the wire's words
+  fields["member"].set_string_value(e.server.address);
+  fields["role"].set_string_value(e.primary ? "primary" : "replica");
+  fields["hindrance"].set_string_value(hindrances[static_cast<int>(e.unavailability)]);
+  if (e.position >= 0) {
+    fields["position_ms"].set_number_value(e.position);
+  }
+  if (e.valid_until >= 0) {
+    fields["fresh_until_ms"].set_number_value(e.valid_until);
+  }
+}
+
 void encode(const Assignment& body, const Resource& resource, std::string& into) {
   endpoint::ClusterLoadAssignment message;
   message.set_cluster_name(resource.name);
-  // By rank and zone, in the order of both.
-  std::map<std::pair<int, std::string>, endpoint::LocalityLbEndpoints*> places;
-  std::map<std::pair<int, std::string>, std::vector<const Endpoint*>> sorted;
+  struct Locality {
+    int rank;
+    std::string zone;
+    auto operator<=>(const Locality&) const = default;
+  };
+  std::map<Locality, std::vector<const Endpoint*>> localities;
   for (const Endpoint& e : body.endpoints) {
-    sorted[{e.rank, e.zone}].push_back(&e);
+    localities[{e.rank, e.zone}].push_back(&e);
   }
-  for (const auto& [place, endpoints] : sorted) {
+  for (const auto& [place, endpoints] : localities) {
     endpoint::LocalityLbEndpoints& locality = *message.add_endpoints();
-    locality.set_priority(static_cast<std::uint32_t>(place.first));
-    locality.mutable_locality()->set_zone(place.second);
+    locality.set_priority(static_cast<std::uint32_t>(place.rank));
+    locality.mutable_locality()->set_zone(place.zone);
     std::uint32_t weight = 0;
     for (const Endpoint* e : endpoints) {
-      endpoint::LbEndpoint& row = *locality.add_lb_endpoints();
-      auto& address = *row.mutable_endpoint()->mutable_address()->mutable_socket_address();
-      const std::size_t colon = e->address.rfind(':');
-      std::string_view host = std::string_view(e->address).substr(0, colon);
-      if (host.starts_with('[') && host.ends_with(']')) {
-        host = host.substr(1, host.size() - 2);
-      }
-      address.set_address(std::string(host));
-      address.set_port_value(colon == std::string::npos ? 0
-                                                        : static_cast<std::uint32_t>(std::strtoul(
-                                                              e->address.c_str() + colon + 1, nullptr, 10)));
-      row.mutable_endpoint()->set_hostname(e->server.address);
-      row.set_health_status(e->health_status == HealthStatus::healthy    ? core::HEALTHY
-                            : e->health_status == HealthStatus::draining ? core::DRAINING
-                                                                         : core::UNHEALTHY);
-      row.mutable_load_balancing_weight()->set_value(e->weight);
+      encode_endpoint(*e, *locality.add_lb_endpoints());
       weight += e->weight;
-      auto& fields = *(*row.mutable_metadata()->mutable_filter_metadata())[kMetadata].mutable_fields();
-      static const char* const hindrances[] = {"none", "drains", "gone", "down", "resting"};
-      fields["member"].set_string_value(e->server.address);
-      fields["role"].set_string_value(e->primary ? "primary" : "replica");
-      fields["hindrance"].set_string_value(hindrances[static_cast<int>(e->unavailability)]);
-      if (e->position >= 0) {
-        fields["position_ms"].set_number_value(e->position);
-      }
-      if (e->until >= 0) {
-        fields["fresh_until_ms"].set_number_value(e->until);
-      }
     }
     locality.mutable_load_balancing_weight()->set_value(weight);
   }
@@ -165,6 +187,22 @@
   return taken;
 }
 
+// What requests of both variants of the protocol share; none: of a type that is not served.
+template <typename Message>
+std::optional<SubscriptionRequest> decode_common(const Message& message) {
+  const auto type = resource_type_of(message.type_url());
+  if (!type) {
+    return std::nullopt;
+  }
+  SubscriptionRequest request;
+  request.type = *type;
+  request.nonce = message.response_nonce();
+  if (message.has_error_detail()) {
+    request.rejection_reason = message.error_detail().message();
+  }
+  return request;
+}
+
 }  // namespace
 
 std::optional<ResourceType> resource_type_of(const std::string& type_url) {
@@ -194,33 +232,24 @@
 }
 
 std::optional<SubscriptionRequest> decode_request(discovery::DiscoveryRequest&& message) {
-  const auto kind = resource_type_of(message.type_url());
-  if (!kind) {
+  auto request = decode_common(message);
+  if (!request) {
     return std::nullopt;
   }
-  SubscriptionRequest request;
-  request.type = *kind, request.nonce = message.response_nonce(), request.version = message.version_info();
-  request.names = move_names(*message.mutable_resource_names());
-  if (message.has_error_detail()) {
-    request.rejection_reason = message.error_detail().message();
-  }
+  request->version = message.version_info();
+  request->names = move_names(*message.mutable_resource_names());
   return request;
 }
 
 std::optional<SubscriptionRequest> decode_request(discovery::DeltaDiscoveryRequest&& message) {
-  const auto kind = resource_type_of(message.type_url());
-  if (!kind) {
+  auto request = decode_common(message);
+  if (!request) {
     return std::nullopt;
   }
-  SubscriptionRequest request;
-  request.type = *kind, request.nonce = message.response_nonce();
-  request.names = move_names(*message.mutable_resource_names_subscribe());
-  request.unsubscribed = move_names(*message.mutable_resource_names_unsubscribe());
+  request->names = move_names(*message.mutable_resource_names_subscribe());
+  request->unsubscribed = move_names(*message.mutable_resource_names_unsubscribe());
   for (const auto& [name, version] : message.initial_resource_versions()) {
-    request.known_versions[name] = version;
-  }
-  if (message.has_error_detail()) {
-    request.rejection_reason = message.error_detail().message();
+    request->known_versions[name] = version;
   }
   return request;
 }
@@ -251,7 +280,7 @@
 }
 
 void Encoder::put(const Resource& resource, google::protobuf::Any& into) {
-  into.set_type_url(type_url(resource.kind));
+  into.set_type_url(type_url(resource.type));
   into.set_value(*encoded(resource));
 }
 
--- a/src/control/xds.hpp
+++ b/src/control/xds.hpp
@@ -1,5 +1,4 @@
-// The published xDS v3 protocol: messages of proxies read into Heard, Write turned into responses. It only
-// translates; the protocol's names end here.
+// Translation between the xDS v3 protocol's messages and the control service's own types. It decides nothing.
 #pragma once
 
 #include <map>
@@ -26,13 +25,13 @@
 
 std::optional<ResourceType> resource_type_of(const std::string& type_url);
 const char* type_url(ResourceType kind);
-ClientCapabilities capabilities_of(const envoy::config::core::v3::Node& node);
+[[nodiscard]] ClientCapabilities capabilities_of(const envoy::config::core::v3::Node& node);
 
-// None: of a type that is not handed out.
+// None: of a type that is not served.
 std::optional<SubscriptionRequest> decode_request(discovery::DiscoveryRequest&& message);
 std::optional<SubscriptionRequest> decode_request(discovery::DeltaDiscoveryRequest&& message);
 
-// Encodes each resource once, however many proxies are sent it. Any thread may ask it.
+// Encodes each resource once, however many clients it is sent to. Thread-safe.
 class Encoder {
  public:
   Encoder(std::string service, std::uint64_t epoch) : service_(std::move(service)), epoch_(epoch) {}
--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -254,7 +254,7 @@
     }
   }
   static void print(const Cluster& cluster) {
-    for (const std::string& other : cluster.others) {
+    for (const std::string& other : cluster.fallback_clusters) {
       std::cout << " > " << other;
     }
   }
@@ -267,8 +267,8 @@
       if (e.health_status != HealthStatus::healthy) {
         std::cout << (e.health_status == HealthStatus::draining ? " drains" : " out");
       }
-      if (e.until >= 0) {
-        std::cout << fmt::format(" until {}", e.until);
+      if (e.valid_until >= 0) {
+        std::cout << fmt::format(" until {}", e.valid_until);
       }
       if (e.position >= 0) {
         std::cout << fmt::format(" at {}", e.position);
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -213,15 +213,15 @@
         if (seen_.size() < 40 && std::ranges::find(seen_, name) == seen_.end()) {
           seen_.push_back(name);
         }
-        digest_.add(fmt::format("{} {} {} {} {:.3f} {:.3f}", name, held->version, held->revoked,
-                                held->revision, held->made, held->until));
+        digest_.add(fmt::format("{} {} {} {} {:.3f} {:.3f}", name, held->version, held->last_revocation,
+                                held->revision, held->built_at, held->valid_until));
         std::visit([this](const auto& body) { add(body); }, held->body);
       }
     }
   }
   void add(const Cluster& cluster) {
     digest_.add(fmt::format("of {}", cluster.group.number));
-    for (const std::string& other : cluster.others) {
+    for (const std::string& other : cluster.fallback_clusters) {
       digest_.add("then " + other);
     }
   }
@@ -230,7 +230,7 @@
       digest_.add(fmt::format("{} {} {} {} {} {} {} {} {:.3f} {:.3f}", one.server.address, one.address,
                               one.zone, static_cast<int>(one.health_status),
                               static_cast<int>(one.unavailability), one.primary, one.rank, one.weight,
-                              one.position, one.until));
+                              one.position, one.valid_until));
     }
   }
   void add(const Listener& listener) { digest_.add("by " + listener.routes); }
