--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -1,5 +1,4 @@
-// The one buffer a connection reads into: it grows as it needs and is compacted in place. What all buffers of
-// one kind of peer hold together is bounded.
+// The buffer that a connection reads into, and the bound on what all buffers of one kind use together.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +9,12 @@
 
 namespace reedspindle::net {
 
-// The bytes that one kind of peer may make the front hold.
+// A number of bytes that several owners share. Each gives back what it has taken.
 class Allowance {
  public:
   explicit Allowance(std::size_t bytes) : left_(bytes) {}
-  bool take(std::size_t bytes) {
+  // False: so many bytes are not left, and none are taken.
+  [[nodiscard]] bool take(std::size_t bytes) {
     if (bytes > left_) {
       return false;
     }
@@ -27,28 +27,30 @@
   std::size_t left_;
 };
 
+// Grows as needed, and is compacted in place. Its size is taken from the allowance, which has to outlive it.
 class Buffer {
  public:
   explicit Buffer(Allowance& allowance) : allowance_(allowance) {}
   ~Buffer() { allowance_.give(bytes_.size()); }
   Buffer(const Buffer&) = delete;
 
-  // What has been read and not yet consumed.
+  // The bytes that have been read and not yet consumed. Valid until the next call of room().
   [[nodiscard]] std::string_view held() const { return {bytes_.data() + begin_, end_ - begin_}; }
 
-  // Room for the next read: at least so many bytes, or none where the allowance is used up. It stays where it
-  // is until the next call. What has grown is given back once it is empty.
+  // Space for the next read: at least so many bytes, or none where the allowance is used up. Valid until the
+  // next call. A buffer that has grown is released once it is empty.
   std::span<char> room(std::size_t least) {
     if (begin_ == end_) {
       begin_ = end_ = 0;
     }
-    if (end_ == 0 && bytes_.size() > kUsual) {
+    if (end_ == 0 && bytes_.size() > kUsualBytes) {
       allowance_.give(bytes_.size());
       std::vector<char>().swap(bytes_);
     }
     if (bytes_.size() - end_ < least && begin_ > 0) {
       std::memmove(bytes_.data(), bytes_.data() + begin_, end_ - begin_);
-      end_ -= begin_, begin_ = 0;
+      end_ -= begin_;
+      begin_ = 0;
     }
     if (bytes_.size() - end_ < least) {
       const std::size_t wanted = std::max(2 * bytes_.size(), end_ + least);
@@ -59,14 +61,17 @@
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
+  // So many bytes have been read into the space.
   void filled(std::size_t count) { end_ += count; }
+  // So many of the first bytes are not needed any more.
   void consume(std::size_t count) { begin_ += count; }
 
  private:
-  static constexpr std::size_t kUsual = 8192;  // holds nearly every message
+  static constexpr std::size_t kUsualBytes = 8192;  // enough for nearly every message
   Allowance& allowance_;
   std::vector<char> bytes_;
-  std::size_t begin_ = 0, end_ = 0;
+  std::size_t begin_ = 0;
+  std::size_t end_ = 0;
 };
 
 }  // namespace reedspindle::net
--- a/src/postgres/codec.hpp
+++ b/src/postgres/codec.hpp
@@ -1,5 +1,5 @@
-// Version 3 of PostgreSQL's wire protocol as bytes and values, and the form of the statements that clients
-// send. Pure: no sockets, no clock, no state.
+// Reads and writes messages of version 3 of PostgreSQL's wire protocol, and reads the statements that clients
+// send. Free of I/O, clocks and state. All views point into the text they were read from.
 #pragma once
 
 #include <compare>
@@ -13,76 +13,86 @@
 
 namespace reedspindle::postgres {
 
-// Values are at most 64 KiB, twice that as hexadecimal digits; the rest of a statement is short.
-constexpr std::size_t kLongestValue = 64 * 1024, kLongestMessage = 2 * kLongestValue + 1024;
+// In bytes. A value is written as hexadecimal digits, two for each byte; the rest of a statement is short.
+constexpr std::size_t kLongestValue = 64 * 1024;
+constexpr std::size_t kLongestMessage = 2 * kLongestValue + 1024;
 
 struct Message {
-  char type = 0;                 // 0: a startup message, which has no type byte
-  std::string_view body, bytes;  // bytes: with its head
+  char type = 0;           // 0: a startup message, which has no type byte
+  std::string_view body;   // without the type and the length
+  std::string_view bytes;  // all of it
 };
+// More bytes are needed.
 struct Partial {};
+// Why a message or a statement is rejected, as it is said to the client.
 struct Fault {
   std::string code;  // SQLSTATE
   std::string text;
 };
 using Read = std::variant<Partial, Message, Fault>;
 
-// The first message in the bytes held. What can't become a message of that side is a fault as soon as its
-// type or its length is there: no more of it is waited for.
-Read read_from_client(std::string_view held);
-Read read_from_store(std::string_view held);
-Read read_startup(std::string_view held);
+// The first message in the buffered bytes. What can't become a message of that sender is a fault as soon as
+// its type or its length has come.
+[[nodiscard]] Read read_from_client(std::string_view held);
+[[nodiscard]] Read read_from_store(std::string_view held);
+[[nodiscard]] Read read_startup(std::string_view held);
 
+// What a startup message asks for: a session, TLS or GSSAPI encryption, or to cancel a request.
 enum class Startup { session, encryption, cancel, unknown };
-Startup startup_kind(const Message& message);
+[[nodiscard]] Startup startup_kind(const Message& message);
 
 // What a client needs to cancel a request from another connection (BackendKeyData).
 struct CancelKey {
-  std::uint32_t process = 0, secret = 0;
+  std::uint32_t process = 0;
+  std::uint32_t secret = 0;
   auto operator<=>(const CancelKey&) const = default;
 };
-// Of a startup message of the kind cancel; none: it does not read.
-std::optional<CancelKey> cancel_key(const Message& message);
+// The key in a startup message of the kind cancel; none: it can't be read.
+[[nodiscard]] std::optional<CancelKey> cancel_key(const Message& message);
 
-// Of "name=value"; without the sign all of it is the name.
-std::pair<std::string_view, std::string_view> name_and_value(std::string_view item);
+// The two parts of "name=value"; without the sign all of it is the name.
+[[nodiscard]] std::pair<std::string_view, std::string_view> name_and_value(std::string_view item);
 
-// A finite number and nothing else.
-std::optional<double> number(std::string_view text);
+// The finite number that the text consists of; none: it is anything else.
+[[nodiscard]] std::optional<double> number(std::string_view text);
 
-// Where a piece of a text stands.
+// Where a part of a text is, in bytes.
 struct TextSpan {
-  std::size_t at = 0, size = 0;
+  std::size_t at = 0;
+  std::size_t size = 0;
 };
-// A statement in one of the two forms that stores take, checked to its last byte; the views point into its
-// text. Guards stores against what they can't read, on which they close.
+// A statement in one of the two forms that servers accept, checked to its last byte. Guards servers against
+// what they can't read, on which they close the connection.
 struct Statement {
   bool writes = false;
-  std::string_view id, request_class, key;
-  double remaining = 0;  // ms, as the client gives it
+  std::string_view id;             // of the request, as the client names it
+  std::string_view request_class;  // by its name in the configuration
+  std::string_view key;            // of the session
+  double remaining = 0;            // the client's remaining time in milliseconds
   int group = 0;
-  double position = 0;     // that the read has to see; 0: none
-  std::string_view token;  // empty: none
-  bool repeat = false;
-  TextSpan patience_place;
+  double position = 0;      // Unix milliseconds up to which the read has to see writes; 0: none
+  std::string_view token;   // empty: none
+  bool repeat = false;      // a retry by the client
+  TextSpan patience_place;  // where the remaining time is
 };
-// In capitals; empty: nothing but blanks and semicolons.
-std::string first_word(std::string_view text);
-std::variant<Statement, Fault> read_statement(std::string_view text);
-// The same text with another patience.
-std::string with_patience(std::string_view text, TextSpan place, double patience);
+// The first word in capitals; empty: there is nothing but blanks and semicolons.
+[[nodiscard]] std::string first_word(std::string_view text);
+[[nodiscard]] std::variant<Statement, Fault> read_statement(std::string_view text);
+// The same text with another remaining time, in milliseconds.
+[[nodiscard]] std::string with_patience(std::string_view text, TextSpan place, double patience);
 
-// Bodies of what a store answers.
+// The bodies of a server's messages; none or false: the body can't be read.
 struct ErrorFields {
-  std::string code, text;
+  std::string code;  // SQLSTATE
+  std::string text;
 };
 std::optional<ErrorFields> read_error(std::string_view body);
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view body);
 bool describes_one_column(std::string_view row_description);
 std::optional<std::string_view> read_row(std::string_view data_row);  // its one value, which is not null
-bool read_tag(std::string_view body);                                 // of what was done
+bool read_tag(std::string_view body);                                 // of CommandComplete
 
-// Messages to send.
+// Messages to send, as bytes.
 std::string startup(std::string_view user, std::string_view database);
 std::string query(std::string_view text);
 std::string welcome(const CancelKey& key = {});  // AuthenticationOk up to ReadyForQuery
