--- a/src/consistency/consistency_monitor.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -1,6 +1,6 @@
-// How far this instance agrees with its peers on what it acts on, and whether it is cut off from all that
-// could tell it otherwise. Free of I/O: events in, decisions out. docs/design-accord.md says what was
-// weighed.
+// Compares the state by which this instance routes with that of its peers, and detects when the instance is
+// isolated from everything that could correct it. Free of I/O: events in, decisions out.
+// docs/design-accord.md gives the reasons.
 #pragma once
 
 #include <array>
@@ -20,27 +20,27 @@
 
 struct Options {
   SlotId slot;
-  Millis pace = 1000;      // between two questions to a peer
-  Millis grace = 3000;     // that a difference may last before it is told of: news takes its time
-  Millis silence = 10000;  // without contact, after which this instance holds itself cut off
-  // After the last contact, how long it still sends what only a primary may answer, and reads.
+  Millis pace = 1000;      // between two polls of peers
+  Millis grace = 3000;     // that a difference may last before it is reported; updates take time to spread
+  Millis silence = 10000;  // without contact, after which this instance is isolated
+  // For how long after the last contact requests that need the primary, and reads, are still admitted.
   Millis writes_for = std::numeric_limits<Millis>::infinity();
   Millis reads_for = std::numeric_limits<Millis>::infinity();
 };
 
 // Events.
-// Who is there in the membership's eyes, without this instance, and how many count as the fleet: those that
-// are known to have ended don't.
+// The peers that are alive in the membership's view, without this instance, and the size of the fleet without
+// the instances that are known to have ended.
 struct PeersChanged {
   std::set<SlotId> alive;
   int fleet_size = 1;
 };
-// What this instance acts on from now on.
+// The state by which this instance routes from now on.
 struct AppliedState {
   StateDigest digest;
-  std::set<std::uint32_t> ready;  // marks of the members that its list holds ready
+  std::set<std::uint32_t> ready;  // marks of the servers that are ready in its endpoint list
 };
-// discovery has answered this instance.
+// Discovery has answered this instance.
 struct DiscoveryAnswered {};
 using Event = std::variant<DatagramReceived, PeersChanged, AppliedState, DiscoveryAnswered>;
 
@@ -49,39 +49,42 @@
 const char* word_of(ConsistencyEvent event);
 struct ConsistencyReport {
   ConsistencyEvent event = ConsistencyEvent::diverged;
-  DigestKind kind = DigestKind::list;  // differs, agrees
-  SlotId slot;                         // differs: the peer that was first seen to
-  StateDigest local;
-  StateDigest remote;   // differs: as it began
-  Millis duration = 0;  // since it began
+  DigestKind kind = DigestKind::list;  // diverged, converged
+  SlotId slot;                         // diverged: the first peer with another digest
+  StateDigest local;                   // diverged: of this instance, when it began
+  StateDigest remote;                  // diverged: of that peer, when it began
+  Millis duration = 0;                 // since it began
 };
-// What may be sent.
+// Which requests this instance may send to servers.
 struct Admission {
-  bool writes = true, reads = true;
+  bool writes = true;
+  bool reads = true;
   bool operator==(const Admission&) const = default;
 };
-// Members that this instance's list holds ready and a later one does not, as peers say while discovery is
-// silent here: nothing new goes there. Ends with discovery's next word, or when nobody says so any more.
+// Servers that are ready in this instance's list but not in a later list of a peer, while discovery does not
+// answer here. No new requests go to them. Each entry ends with discovery's next answer or by timeout.
 struct SuspectServers {
   std::set<std::uint32_t> marks;
 };
 using Decision = std::variant<SendDatagram, RequestWakeup, ConsistencyReport, Admission, SuspectServers>;
 
-// Of one matter: over the peers whose word is recent, at most kMostHeld of them. Where the fleet is larger
-// that is a sample, and the share of those that differ has a standard error of sqrt(p (1 - p) / compared).
+// Of one kind of digest, over the peers with recent digests, at most kMaxPeerDigests of them. In a larger
+// fleet that is a sample: the share p of those that differ has a standard error of sqrt(p (1 - p) /
+// compared).
 struct Difference {
-  int differ = 0, compared = 0;
-  Millis since = 0;  // 0: none
-  SlotId first;
-  bool behind = false;  // list: a peer has a later one
+  int differ = 0;
+  int compared = 0;
+  Millis since = 0;     // 0: no difference
+  SlotId first;         // the first peer with another digest
+  bool behind = false;  // list: a peer has a later revision
 };
 struct View {
   std::array<Difference, kDigestKinds> differences;
-  Millis last_contact = 0;  // when there was contact last
+  Millis last_contact = 0;
   bool isolated = false;
   Admission admission;
-  std::set<std::uint32_t> suspect_servers;  // marks of members
-  std::uint64_t dropped = 0;                // datagrams that did not read, or are not believed
+  std::set<std::uint32_t> suspect_servers;  // marks
+  std::uint64_t dropped = 0;                // datagrams that did not decode or were not accepted
 };
 constexpr std::size_t kMaxPeerDigests = 64;
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,6 +1,6 @@
-// Who of the fleet is there: SWIM with the refinements of Lifeguard, a hash tree against what gossip has
-// missed, and questions to empty slots so that what was cut off is found again. Free of I/O: events in,
-// decisions out, as in the router. docs/design-membership.md gives the sources and what was changed.
+// Failure detection and membership of the fleet: SWIM with the extensions of Lifeguard, anti-entropy over a
+// hash tree, and pings of empty slots so that instances find each other again after a partition. Free of I/O:
+// events in, decisions out. docs/design-membership.md names the sources and the differences from them.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,24 @@
 
 namespace reedspindle::membership {
 
-// What an instance is told of itself and of how to watch its peers.
+// Fixed for the life of a Membership, but for the number of slots.
 struct Options {
   std::string name;
-  SlotId slot;           // where it stands in the fleet's list itself
-  int slots = 0;         // how many the list has
-  Millis pace = 500;     // between two probes
-  Millis timeout = 200;  // until peers are asked to probe as well
-  double suspicion_multiplier =
-      4;                   // paces that a suspicion lasts at least, times log10 of how many are there
-  Millis forget = 300000;  // until who is gone is shown no more
-  int most = 4096;         // instances that are kept
+  SlotId slot;                      // of this instance
+  int slots = 0;                    // length of the list of peers
+  Millis pace = 500;                // protocol period: the time between two probes
+  Millis timeout = 200;             // for an ack, until other members are asked for indirect probes
+  double suspicion_multiplier = 4;  // the shortest suspicion, in paces times log10 of the number of members
+  Millis forget = 300000;           // until a failed or left peer is removed from the view
+  int most = 4096;                  // peers that are stored
 };
 
 // Events.
+// The list of peers has changed its length.
 struct SlotCountChanged {
   int slots = 0;
 };
+// Graceful shutdown of this instance begins.
 struct Leaving {};
 using Event = std::variant<SlotCountChanged, DatagramReceived, Leaving>;
 
@@ -40,19 +41,19 @@
 enum class PeerEvent { joined, suspected, cleared, failed, left, rejoined, moved, forgotten };
 const char* word_of(PeerState state);
 const char* word_of(PeerEvent event);
-// How a peer stands has changed in this instance's eyes.
+// This instance's opinion of a peer has changed.
 struct PeerChanged {
   std::string name;
   SlotId slot;
   PeerEvent event = PeerEvent::joined;
   Incarnation incarnation;
 };
-// Something about this instance itself.
+// An event that concerns this instance itself.
 enum class SelfEvent { paused, refuted, name_contested, name_yielded, name_claimed };
 struct SelfReport {
   SelfEvent event = SelfEvent::paused;
-  SlotId slot;          // of whom it is about, where there is one
-  Millis duration = 0;  // stopped: for how long
+  SlotId slot;          // refuted: who suspected it; name_*: the slot of the other process; else none
+  Millis duration = 0;  // paused: of the pause
 };
 using Decision = std::variant<SendDatagram, RequestWakeup, PeerChanged, SelfReport>;
 
@@ -63,22 +64,23 @@
   Incarnation incarnation;
   Millis since = 0;
 };
+// Datagrams that were not used, by cause.
 struct Dropped {
-  std::uint64_t malformed = 0;          // did not read as a whole
-  std::uint64_t unexpected_sender = 0;  // came from a slot that the sender does not claim
-  std::uint64_t rate_limited = 0;       // beyond what one slot may send
-  std::uint64_t stale_reply = 0;        // answers to what was not asked, or not any more
+  std::uint64_t malformed = 0;          // did not decode
+  std::uint64_t unexpected_sender = 0;  // the slot in the message is not that of the sender, or not plausible
+  std::uint64_t rate_limited = 0;       // more from one slot in one pace than are accepted
+  std::uint64_t stale_reply = 0;        // replies to no request, or to one that has timed out
 };
 struct View {
-  std::uint64_t version = 0;    // rises with each change
-  Incarnation incarnation;      // of this instance
-  int health = 0;               // how much it doubts itself, from 0
-  bool yielded = false;         // another holds its name
-  std::vector<PeerView> peers;  // without itself, by name
+  std::uint64_t version = 0;  // rises with each change
+  Incarnation incarnation;    // of this instance
+  int health = 0;             // Lifeguard's local health score; 0 is healthy
+  bool yielded = false;       // another process holds this instance's name; it takes no part in the protocol
+  std::vector<PeerView> peers;  // without this instance, by name
   Dropped dropped;
 };
 
-// Places of those that are there.
+// The slots of the peers whose state is alive.
 std::set<SlotId> alive_peers(const View& view);
 
 class Membership : public EventCore<Event, Decision> {
@@ -86,6 +88,7 @@
   [[nodiscard]] virtual View view() const = 0;
 };
 
+// The seed decides the random choices; equal seeds and events give equal decisions.
 std::unique_ptr<Membership> make_membership(const Options& options, std::uint64_t seed);
 
 }  // namespace reedspindle::membership
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -11,38 +11,39 @@
 namespace {
 
 // The status file is written at most so often, and at least so often, by which readers see that it is alive.
-constexpr Millis kWriteAfter = 200, kWriteAtLeast = 5000;
+constexpr Millis kMinWriteInterval = 200, kMaxWriteInterval = 5000;
 
 }  // namespace
 
 FleetCoordinator::FleetCoordinator(net::Timers& timers, const net::Clock& clock, logging::Log& log,
                                    const config::InstanceConfig& config, const FleetOptions& fleet,
-                                   PeerSocket& peers, upstream::ConnectionPool& members, Among among,
-                                   Listed listed, Steered steered)
+                                   PeerSocket& peers, upstream::ConnectionPool& pool,
+                                   FleetViewHandler on_fleet_view, EndpointListHandler on_endpoint_list,
+                                   ServerViews server_views)
     : timers_(timers),
       clock_(clock),
       log_(log),
       peers_(peers),
-      members_(members),
-      path_(fleet.status),
+      pool_(pool),
+      status_path_(fleet.status),
       membership_options_(membership_options(fleet, config)),
       membership_{membership::make_membership(membership_options_, config.seed), {}},
       quota_options_(fleet.quota),
       connections_(fleet.connections),
-      acts_pace_(fleet.consistency ? fleet.consistency->pace : 0),
-      among_(std::move(among)),
-      listed_(std::move(listed)),
-      steered_(std::move(steered)),
-      places_(membership_options_.slots) {
+      state_interval_(fleet.consistency ? fleet.consistency->pace : 0),
+      on_fleet_view_(std::move(on_fleet_view)),
+      on_endpoint_list_(std::move(on_endpoint_list)),
+      server_views_(std::move(server_views)),
+      slots_(membership_options_.slots) {
   peers_.hand_over(membership::is_membership_message, [this](int peer, std::string bytes) {
-    settle(DatagramReceived{{peer}, std::move(bytes)});
+    process_membership(DatagramReceived{{peer}, std::move(bytes)});
   });
   if (fleet.consistency) {
     consistency::Options options = *fleet.consistency;
     options.slot = membership_options_.slot;
     consistency_.core = consistency::make_consistency_monitor(options, config.seed);
     peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
-      compare(DatagramReceived{{peer}, std::move(bytes)});
+      process_consistency(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
   if (quota_options_) {
@@ -50,24 +51,24 @@
     quota_.core = quota::make_quota_manager(*quota_options_, config.seed);
     usage_.emplace(*quota_options_, connections_);
     peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
-      share(DatagramReceived{{peer}, std::move(bytes)});
+      process_quota(DatagramReceived{{peer}, std::move(bytes)});
     });
     peers_.on_refusals([this](int peer, std::string bytes) {
-      share(quota::DatagramReturned{{peer}, std::move(bytes)});
+      process_quota(quota::DatagramReturned{{peer}, std::move(bytes)});
     });
-    share(std::nullopt);
-    tell_need();
+    process_quota(std::nullopt);
+    report_demand();
   }
-  settle(std::nullopt);
-  tell_fellows();
-  tell_acts();
+  process_membership(std::nullopt);
+  publish_peers();
+  report_applied_state();
   write_status();
 }
 
-void FleetCoordinator::listed(int places) {
-  places_ = places;
-  settle(membership::SlotCountChanged{places});
-  tell_fellows();
+void FleetCoordinator::listed(int slots) {
+  slots_ = slots;
+  process_membership(membership::SlotCountChanged{slots});
+  publish_peers();
 }
 
 // A list that comes in parts is compared once the last of them is there.
@@ -76,153 +77,159 @@
     return;
   }
   for (const net::ListedEndpoint& server : list.servers) {
-    parts_.push_back(server.entry);
+    partial_list_.push_back(server.entry);
   }
   if (!list.last) {
     return;
   }
-  list_.apply(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)), std::exchange(parts_, {}));
+  endpoint_list_.apply(list.kind, static_cast<std::uint64_t>(std::max(0LL, list.revision)),
+                       std::exchange(partial_list_, {}));
   if (list.kind != EndpointListKind::saved) {
-    compare(consistency::DiscoveryAnswered{});
+    process_consistency(consistency::DiscoveryAnswered{});
   }
 }
 
-void FleetCoordinator::leave() { settle(membership::Leaving{}); }
+void FleetCoordinator::leave() { process_membership(membership::Leaving{}); }
 
 void FleetCoordinator::stop() {
   // Its connections to stores are closed by now.
   if (quota_.core) {
-    share(quota::Leaving{});
+    process_quota(quota::Leaving{});
   }
-  for (auto* timer : {&quota_.wake, &need_, &membership_.wake, &consistency_.wake, &acts_, &write_}) {
+  for (auto* timer : {&quota_.timer, &demand_timer_, &membership_.timer, &consistency_.timer, &state_timer_,
+                      &status_timer_}) {
     timers_.drop(*timer);
   }
   write_status();
-  timers_.drop(write_);
+  timers_.drop(status_timer_);
 }
 
 // What one has decided: datagrams and its next turn are alike for all of them.
 template <typename Core>
-void FleetCoordinator::turn(Driven<Core>& driven) {
-  for (const auto& decision : driven.core->process(clock_.now())) {
+void FleetCoordinator::process(TimedCore<Core>& timed) {
+  for (const auto& decision : timed.core->process(clock_.now())) {
     std::visit(
         [&](const auto& taken) {
           if constexpr (requires { taken.to, taken.bytes; }) {
             peers_.tell(taken.to.number, taken.bytes);
           } else if constexpr (requires { taken.at; }) {
-            timers_.drop(driven.wake);
-            driven.wake = timers_.set(taken.at, [this, &driven] { driven.wake.reset(), turn(driven); });
+            timers_.drop(timed.timer);
+            timed.timer = timers_.set(taken.at, [this, &timed] { timed.timer.reset(), process(timed); });
           } else {
             carry_out(taken);
           }
         },
         decision);
   }
-  if (!std::exchange(changed_, false)) {
+  if (!std::exchange(view_changed_, false)) {
     return;
   }
-  write_later();
-  tell_fellows();
+  schedule_status_write();
+  publish_peers();
 }
 
-void FleetCoordinator::settle(std::optional<membership::Event> event) {
+void FleetCoordinator::process_membership(std::optional<membership::Event> event) {
   if (event) {
     membership_.core->enqueue(std::move(*event));
   }
-  turn(membership_);
+  process(membership_);
 }
 
-void FleetCoordinator::share(std::optional<quota::Event> event) {
+void FleetCoordinator::process_quota(std::optional<quota::Event> event) {
   if (event) {
     quota_.core->enqueue(std::move(*event));
   }
-  turn(quota_);
+  process(quota_);
 }
 
-void FleetCoordinator::compare(consistency::Event event) {
+void FleetCoordinator::process_consistency(consistency::Event event) {
   consistency_.core->enqueue(std::move(event));
-  turn(consistency_);
+  process(consistency_);
 }
 
-std::set<SlotId> FleetCoordinator::there() const { return membership::alive_peers(membership_.core->view()); }
+std::set<SlotId> FleetCoordinator::alive_peers() const {
+  return membership::alive_peers(membership_.core->view());
+}
 
 // The membership's view has changed.
-void FleetCoordinator::tell_fellows() {
+void FleetCoordinator::publish_peers() {
   if (quota_.core) {
-    share(quota::PeersChanged{there()});
+    process_quota(quota::PeersChanged{alive_peers()});
   }
-  tell_who_counts();
+  publish_fleet_size();
 }
 
 // That, or how many count.
-void FleetCoordinator::tell_who_counts() {
+void FleetCoordinator::publish_fleet_size() {
   if (!consistency_.core) {
     return;
   }
-  compare(consistency::PeersChanged{there(), quota_.core ? allocation_.sharing_instances : places_});
-  tell_module();
+  process_consistency(
+      consistency::PeersChanged{alive_peers(), quota_.core ? allocation_.sharing_instances : slots_});
+  publish_fleet_view();
 }
 
-// What this front acts on, looked at once a pace.
-void FleetCoordinator::tell_acts() {
+// What this instance acts on, looked at once a pace.
+void FleetCoordinator::report_applied_state() {
   if (!consistency_.core) {
     return;
   }
   consistency::StateDigest digest;
-  digest.revision = list_.revision();
-  digest.sums = {list_.digest(), consistency::digest_of_primaries(steered_()),
-                 consistency::digest_of_view(there(), membership_options_.slot)};
+  digest.revision = endpoint_list_.revision();
+  digest.sums = {endpoint_list_.digest(), consistency::digest_of_primaries(server_views_()),
+                 consistency::digest_of_view(alive_peers(), membership_options_.slot)};
   std::set<std::uint32_t> ready;
-  for (const auto& [mark, entry] : list_.ready()) {
+  for (const auto& [mark, entry] : endpoint_list_.ready()) {
     ready.insert(mark);
   }
-  compare(consistency::AppliedState{digest, std::move(ready)});
-  write_later();
-  acts_ = timers_.set(clock_.now() + acts_pace_, [this] { acts_.reset(), tell_acts(); });
+  process_consistency(consistency::AppliedState{digest, std::move(ready)});
+  schedule_status_write();
+  state_timer_ =
+      timers_.set(clock_.now() + state_interval_, [this] { state_timer_.reset(), report_applied_state(); });
 }
 
-// Without an accord the module goes by what it hears, as ever.
-void FleetCoordinator::tell_module() {
+// Without an consistency monitor the module goes by what it hears, as ever.
+void FleetCoordinator::publish_fleet_view() {
   if (!consistency_.core) {
     return;
   }
-  FleetViewChanged among;
-  for (const SlotId place : there()) {
-    among.alive_peers.insert(place.number);
+  FleetViewChanged view;
+  for (const SlotId slot : alive_peers()) {
+    view.alive_peers.insert(slot.number);
   }
   if (quota_.core) {
-    among.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
+    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
   }
   const consistency::Admission admission = consistency_.core->view().admission;
-  among.primary_only_allowed = admission.writes, among.reads_allowed = admission.reads;
-  if (among == told_) {
+  view.primary_only_allowed = admission.writes, view.reads_allowed = admission.reads;
+  if (view == published_view_) {
     return;
   }
-  told_ = among;
-  among_(std::move(among));
+  published_view_ = view;
+  on_fleet_view_(std::move(view));
 }
 
-void FleetCoordinator::write_later() {
-  if (path_.empty()) {
+void FleetCoordinator::schedule_status_write() {
+  if (status_path_.empty()) {
     return;
   }
-  timers_.drop(write_);
-  write_ =
-      timers_.set(std::max(clock_.now(), written_ + kWriteAfter), [this] { write_.reset(), write_status(); });
+  timers_.drop(status_timer_);
+  status_timer_ = timers_.set(std::max(clock_.now(), status_written_at_ + kMinWriteInterval),
+                              [this] { status_timer_.reset(), write_status(); });
 }
 
 void FleetCoordinator::look() {
-  if (quota_.core &&
-      quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_, connections_) != limit_) {
-    share(std::nullopt);
+  if (quota_.core && quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_,
+                                           connections_) != connection_limits_) {
+    process_quota(std::nullopt);
   }
 }
 
-void FleetCoordinator::tell_need() {
-  need_ = timers_.set(clock_.now() + quota_options_->lease / 6, [this] {
-    need_.reset();
-    share(usage_->demand(members_.take_need()));
-    tell_need();
+void FleetCoordinator::report_demand() {
+  demand_timer_ = timers_.set(clock_.now() + quota_options_->lease / 6, [this] {
+    demand_timer_.reset();
+    process_quota(usage_->demand(pool_.take_need()));
+    report_demand();
   });
 }
 
@@ -233,20 +240,20 @@
 }
 
 void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
-  const bool counts = allocation_.sharing_instances != decision.allocation.sharing_instances;
+  const bool fleet_size_changed = allocation_.sharing_instances != decision.allocation.sharing_instances;
   allocation_ = decision.allocation;
-  limit_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
-  members_.limit(limit_.open, limit_.hold);
+  connection_limits_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
+  pool_.limit(connection_limits_.open, connection_limits_.hold);
   log_.debug("shares", "part", {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
-  if (counts) {
-    tell_who_counts();
+  if (fleet_size_changed) {
+    publish_fleet_size();
   }
-  write_later();
+  schedule_status_write();
 }
 
 void FleetCoordinator::carry_out(const consistency::ConsistencyReport& decision) {
   using consistency::ConsistencyEvent;
-  write_later();
+  schedule_status_write();
   const long long ms = std::llround(decision.duration);
   const char* event = word_of(decision.event);
   switch (decision.event) {
@@ -268,12 +275,12 @@
   }
 }
 
-void FleetCoordinator::carry_out(const consistency::Admission& /*unused*/) { tell_module(); }
+void FleetCoordinator::carry_out(const consistency::Admission& /*unused*/) { publish_fleet_view(); }
 
 // To the module it is as if the list said that these drain, and that the others do as it says itself.
 void FleetCoordinator::carry_out(const consistency::SuspectServers& decision) {
   EndpointListReceived read{EndpointListKind::changes, {}};
-  for (auto& [mark, entry] : list_.ready()) {
+  for (auto& [mark, entry] : endpoint_list_.ready()) {
     const bool suspect = decision.marks.contains(mark);
     if (suspect == suspect_servers_.contains(mark)) {
       continue;
@@ -287,12 +294,12 @@
   }
   suspect_servers_ = decision.marks;
   if (!read.servers.empty()) {
-    listed_(std::move(read));
+    on_endpoint_list_(std::move(read));
   }
 }
 
 void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
-  changed_ = true;
+  view_changed_ = true;
   log_.info("fleet", word_of(decision.event),
             {{"front", decision.name},
              {"place", decision.slot.number},
@@ -301,19 +308,19 @@
 
 void FleetCoordinator::carry_out(const membership::SelfReport& decision) {
   using membership::SelfEvent;
-  changed_ = true;
-  const logging::Field place{"place", decision.slot.number};
+  view_changed_ = true;
+  const logging::Field slot_field{"place", decision.slot.number};
   switch (decision.event) {
     case SelfEvent::paused:
       return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.duration)}});
     case SelfEvent::refuted:
       return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.slot.number}});
     case SelfEvent::name_contested:
-      return log_.warn("fleet", "its name is heard of elsewhere", {place});
+      return log_.warn("fleet", "its name is heard of elsewhere", {slot_field});
     case SelfEvent::name_yielded:
-      return log_.error("fleet", "another front has its name, stays out of the fleet", {place});
+      return log_.error("fleet", "another front has its name, stays out of the fleet", {slot_field});
     case SelfEvent::name_claimed:
-      return log_.warn("fleet", "takes its name, nobody answers to it elsewhere", {place});
+      return log_.warn("fleet", "takes its name, nobody answers to it elsewhere", {slot_field});
   }
 }
 
@@ -332,7 +339,7 @@
     const quota::View shared = quota_.core->view();
     quota = {{"open", shared.allocation.open},
              {"hold", shared.allocation.hold},
-             {"connections", limit_.hold},
+             {"connections", connection_limits_.hold},
              {"among", shared.allocation.sharing_instances},
              {"office", shared.holds_lease},
              {"holder", shared.holder.number},
@@ -349,7 +356,7 @@
                    {"reads", compared.admission.reads},
                    {"doubted", compared.suspect_servers.size()},
                    {"dropped", compared.dropped},
-                   {"revision", list_.revision()}};
+                   {"revision", endpoint_list_.revision()}};
     for (int kind = 0; kind < consistency::kDigestKinds; ++kind) {
       const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(kind)];
       consistency[word_of(static_cast<consistency::DigestKind>(kind))] = {
@@ -380,18 +387,19 @@
 
 // Whoever reads it finds a whole one: it is written beside and then takes the old one's name.
 void FleetCoordinator::write_status() {
-  if (path_.empty()) {
+  if (status_path_.empty()) {
     return;
   }
-  written_ = clock_.now();
-  const std::string beside = path_ + ".new";
-  std::ofstream file(beside, std::ios::trunc);
+  status_written_at_ = clock_.now();
+  const std::string temporary = status_path_ + ".new";
+  std::ofstream file(temporary, std::ios::trunc);
   file << status() << '\n';
   file.close();
-  if (!file || std::rename(beside.c_str(), path_.c_str()) != 0) {
-    log_.warn("fleet", "status file can't be written", {{"path", path_}});
+  if (!file || std::rename(temporary.c_str(), status_path_.c_str()) != 0) {
+    log_.warn("fleet", "status file can't be written", {{"path", status_path_}});
   }
-  write_ = timers_.set(written_ + kWriteAtLeast, [this] { write_.reset(), write_status(); });
+  status_timer_ =
+      timers_.set(status_written_at_ + kMaxWriteInterval, [this] { status_timer_.reset(), write_status(); });
 }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -1,5 +1,5 @@
-// The membership, the shares and the accord on the peers' socket: their datagrams, timers, words in the log,
-// and the status file.
+// Runs the membership, the quota manager and the consistency monitor of one instance on the peers' socket:
+// their datagrams, timers and log events, and the status file.
 #pragma once
 
 #include <functional>
@@ -21,50 +21,54 @@
 
 class FleetCoordinator {
  public:
-  using Among = std::function<void(FleetViewChanged)>;
-  using Listed = std::function<void(EndpointListReceived)>;
-  using Steered = std::function<std::vector<ServerView>()>;  // what the decision module holds true
+  using FleetViewHandler = std::function<void(FleetViewChanged)>;
+  using EndpointListHandler = std::function<void(EndpointListReceived)>;
+  using ServerViews = std::function<std::vector<ServerView>()>;  // what the router holds true
 
-  // Throws InvalidInput.
+  // All references have to outlive the coordinator. The handlers are called on the thread of the timers.
+  // Throws InvalidInput where the configuration has no valid name or slot.
   FleetCoordinator(net::Timers& timers, const net::Clock& clock, logging::Log& log,
                    const config::InstanceConfig& config, const FleetOptions& fleet, PeerSocket& peers,
-                   upstream::ConnectionPool& members, Among among, Listed listed, Steered steered);
+                   upstream::ConnectionPool& pool, FleetViewHandler on_fleet_view,
+                   EndpointListHandler on_endpoint_list, ServerViews server_views);
 
-  void listed(int places);
-  // TestDiscovery's list, as it came.
+  // The list of peers has that many slots now.
+  void listed(int slots);
+  // One part of an endpoint list from discovery.
   void list_read(const net::EndpointList& list);
-  // Before anything is sent: what this front was given may have ended while it stood still.
+  // Applies an allocation that has expired since the last event; to be called before requests are sent.
   void look();
-  // Told to the fellows at once; the front may take a while to end.
+  // Begins the graceful shutdown: peers are notified at once, the coordinator goes on until stop().
   void leave();
+  // Releases the allocation, cancels all timers and writes the status file a last time.
   void stop();
 
  private:
   // One that decides, with its timer.
   template <typename Core>
-  struct Driven {
+  struct TimedCore {
     std::unique_ptr<Core> core;  // none: it is off
-    std::optional<net::Timers::Handle> wake;
+    std::optional<net::Timers::Handle> timer;
   };
   template <typename Core>
-  void turn(Driven<Core>& driven);
-  void settle(std::optional<membership::Event> event);
+  void process(TimedCore<Core>& timed);
+  void process_membership(std::optional<membership::Event> event);
   void carry_out(const membership::PeerChanged& decision);
   void carry_out(const membership::SelfReport& decision);
-  void share(std::optional<quota::Event> event);
+  void process_quota(std::optional<quota::Event> event);
   void carry_out(const quota::LeaseReport& decision);
   void carry_out(const quota::AllocationChanged& decision);
-  void compare(consistency::Event event);
+  void process_consistency(consistency::Event event);
   void carry_out(const consistency::ConsistencyReport& decision);
   void carry_out(const consistency::Admission& decision);
   void carry_out(const consistency::SuspectServers& decision);
-  [[nodiscard]] std::set<SlotId> there() const;
-  void tell_need();
-  void tell_acts();
-  void tell_fellows();
-  void tell_who_counts();
-  void tell_module();
-  void write_later();
+  [[nodiscard]] std::set<SlotId> alive_peers() const;
+  void report_demand();
+  void report_applied_state();
+  void publish_peers();
+  void publish_fleet_size();
+  void publish_fleet_view();
+  void schedule_status_write();
   void write_status();
   [[nodiscard]] std::string status() const;
 
@@ -72,29 +76,29 @@
   const net::Clock& clock_;
   logging::Log& log_;
   PeerSocket& peers_;
-  upstream::ConnectionPool& members_;
-  const std::string path_;
+  upstream::ConnectionPool& pool_;
+  const std::string status_path_;
   const membership::Options membership_options_;
-  Driven<membership::Membership> membership_;
+  TimedCore<membership::Membership> membership_;
   std::optional<quota::Options> quota_options_;  // none: each store may be used as it comes
   const int connections_;
-  Driven<quota::QuotaManager> quota_;
+  TimedCore<quota::QuotaManager> quota_;
   std::optional<quota::Usage> usage_;
   quota::Allocation allocation_;
-  quota::Connections limit_;
-  Driven<consistency::ConsistencyMonitor> consistency_;
-  const Millis acts_pace_;
-  const Among among_;
-  const Listed listed_;
-  const Steered steered_;
-  consistency::EndpointListState list_;
-  std::vector<ServerEntry> parts_;           // of the list that is being read
+  quota::Connections connection_limits_;
+  TimedCore<consistency::ConsistencyMonitor> consistency_;
+  const Millis state_interval_;
+  const FleetViewHandler on_fleet_view_;
+  const EndpointListHandler on_endpoint_list_;
+  const ServerViews server_views_;
+  consistency::EndpointListState endpoint_list_;
+  std::vector<ServerEntry> partial_list_;    // of the list that is being read
   std::set<std::uint32_t> suspect_servers_;  // marks of members
-  int places_;
-  FleetViewChanged told_;  // the module
-  std::optional<net::Timers::Handle> write_, need_, acts_;
-  Millis written_ = 0;
-  bool changed_ = false;  // the membership's view, within a turn
+  int slots_;
+  FleetViewChanged published_view_;  // the module
+  std::optional<net::Timers::Handle> status_timer_, demand_timer_, state_timer_;
+  Millis status_written_at_ = 0;
+  bool view_changed_ = false;  // the membership's view, within a turn
 };
 
 }  // namespace reedspindle::proxy
--- a/src/quota/quota_manager.hpp
+++ b/src/quota/quota_manager.hpp
@@ -1,7 +1,7 @@
-// What this instance may use of what the whole fleet has, so that all live instances together never use more
-// than the whole: its own slot, and for a time what others are known not to use, handed out by one instance
-// that holds a lease by leases of a majority. Free of I/O: events in, decisions out. docs/design-shares.md
-// says why it holds.
+// The quota of this instance: what it may use of the capacity that the whole fleet shares. All live instances
+// together never exceed that capacity. Each has its own slot; unused slots are granted for a time by one
+// instance that holds a lease from a majority of the fleet. Free of I/O: events in, decisions out.
+// docs/design-shares.md gives the proof.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,16 @@
 
 namespace reedspindle::quota {
 
-// What an instance is told; all but its slot has to be the same everywhere.
+// All but the slot has to be equal in the whole fleet; instances with other options are ignored.
 struct Options {
   SlotId slot;
-  int fleet = 1;           // slots that count, as the operators have agreed; each has one slot
-  Millis lease = 2000;     // of the lease, and the most of what it hands out
-  Millis evidence = 1000;  // for how long "nobody listens there" may be gone by
-  double drift = 0.01;     // the share by which two steady clocks may differ in their rates
-  int reserved = 250;  // thousandths of its slot that nobody else is ever given: an instance has them at once
-  Millis notice = 500;  // before a lease ends, from when on nothing new is begun by it
+  int fleet = 1;           // number of slots that share the capacity
+  Millis lease = 2000;     // duration of the lease, and the longest duration of a grant
+  Millis evidence = 1000;  // for how long a returned query counts as evidence of a vacant slot
+  double drift = 0.01;     // the most by which the rates of two monotonic clocks differ, as a share
+  int reserved =
+      250;  // thousandths of its slot that are never granted to others: usable at once after a start
+  Millis notice = 500;  // before a grant ends, from when on no new use of it begins
 };
 
 // Events.
@@ -34,35 +35,36 @@
   SlotId at;
   std::string bytes;
 };
-// Who is there in the membership's eyes, without this instance. A hint on whom to ask; nothing is held safe
-// by it.
+// The peers that are alive in the membership's view, without this instance. Only a hint whom to query; no
+// safety depends on it.
 struct PeersChanged {
   std::set<SlotId> alive;
 };
-// What this instance could use beyond its plain part, or does not use of it.
+// What this instance could use beyond its slot, or does not use of it, in thousandths of a slot.
 struct Demand {
   int wanted = 0;
   int lent = 0;
 };
-// It uses nothing any more and will not again.
+// Graceful shutdown: this instance uses nothing any more and will not again.
 struct Leaving {};
 using Event = std::variant<DatagramReceived, DatagramReturned, PeersChanged, Demand, Leaving>;
 
-// Thousandths of a slot.
+// What an instance may use now, in thousandths of a slot.
 struct Allocation {
-  int open = 0;  // up to where something new may be begun
-  int hold = 0;  // what must not be exceeded
-  int sharing_instances =
-      0;  // instances that share what needs no more than a sum on average: the others have ended
+  int open = 0;               // up to where new use may begin
+  int hold = 0;               // what use must not exceed
+  int sharing_instances = 0;  // slots that are not known to be vacant
   bool operator==(const Allocation&) const = default;
 };
 
 // Decisions.
+// acquired, lost: the lease, by this instance. slot_restored: its slot is usable again after a start.
+// options_mismatch: a peer runs with other options.
 enum class LeaseEvent { acquired, lost, slot_restored, options_mismatch };
 const char* word_of(LeaseEvent event);
 struct LeaseReport {
   LeaseEvent event = LeaseEvent::acquired;
-  SlotId slot;  // other_terms: whose
+  SlotId slot;  // options_mismatch: of that peer
 };
 struct AllocationChanged {
   Allocation allocation;
@@ -71,11 +73,11 @@
 
 struct View {
   Allocation allocation;
-  bool holds_lease = false;  // this instance holds it
-  SlotId holder;             // who holds it as far as is heard; below 0: nobody
-  int pool = 0;
-  int allocated = 0;          // where it holds the lease: there is to hand out, and is handed out
-  std::uint64_t dropped = 0;  // datagrams that did not read or are not believed
+  bool holds_lease = false;   // this instance does
+  SlotId holder;              // the last known holder of the lease; below 0: none
+  int pool = 0;               // of the holder: what can be granted, in thousandths of a slot
+  int allocated = 0;          // of the holder: what is granted
+  std::uint64_t dropped = 0;  // datagrams that did not decode or were not accepted
 };
 
 class QuotaManager : public EventCore<Event, Decision> {
