--- a/src/control/endpoint_registry.cpp
+++ b/src/control/endpoint_registry.cpp
@@ -5,7 +5,7 @@
 namespace reedspindle::control {
 namespace {
 
-// Of two words on a member the one that takes more away.
+// Of two states of a member the one that takes more away.
 ServerState worse(ServerState one, ServerState other) { return std::max(one, other); }
 static_assert(ServerState::ready < ServerState::draining && ServerState::draining < ServerState::gone);
 
@@ -35,7 +35,7 @@
   if (verdict == UpdateVerdict::accepted) {
     apply_accepted(list);
   } else {
-    // A doubtful list takes members' standing away one by one, as far as it names them, and nothing else.
+    // A suspect list changes only the members that it names; a stale one may only worsen their state.
     apply_suspect(list, verdict == UpdateVerdict::stale_revision);
     poll_at_ = now + bounds_.confirm_after;
   }
@@ -58,12 +58,11 @@
   return removed;
 }
 
-// Guards against a list that is wrong as a whole: discovery restarted empty or from an old copy, an agent
-// that has lost its peers. A wrong list says the same to everybody at once, while a true one changes by
-// steps. An empty list never counts; one that has lost much counts when it is told again after a while; one
-// of an older revision counts when nothing newer has come for long. Harm: members that truly left at once,
-// unstated, stay handed out until the list is told again (a stated "leaving" or "left" counts at once in
-// every case).
+// Rejects lists that are wrong altogether: discovery restarted empty or from an old copy, or an agent has
+// lost its peers. An empty list is never accepted; one that removes many members only when it is repeated
+// after a while; one of an older revision only when nothing newer has come for long. The cost: members that
+// were truly removed at once, without a stated state, stay until the list is repeated (a stated "leaving" or
+// "left" counts at once in every case).
 UpdateVerdict EndpointRegistry::check_update(const RegistryUpdate& list, Millis now) {
   const auto has_lasted = [&](UpdateVerdict verdict, Millis for_ms) {
     return verdict_ == verdict && now - verdict_since_ >= for_ms;
@@ -73,7 +72,7 @@
                ? UpdateVerdict::accepted
                : UpdateVerdict::stale_revision;
   }
-  // Changes on top of lists that were not believed: only a whole list tells the rest.
+  // Changes on top of a suspect list: only a complete list can settle it.
   if (list.kind == EndpointListKind::changes) {
     return verdict_;
   }
@@ -87,7 +86,8 @@
   double lost = 0;
   for (const auto& [id, entry] : members_) {
     if (entry.listed.state == ServerState::ready) {
-      ++ready, lost += !listed(id);
+      ++ready;
+      lost += listed(id) ? 0 : 1;
     }
   }
   if (lost > bounds_.max_removed_fraction * ready &&
--- a/src/control/endpoint_registry.hpp
+++ b/src/control/endpoint_registry.hpp
@@ -1,6 +1,6 @@
-// The roster: who the members are, as discovery told it over time. Free of I/O. It decides what a list that
-// shrinks, is empty or goes back in its revisions does to what is known, and is what outlives a restart.
-// What was weighed: docs/design-control.md.
+// The endpoint registry: the known servers, from the endpoint lists that discovery sends over time. Free of
+// I/O. It decides what a list that shrinks, is empty or has an older revision changes, and is the state that
+// outlives a restart. Rationale: docs/design-control.md. Times in ms.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 struct RegistryEntry {
   ServerEntry listed;
   std::string endpoint;  // "10.1.0.18:6432"
-  std::string zone;      // as discovery names it
+  std::string zone;      // by discovery's name
 };
 
 struct RegistryUpdate {
@@ -24,40 +24,41 @@
   std::vector<RegistryEntry> members;
 };
 
-// What lasts over a restart: nothing that has to be seen again, so neither roles nor freshness.
+// The state that outlives a restart: neither roles nor freshness, which health checks find anew.
 struct RegistryState {
   long long revision = 0;
   std::vector<RegistryEntry> members;
 };
 
+// Whether the last endpoint list was accepted, or why it is suspect.
 enum class UpdateVerdict { accepted, empty, too_many_removed, stale_revision };
 
 class EndpointRegistry {
  public:
   struct Bounds {
-    Millis confirm_after = 2000;        // how much later a list that has lost much has to be told again
-    double max_removed_fraction = 0.5;  // share of the members that one list may lose unconfirmed
-    Millis stale_revision_grace =
-        30000;  // how long lists of an older revision have to stand to undo anything
+    Millis confirm_after = 2000;          // after which a list that removes many members has to be repeated
+    double max_removed_fraction = 0.5;    // of the ready members, that one list may remove unconfirmed
+    Millis stale_revision_grace = 30000;  // how long lists of an older revision have to come to be accepted
   };
 
   explicit EndpointRegistry(Bounds bounds) : bounds_(bounds) {}
 
-  // What the store held; before any list.
+  // Takes the persisted state; before any update.
   void restore(const RegistryState& state);
   [[nodiscard]] RegistryState persisted_state() const;
 
-  // Returns the members that drain or are gone from now on and did not before.
-  std::vector<ServerId> apply_update(const RegistryUpdate& list, Millis now);
+  // Applies an endpoint list as far as it is trusted. Returns the members that were ready before and are
+  // draining or removed now.
+  [[nodiscard]] std::vector<ServerId> apply_update(const RegistryUpdate& list, Millis now);
 
-  // For the module: everyone who counts, as a complete list.
+  // All members as a complete list, for the router.
   [[nodiscard]] EndpointListReceived endpoint_list() const;
   [[nodiscard]] const std::map<ServerId, RegistryEntry>& members() const { return members_; }
   [[nodiscard]] long long revision() const { return revision_; }
   [[nodiscard]] bool known() const { return !members_.empty(); }
-  // What a list was not believed for last; none once one is.
+  // The verdict on the last list.
   [[nodiscard]] UpdateVerdict verdict() const { return verdict_; }
-  // When the whole list is to be asked for, to settle a doubt; none: no need.
+  // When to poll for the complete list, to confirm or refute a suspect one; none: no need.
   [[nodiscard]] std::optional<Millis> poll_at() const { return poll_at_; }
   void on_poll_sent(Millis now);
 
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -22,7 +22,9 @@
   }
   const Json& control = file.values["control"];
   Options options;
-  options.name = control["name"], options.listen = control["listen"], options.keep = control["keep"];
+  options.name = control["name"];
+  options.listen = control["listen"];
+  options.keep = control["keep"];
   options.config.name = options.name;
   const auto discovery = config::endpoint_in(control["discovery"]);
   if (discovery) {
@@ -34,7 +36,8 @@
     fault("control.listen", "a numeric address and a port were expected");
   }
   const Json& stores = file.values["stores"];
-  options.config.sockets = control["sockets"], options.config.memory = control["memory"];
+  options.config.sockets = control["sockets"];
+  options.config.memory = control["memory"];
   options.config.seed = control["seed"];
   options.config.polls_endpoints = control["discovery-mode"] == "ask";
   options.config.connect_timeout = stores["connect-time-out"];
@@ -63,7 +66,8 @@
     if ((needs == "bounded") != type.contains("bound")) {
       fault(key, needs == "bounded" ? "bound is missing" : "bound goes with needs bounded alone");
     }
-    values[at + "needs"] = needs, values[at + "effect"] = type["effect"].get<std::string>();
+    values[at + "needs"] = needs;
+    values[at + "effect"] = type["effect"].get<std::string>();
     values[at + "latency_target"] = type["latency-target"].get<double>();
     values[at + "op_timeout"] = type["op-timeout"].get<double>();
     values[at + "bound"] = type.value("bound", 0.0);
@@ -81,9 +85,12 @@
   const Json& leases = control["leases"];
   options.leases = {leases["transit"], leases["clocks"], leases["least"]};
   const Json& proxies = control["proxies"];
-  options.streams.streams = proxies["most"], options.streams.names = proxies["names"];
-  options.streams.name_length = proxies["name-length"], options.streams.unread = proxies["unread"];
-  options.streams.behind = proxies["behind"], options.streams.transit = leases["transit"];
+  options.streams.streams = proxies["most"];
+  options.streams.names = proxies["names"];
+  options.streams.name_length = proxies["name-length"];
+  options.streams.unread = proxies["unread"];
+  options.streams.behind = proxies["behind"];
+  options.streams.transit = leases["transit"];
   options.keepalive = proxies["keepalive"];
   if (control.contains("tls")) {
     options.tls =
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -1,5 +1,5 @@
-// What the control service is told at start: the operators' file as values of its own, checked beyond the
-// schema where one key goes with another.
+// The control service's options from the operators' file, checked beyond the schema where one key depends on
+// another.
 #pragma once
 
 #include <asio.hpp>
@@ -16,12 +16,17 @@
 namespace reedspindle::control {
 
 struct Tls {
-  std::string certificate, key, proxies;  // files; proxies empty: no certificate is demanded
+  // Paths of files.
+  std::string certificate;
+  std::string key;
+  std::string proxies;  // empty: no client certificate is demanded
 };
 
 struct Options {
-  std::string name, listen, keep;
-  config::InstanceConfig config;  // as far as links to discovery and stores go by it
+  std::string name;
+  std::string listen;
+  std::string keep;               // folder of the persisted state
+  config::InstanceConfig config;  // for the connections to discovery and stores
   std::vector<RoutedRequestClass> request_classes;
   EndpointRegistry::Bounds registry;
   SnapshotBuilder::LeaseOptions leases;
@@ -32,7 +37,7 @@
   logging::LogOptions log;
 };
 
-// Throws operators::Faulty.
-Options options_in(const operators::File& file, const std::string& name);
+// Throws operators::InvalidFile with all errors.
+[[nodiscard]] Options options_in(const operators::File& file, const std::string& name);
 
 }  // namespace reedspindle::control
--- a/src/control/registry_state.hpp
+++ b/src/control/registry_state.hpp
@@ -1,4 +1,4 @@
-// The roster as the store holds it: JSON, read whole or not at all.
+// The persisted state of the endpoint registry as JSON text; read completely or not at all.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace reedspindle::control {
 
-std::string text_of(const RegistryState& state);
-// Throws InvalidInput, which names what is faulty.
-RegistryState registry_state_in(const std::string& text);
+[[nodiscard]] std::string text_of(const RegistryState& state);
+// Throws InvalidInput, which names what is wrong in the text.
+[[nodiscard]] RegistryState registry_state_in(const std::string& text);
 
 }  // namespace reedspindle::control
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -21,14 +21,14 @@
 namespace discovery = xds::discovery;
 
 constexpr int kMaxRequestBytes = 4 << 20;  // of a proxy; some times what the names it may ask for come to
-constexpr Millis kFirstRequestTimeout = 10000;    // a stream that says nothing is ended after this
-constexpr unsigned kCertificateCheckSeconds = 1;  // s between looks at the certificates' files
+constexpr Millis kFirstRequestTimeout = 10000;    // for the first request of a stream
+constexpr unsigned kCertificateCheckSeconds = 1;  // between checks of the certificate files
 
 }  // namespace
 
 class Server::Impl {
  public:
-  // One stream, whatever its form.
+  // One stream, of either variant of the protocol.
   class StreamLink {
    public:
     virtual ~StreamLink() = default;
@@ -44,7 +44,8 @@
    public:
     static TypedStreamLink* create(Impl& server, ProtocolVariant variant) {
       auto link = std::make_shared<TypedStreamLink>();
-      link->server_ = &server, link->variant_ = variant;
+      link->server_ = &server;
+      link->variant_ = variant;
       link->id_ = {++server.last_id_};
       link->self_ = link;
       TypedStreamLink* bare = link.get();
@@ -147,7 +148,7 @@
     if (server_) {
       server_->Shutdown(std::chrono::system_clock::now());
     }
-    // What gRPC's threads still hand over is not run any more.
+    // What gRPC's threads still post is not run any more.
   }
 
   template <typename Task>
@@ -199,7 +200,7 @@
     notify_closed(id, *found->second);
   }
 
-  // The proxy has ended its side, or the stream has broken.
+  // The client has ended its side, or the connection has broken.
   void on_stream_ended(StreamId id) {
     const auto found = links_.find(id);
     if (found == links_.end()) {
@@ -232,7 +233,7 @@
     }
   }
 
-  // Guards against streams that are opened and say nothing: nobody else counts them.
+  // Ends streams that are opened and send no request: nobody else counts them.
   void sweep() {
     sweep_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstRequestTimeout)));
     sweep_.async_wait([this](const asio::error_code& fault) {
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -1,5 +1,6 @@
-// The streams on gRPC: messages in, responses out, on gRPC's own threads; everything is handed over to the
-// service's loop, which alone decides. One message in hand for each stream in either direction.
+// The gRPC server of the discovery streams: reads requests and writes responses on gRPC's own threads, and
+// posts every event to the service's loop, which alone decides. Each stream has at most one message in flight
+// in either direction.
 #pragma once
 
 #include <asio.hpp>
@@ -14,10 +15,10 @@
 
 namespace reedspindle::control {
 
-// What a stream brings; called on the loop.
+// The events of streams; called on the loop.
 struct StreamListener {
   virtual ~StreamListener() = default;
-  // The first message of a stream. False: it is not taken.
+  // The first message of a stream. False: the stream is rejected.
   virtual bool on_stream_opened(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
                                 const std::string& node) = 0;
   virtual void on_request(StreamId id, SubscriptionRequest request) = 0;
@@ -27,7 +28,7 @@
 
 class Server {
  public:
-  // Throws std::runtime_error where it can't listen.
+  // Throws std::runtime_error where it can't listen. The listener has to outlive the server.
   Server(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener);
   ~Server();
 
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -9,11 +9,11 @@
 namespace reedspindle::control {
 namespace {
 
-constexpr int kOfOneTurn = 64;                  // callbacks before the module is asked, as in the front
+constexpr int kMaxCallbacksPerTurn = 64;        // callbacks before the router is asked, as in the proxy
 constexpr Millis kPersistRetryDelay = 1000;     // after the disk has reported a fault
-constexpr Millis kSnapshotInterval = 20;        // between offers; a tenth of the pace of probes
-constexpr Millis kStateLogInterval = 60000;     // between lines that tell how it goes
-constexpr std::size_t kMaxLoggedNodeName = 64;  // of what a proxy calls itself
+constexpr Millis kSnapshotInterval = 20;        // between snapshots; a tenth of the health checks' interval
+constexpr Millis kStateLogInterval = 60000;     // between log lines of the service's state
+constexpr std::size_t kMaxLoggedNodeName = 64;  // bytes
 
 RegistryUpdate registry_update(const net::EndpointList& list) {
   RegistryUpdate told{list.kind, list.revision, {}};
@@ -56,12 +56,13 @@
           store_, [this](std::string fault) { asio::post(io_, [this, fault] { on_persisted(fault); }); }),
       server_(io_, options_, epoch_, *this) {}
 
-// The roster as the store held it, kept again at once under the number of this start. Guards against versions
-// that go back: a generation's number is never given twice, whatever of its content is damaged.
+// Restores the persisted registry and saves it again at once; returns the new generation as this start's
+// epoch. A generation's number is never used twice, even where its content is damaged, so versions never go
+// back.
 std::uint64_t Service::restore_registry() {
   log_.be(options_.log);
-  const snapshot::Loaded loaded = store_.load();
-  for (const snapshot::Damage& damage : loaded.damaged) {
+  const snapshot::LoadResult loaded = store_.load();
+  for (const snapshot::DamagedFile& damage : loaded.damaged) {
     log_.error("keep", "damaged", {{"file", damage.name}, {"why", damage.why}});
   }
   if (loaded.state) {
@@ -96,7 +97,7 @@
     if (!due_) {
       io_.run_one();
     }
-    for (int taken = 0; taken < kOfOneTurn && io_.poll_one() > 0; ++taken) {
+    for (int taken = 0; taken < kMaxCallbacksPerTurn && io_.poll_one() > 0; ++taken) {
       continue;
     }
     if (std::exchange(due_, false) && !stopping_) {
@@ -135,7 +136,7 @@
   notify_router();
 }
 
-// The module and the links to stores go by the roster, never by a list that is in doubt.
+// The router and the connections to stores follow the registry, never a suspect list.
 void Service::notify_router() {
   net::EndpointList list{EndpointListKind::complete, registry_.revision(), {}};
   for (const auto& [id, entry] : registry_.members()) {
@@ -161,20 +162,22 @@
   }
   const bool listed = registry_changed_;
   send_responses(now);
-  // After what was handed out: proxies that know a newer list than a service does are left with it, so a
-  // crash in between brings nothing back.
+  // After the responses: clients with a newer list than a service has keep what they have, so a crash in
+  // between does not bring a draining server back.
   if (listed) {
     persist_registry();
   }
 }
 
 void Service::send_responses(Millis now) {
-  // At once after a list, for what drains can't wait; else at a pace, so that the probes of hundreds of
-  // members are not as many offers.
+  // At once after a list, since draining can't wait; else at an interval, so that the health checks of
+  // hundreds of servers don't cause as many snapshots.
   const std::set<ClientCapabilities> capabilities = subscriptions_.capabilities();
   if (registry_changed_ || capabilities != snapshot_capabilities_ ||
       now - snapshot_built_at_ >= kSnapshotInterval) {
-    registry_changed_ = false, snapshot_built_at_ = now, snapshot_capabilities_ = capabilities;
+    registry_changed_ = false;
+    snapshot_built_at_ = now;
+    snapshot_capabilities_ = capabilities;
     subscriptions_.update_snapshots(snapshot_builder_.build(router_->view(), registry_, capabilities, now));
   }
   wake_at(snapshot_built_at_ + kSnapshotInterval);
@@ -186,8 +189,7 @@
   for (const StreamAction& act : subscriptions_.collect_actions(now)) {
     std::visit([this](const auto& taken) { execute(taken); }, act);
   }
-  // Leases run out and rosters are asked for by time alone; the module wakes for its probes, which is
-  // oftener.
+  // Leases expire and lists are polled by time alone; the router's own timers are more frequent.
   if (const auto deadline = subscriptions_.next_deadline()) {
     wake_at(*deadline);
   }
@@ -214,7 +216,7 @@
     return;
   }
   persisted_state_ = text;
-  snapshot_writer_.keep(std::move(text));
+  snapshot_writer_.save(std::move(text));
 }
 
 void Service::on_persisted(const std::string& fault) {
@@ -222,7 +224,7 @@
     return;
   }
   log_.error("keep", "not kept, tried again", {{"why", fault}});
-  timers_.set(clock_.now() + kPersistRetryDelay, [this] { snapshot_writer_.keep(persisted_state_); });
+  timers_.set(clock_.now() + kPersistRetryDelay, [this] { snapshot_writer_.save(persisted_state_); });
 }
 
 void Service::wait_for_signals() {
--- a/src/control/service.hpp
+++ b/src/control/service.hpp
@@ -1,5 +1,6 @@
-// The control service: the list and probes go to the decision module, its view is offered to proxies. One
-// loop decides; gRPC's threads and the keeper's only hand over. It owns every part of the process.
+// The control service: feeds endpoint lists and health checks to the router and sends its view to clients as
+// xDS resources. One event loop decides; gRPC's threads and the snapshot writer's only post to it. The
+// service owns all parts of the process.
 #pragma once
 
 #include <asio.hpp>
@@ -27,10 +28,10 @@
 
 class Service : private StreamListener {
  public:
-  // Throws keep::DiskFault or std::runtime_error where it can't start.
+  // Throws snapshot::DiskFault or std::runtime_error where it can't start.
   explicit Service(Options options);
 
-  // Runs until it has been told to stop.
+  // Runs until a signal stops it.
   void run();
 
  private:
@@ -57,7 +58,7 @@
   void execute(const ForgetServer& decision);
   void execute(const LogMessage& decision);
   template <typename Op>
-  void execute(const Op& /*unused*/) {}  // there are no ops here and no peers
+  void execute(const Op& /*unused*/) {}  // the control service has no requests and no peers
 
   void execute(const ResponseToSend& response);
   void execute(const StreamToClose& end);
@@ -74,8 +75,8 @@
   asio::io_context io_;
   net::Timers timers_;
   asio::signal_set signals_;
-  snapshot::FolderDisk disk_;
-  snapshot::Store store_;
+  snapshot::DirectoryDisk disk_;
+  snapshot::SnapshotStore store_;
   EndpointRegistry registry_;
   std::string
       persisted_state_;        // what the store was told last; made before the start's number, which tells it
@@ -87,9 +88,9 @@
   discovery::Client endpoint_watch_;
   std::map<StreamId, Proxy> proxies_;
   UpdateVerdict logged_verdict_ = UpdateVerdict::accepted;
-  // What has happened since the last settle: to a stream, to what the module knows, to the roster.
+  // Since the last process_events: anything, an event for the router, a change of the registry.
   bool due_ = true, router_pending_ = true, registry_changed_ = true;
-  Millis snapshot_built_at_ = 0;  // when the offers were worked out last
+  Millis snapshot_built_at_ = 0;  // when the snapshots were built last
   bool stopping_ = false, was_ready_ = false;
   std::set<ClientCapabilities> snapshot_capabilities_;
   std::optional<net::Timers::Handle> wake_;
--- a/src/snapshot/directory_disk.cpp
+++ b/src/snapshot/directory_disk.cpp
@@ -1,4 +1,4 @@
-// The disk of the real system: one folder, by the calls of POSIX.
+// A directory of the file system, by POSIX calls.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sys/stat.h>
@@ -14,24 +14,25 @@
 namespace reedspindle::snapshot {
 namespace {
 
-[[noreturn]] void fault(const std::string& what, const std::string& path) {
-  throw DiskFault(fmt::format("{} {}: {}", what, path, std::strerror(errno)));
+[[noreturn]] void throw_disk_error(const std::string& what, const std::string& path) {
+  throw DiskError(fmt::format("{} {}: {}", what, path, std::strerror(errno)));
 }
 
 // A descriptor, closed where it goes out of scope.
-class Opened {
+class OpenFile {
  public:
-  Opened(const std::string& path, int flags) : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, 0600)) {
+  OpenFile(const std::string& path, int flags)
+      : path_(path), fd_(open(path.c_str(), flags | O_CLOEXEC, 0600)) {
     if (fd_ < 0) {
-      fault("open", path);
+      throw_disk_error("open", path);
     }
   }
-  ~Opened() { close(fd_); }
-  Opened(const Opened&) = delete;
+  ~OpenFile() { close(fd_); }
+  OpenFile(const OpenFile&) = delete;
   [[nodiscard]] int fd() const { return fd_; }
   void sync() const {
     if (fsync(fd_) != 0) {
-      fault("sync", path_);
+      throw_disk_error("sync", path_);
     }
   }
 
@@ -42,13 +43,13 @@
 
 }  // namespace
 
-FolderDisk::FolderDisk(std::string folder) : folder_(std::move(folder)) {
+DirectoryDisk::DirectoryDisk(std::string folder) : folder_(std::move(folder)) {
   if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) {
-    fault("make the folder", folder_);
+    throw_disk_error("make the folder", folder_);
   }
 }
 
-std::vector<std::string> FolderDisk::names() {
+std::vector<std::string> DirectoryDisk::names() {
   std::vector<std::string> names;
   std::error_code code;
   for (auto at = std::filesystem::directory_iterator(folder_, code);
@@ -56,13 +57,13 @@
     names.push_back(at->path().filename().string());
   }
   if (code) {
-    throw DiskFault(fmt::format("list {}: {}", folder_, code.message()));
+    throw DiskError(fmt::format("list {}: {}", folder_, code.message()));
   }
   return names;
 }
 
-std::optional<std::string> FolderDisk::read(const std::string& name, std::size_t most) {
-  const Opened file(path(name), O_RDONLY);
+std::optional<std::string> DirectoryDisk::read(const std::string& name, std::size_t max_bytes) {
+  const OpenFile file(path(name), O_RDONLY);
   std::string bytes;
   char part[65536];
   for (;;) {
@@ -71,44 +72,44 @@
       continue;
     }
     if (count < 0) {
-      fault("read", path(name));
+      throw_disk_error("read", path(name));
     }
     if (count == 0) {
       return bytes;
     }
     bytes.append(part, static_cast<std::size_t>(count));
-    if (bytes.size() > most) {
+    if (bytes.size() > max_bytes) {
       return std::nullopt;
     }
   }
 }
 
-void FolderDisk::write(const std::string& name, std::string_view bytes) {
-  const Opened file(path(name), O_WRONLY | O_CREAT | O_TRUNC);
+void DirectoryDisk::write(const std::string& name, std::string_view bytes) {
+  const OpenFile file(path(name), O_WRONLY | O_CREAT | O_TRUNC);
   while (!bytes.empty()) {
     const ssize_t count = ::write(file.fd(), bytes.data(), bytes.size());
     if (count < 0 && errno == EINTR) {
       continue;
     }
     if (count < 0) {
-      fault("write", path(name));
+      throw_disk_error("write", path(name));
     }
     bytes.remove_prefix(static_cast<std::size_t>(count));
   }
 }
 
-void FolderDisk::sync(const std::string& name) { Opened(path(name), O_WRONLY).sync(); }
-void FolderDisk::sync_folder() { Opened(folder_, O_RDONLY | O_DIRECTORY).sync(); }
+void DirectoryDisk::sync(const std::string& name) { OpenFile(path(name), O_WRONLY).sync(); }
+void DirectoryDisk::sync_directory() { OpenFile(folder_, O_RDONLY | O_DIRECTORY).sync(); }
 
-void FolderDisk::rename(const std::string& from, const std::string& to) {
+void DirectoryDisk::rename(const std::string& from, const std::string& to) {
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) {
-    fault("rename", path(to));
+    throw_disk_error("rename", path(to));
   }
 }
 
-void FolderDisk::remove(const std::string& name) {
+void DirectoryDisk::remove(const std::string& name) {
   if (unlink(path(name).c_str()) != 0) {
-    fault("remove", path(name));
+    throw_disk_error("remove", path(name));
   }
 }
 
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -12,7 +12,7 @@
 //   8 bytes "RSKEEP\r\n" (line ends, so that a copy in text mode is found out), format (8), generation (8),
 //   length of the state (8), the state, XXH3 of all before it (8). Numbers are little-endian.
 // It is written under another name, synced, renamed, and the folder synced: a crash leaves either no new name
-// or a whole file under it. Disks that lie about this are met by the sum and by the generations before.
+// or a complete file under it. Disks that lie about this are covered by the checksum and earlier generations.
 namespace reedspindle::snapshot {
 namespace {
 
@@ -20,9 +20,10 @@
 
 constexpr std::string_view kMagic = "RSKEEP\r\n";
 constexpr std::uint64_t kFormat = 1;
-constexpr std::size_t kHead = 32, kSum = 8;
-constexpr std::string_view kPrefix = "state.", kNew = "new";
-constexpr std::size_t kKept = 3;  // one may be damaged by the disk and one by the crash of its writer
+constexpr std::size_t kHeaderBytes = 32, kChecksumBytes = 8;
+constexpr std::string_view kPrefix = "state.", kTemporaryName = "new";
+constexpr std::size_t kKeptGenerations =
+    3;  // one may be damaged by the disk and one by the crash of its writer
 
 std::string name_of(std::uint64_t generation) { return fmt::format("{}{:020}", kPrefix, generation); }
 
@@ -40,33 +41,34 @@
   return number;
 }
 
-void put(std::string& bytes, std::uint64_t number) {
+void append_number(std::string& bytes, std::uint64_t number) {
   bytes.append(reinterpret_cast<const char*>(&number), sizeof number);
 }
-std::uint64_t number_at(std::string_view bytes, std::size_t at) {
+std::uint64_t read_number(std::string_view bytes, std::size_t at) {
   std::uint64_t number = 0;
   std::memcpy(&number, bytes.data() + at, sizeof number);
   return number;
 }
 
 // Why the bytes are no such generation; empty: they are.
-std::string fault_in(std::string_view bytes, std::uint64_t generation) {
-  if (bytes.size() < kHead + kSum) {
+std::string damage_in(std::string_view bytes, std::uint64_t generation) {
+  if (bytes.size() < kHeaderBytes + kChecksumBytes) {
     return "it is cut short";
   }
   if (!bytes.starts_with(kMagic)) {
     return "it is no state of ours";
   }
-  if (const std::uint64_t format = number_at(bytes, 8); format != kFormat) {
+  if (const std::uint64_t format = read_number(bytes, 8); format != kFormat) {
     return fmt::format("its format is {}, this program reads {}", format, kFormat);
   }
-  if (number_at(bytes, 24) != bytes.size() - kHead - kSum) {
+  if (read_number(bytes, 24) != bytes.size() - kHeaderBytes - kChecksumBytes) {
     return "its length is not the one it states";
   }
-  if (number_at(bytes, bytes.size() - kSum) != XXH3_64bits(bytes.data(), bytes.size() - kSum)) {
+  if (read_number(bytes, bytes.size() - kChecksumBytes) !=
+      XXH3_64bits(bytes.data(), bytes.size() - kChecksumBytes)) {
     return "its sum is wrong";
   }
-  if (number_at(bytes, 16) != generation) {
+  if (read_number(bytes, 16) != generation) {
     return "it is another generation under this name";
   }
   return "";
@@ -74,7 +76,7 @@
 
 }  // namespace
 
-Loaded Store::load() {
+LoadResult SnapshotStore::load() {
   std::vector<std::uint64_t> generations;
   for (const std::string& name : disk_.names()) {
     if (const auto generation = generation_of(name)) {
@@ -82,7 +84,7 @@
     }
   }
   std::ranges::sort(generations, std::greater());
-  Loaded loaded;
+  LoadResult loaded;
   // Damaged ones count, too: no number is ever given twice.
   if (!generations.empty()) {
     last_ = generations.front();
@@ -91,47 +93,47 @@
     const std::string name = name_of(generation);
     std::string why;
     try {
-      std::optional<std::string> bytes = disk_.read(name, kLongest + kHead + kSum);
-      why = bytes ? fault_in(*bytes, generation) : "it is too long";
+      std::optional<std::string> bytes = disk_.read(name, kMaxStateBytes + kHeaderBytes + kChecksumBytes);
+      why = bytes ? damage_in(*bytes, generation) : "it is too long";
       if (why.empty()) {
         loaded.generation = generation;
-        loaded.state = bytes->substr(kHead, bytes->size() - kHead - kSum);
+        loaded.state = bytes->substr(kHeaderBytes, bytes->size() - kHeaderBytes - kChecksumBytes);
         return loaded;
       }
-    } catch (const DiskFault& fault) {
-      why = fault.what();
+    } catch (const DiskError& error) {
+      why = error.what();
     }
     loaded.damaged.push_back({name, why});
   }
   return loaded;
 }
 
-std::uint64_t Store::save(std::string_view state) {
-  if (state.size() > kLongest) {
-    throw DiskFault("the state is too long to be kept");
+std::uint64_t SnapshotStore::save(std::string_view state) {
+  if (state.size() > kMaxStateBytes) {
+    throw DiskError("the state is too long to be kept");
   }
   const std::uint64_t generation = last_ + 1;
   std::string bytes(kMagic);
-  put(bytes, kFormat);
-  put(bytes, generation);
-  put(bytes, state.size());
+  append_number(bytes, kFormat);
+  append_number(bytes, generation);
+  append_number(bytes, state.size());
   bytes += state;
-  put(bytes, XXH3_64bits(bytes.data(), bytes.size()));
+  append_number(bytes, XXH3_64bits(bytes.data(), bytes.size()));
   const std::string name = name_of(generation);
-  disk_.write(std::string(kNew), bytes);
-  disk_.sync(std::string(kNew));
+  disk_.write(std::string(kTemporaryName), bytes);
+  disk_.sync(std::string(kTemporaryName));
   // Whatever comes of the rename, the number has been used.
   last_ = generation;
-  disk_.rename(std::string(kNew), name);
-  disk_.sync_folder();
-  if (generation > kKept) {
+  disk_.rename(std::string(kTemporaryName), name);
+  disk_.sync_directory();
+  if (generation > kKeptGenerations) {
     try {
       for (const std::string& old : disk_.names()) {
-        if (const auto of = generation_of(old); of && *of <= generation - kKept) {
+        if (const auto of = generation_of(old); of && *of <= generation - kKeptGenerations) {
           disk_.remove(old);
         }
       }
-    } catch (const DiskFault&) {
+    } catch (const DiskError&) {
       // What can't be removed now is removed by a later save.
     }
   }
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -1,5 +1,5 @@
-// Keeps states in a store by a thread of its own, so that a disk that takes its time holds nobody up. Of the
-// states that wait only the newest is kept.
+// Saves states to a store on a thread of its own, so that a slow disk blocks nobody. Of the states that wait
+// only the newest is saved.
 #pragma once
 
 #include <condition_variable>
@@ -15,12 +15,12 @@
 
 class SnapshotWriter {
  public:
-  // Called on the keeper's thread after each state: an empty text, or what the disk reported.
-  using Done = std::function<void(std::string fault)>;
+  // Called on the writer's thread after each state, with the disk's error; empty: it was saved.
+  using OnSaved = std::function<void(std::string fault)>;
 
-  SnapshotWriter(Store& store, Done done)
-      : store_(store), done_(std::move(done)), thread_([this] { run(); }) {}
-  // What waits is still kept.
+  SnapshotWriter(SnapshotStore& store, OnSaved on_saved)
+      : store_(store), on_saved_(std::move(on_saved)), thread_([this] { run(); }) {}
+  // Saves the state that waits, and stops. The store has to outlive the writer.
   ~SnapshotWriter() {
     {
       const std::lock_guard lock(mutex_);
@@ -31,7 +31,7 @@
   }
   SnapshotWriter(const SnapshotWriter&) = delete;
 
-  void keep(std::string state) {
+  void save(std::string state) {
     {
       const std::lock_guard lock(mutex_);
       next_ = std::move(state);
@@ -52,16 +52,16 @@
       std::string fault;
       try {
         store_.save(state);
-      } catch (const DiskFault& reported) {
+      } catch (const DiskError& reported) {
         fault = reported.what();
       }
-      done_(std::move(fault));
+      on_saved_(std::move(fault));
       lock.lock();
     }
   }
 
-  Store& store_;
-  const Done done_;
+  SnapshotStore& store_;
+  const OnSaved on_saved_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::optional<std::string> next_;
--- a/tests/snapshot.cpp
+++ b/tests/snapshot.cpp
@@ -48,7 +48,7 @@
     file->now = bytes.substr(0, room);
     step();
     if (bytes.size() > room) {
-      throw DiskFault("write: no space left");
+      throw DiskError("write: no space left");
     }
   }
   void sync(const std::string& name) override {
@@ -60,7 +60,7 @@
     names_[to] = names_.at(from);
     names_.erase(from);
   }
-  void sync_folder() override {
+  void sync_directory() override {
     step();
     lasting_ = names_;
   }
@@ -103,7 +103,7 @@
     for (unsigned seed = 1; seed <= 200; ++seed) {
       ScriptedDisk disk;
       disk.chance.seed(seed);
-      Store writer(disk);
+      SnapshotStore writer(disk);
       writer.load();
       writer.save(state_of(1));
       writer.save(state_of(2));
@@ -113,15 +113,15 @@
       } catch (const Crash&) {
       }
       disk.come_back();
-      Store reader(disk);
-      const Loaded loaded = reader.load();
+      SnapshotStore reader(disk);
+      const LoadResult loaded = reader.load();
       second += loaded.state == state_of(2);
       third += loaded.state == state_of(3);
       wrong += loaded.state != state_of(2) && loaded.state != state_of(3);
       // Done without a crash, it must be there.
       wrong += steps >= 4 && loaded.state != state_of(3);
       reader.save(state_of(4));
-      wrong += Store(disk).load().state != state_of(4);
+      wrong += SnapshotStore(disk).load().state != state_of(4);
     }
   }
   std::cout << "crashes at each step: some kept the state before " << (second > 0 ? "yes" : "no")
@@ -131,7 +131,7 @@
 // The newest file cut at every byte, and each of its bits flipped: the one before is found, and it is said.
 void damage() {
   ScriptedDisk disk;
-  Store writer(disk);
+  SnapshotStore writer(disk);
   writer.load();
   writer.save(state_of(1));
   writer.save(state_of(2));
@@ -141,12 +141,12 @@
   int flipped = 0;
   for (std::size_t at = 0; at < whole.size(); ++at) {
     disk.names_.at(newest)->now = whole.substr(0, at);
-    const Loaded loaded = Store(disk).load();
+    const LoadResult loaded = SnapshotStore(disk).load();
     cut += loaded.state == state_of(1) && loaded.damaged.size() == 1;
     for (int bit = 0; bit < 8; ++bit) {
       disk.names_.at(newest)->now = whole;
       disk.names_.at(newest)->now[at] = static_cast<char>(whole[at] ^ (1 << bit));
-      const Loaded again = Store(disk).load();
+      const LoadResult again = SnapshotStore(disk).load();
       flipped += again.state == state_of(1) && again.damaged.size() == 1;
     }
   }
@@ -156,17 +156,17 @@
   std::string older = whole;
   older[8] = 0;
   disk.names_.at(newest)->now = older;
-  std::cout << "older format: " << Store(disk).load().damaged.front().why << '\n';
+  std::cout << "older format: " << SnapshotStore(disk).load().damaged.front().why << '\n';
   disk.names_.at(newest)->now = disk.names_.begin()->second->now;
-  std::cout << "copied over: " << Store(disk).load().damaged.front().why << '\n';
+  std::cout << "copied over: " << SnapshotStore(disk).load().damaged.front().why << '\n';
   for (auto& [name, file] : disk.names_) {
     file->now = "";
   }
-  const Loaded lost = Store(disk).load();
+  const LoadResult lost = SnapshotStore(disk).load();
   std::cout << "all damaged: state " << (lost.state ? "found" : "none") << ", said of " << lost.damaged.size()
             << "; then save " <<
       [&] {
-        Store store(disk);
+        SnapshotStore store(disk);
         store.load();
         return store.save("again");
       }() << '\n';
@@ -174,21 +174,22 @@
 
 void full_disk() {
   ScriptedDisk disk;
-  Store store(disk);
+  SnapshotStore store(disk);
   store.load();
   store.save(state_of(1));
   disk.room = 20;
   try {
     store.save(state_of(2));
     std::cout << "full disk: not noticed\n";
-  } catch (const DiskFault& fault) {
+  } catch (const DiskError& fault) {
     std::cout << "full disk: " << fault.what();
   }
-  std::cout << ", found " << (Store(disk).load().state == state_of(1) ? "the state before" : "another");
+  std::cout << ", found "
+            << (SnapshotStore(disk).load().state == state_of(1) ? "the state before" : "another");
   disk.room = 1 << 20;
   store.save(state_of(2));
-  std::cout << ", with room again " << (Store(disk).load().state == state_of(2) ? "the new one" : "another")
-            << '\n';
+  std::cout << ", with room again "
+            << (SnapshotStore(disk).load().state == state_of(2) ? "the new one" : "another") << '\n';
 }
 
 // A real process on a real folder, killed at any moment of its writing: what it said was saved, or a later
@@ -202,8 +203,8 @@
     }
     const pid_t child = fork();
     if (child == 0) {
-      FolderDisk disk(folder);
-      Store store(disk);
+      DirectoryDisk disk(folder);
+      SnapshotStore store(disk);
       store.load();
       for (;;) {
         const std::uint64_t next = store.save(fmt::format("of {}", round));
@@ -226,12 +227,12 @@
       last = read_one;
     }
     close(said[0]);
-    FolderDisk disk(folder);
-    const Loaded loaded = Store(disk).load();
+    DirectoryDisk disk(folder);
+    const LoadResult loaded = SnapshotStore(disk).load();
     wrong +=
         !loaded.state || loaded.generation < last || loaded.generation > last + 1 || !loaded.damaged.empty();
   }
-  FolderDisk disk(folder);
+  DirectoryDisk disk(folder);
   std::cout << "killed writers: wrong " << wrong << ", files left "
             << (disk.names().size() <= 5 ? "few" : "many") << '\n';
 }
@@ -243,8 +244,8 @@
   if (!mkdtemp(folder)) {
     return 1;
   }
-  std::cout << "first start: " << (Store(*std::make_unique<ScriptedDisk>()).load().state ? "a state" : "none")
-            << '\n';
+  std::cout << "first start: "
+            << (SnapshotStore(*std::make_unique<ScriptedDisk>()).load().state ? "a state" : "none") << '\n';
   crashes();
   damage();
   full_disk();
--- a/tests/stored_forms.cpp
+++ b/tests/stored_forms.cpp
@@ -57,8 +57,8 @@
 
 // One generation, as the control service writes it.
 void write(const std::string& folder, const std::string& text) {
-  snapshot::FolderDisk disk(folder);
-  snapshot::Store store(disk);
+  snapshot::DirectoryDisk disk(folder);
+  snapshot::SnapshotStore store(disk);
   store.load();
   store.save(text);
 }
@@ -67,9 +67,9 @@
   // Read from a copy: a store may tidy its folder up.
   const auto copy = scratch / "copy";
   std::filesystem::copy(fixture, copy);
-  snapshot::FolderDisk disk(copy.string());
-  snapshot::Store store(disk);
-  const snapshot::Loaded loaded = store.load();
+  snapshot::DirectoryDisk disk(copy.string());
+  snapshot::SnapshotStore store(disk);
+  const snapshot::LoadResult loaded = store.load();
   std::cout << fmt::format("snapshot: generation {}, whole {}, damaged {}\n", loaded.generation,
                            loaded.state.has_value(), loaded.damaged.size());
   if (!loaded.state) {
