--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -10,7 +10,9 @@
   std::signal(SIGPIPE, SIG_IGN);
   return operators::command_line(
       {"reedspindle-control", "Hands routing decisions to proxies over xDS", REEDSPINDLE_VERSION,
-       [](const operators::File& file, const std::string& path) { static_cast<void>(control::options_in(file, path)); },
+       [](const operators::File& file, const std::string& path) {
+         static_cast<void>(control::options_in(file, path));
+       },
        [](const operators::File& file, const std::string& path) {
          control::Service(control::options_in(file, path)).run();
        }},
