--- /dev/null
+++ b/tests/routing_units/main.cpp
@@ -0,0 +1,12 @@
+// Short tests of the parts of the decision module. Prints the names of those that fail.
+#include "routing_units/builders.hpp"
+
+int main() {
+  using namespace reedspindle::routing::tests;
+  eligibility();
+  replica_state();
+  retry_budget();
+  session_tokens();
+  std::cout << run << " tests, " << failed << " failed\n";
+  return failed == 0 ? 0 : 1;
+}
