--- a/tests/routing_units/main.cpp
+++ b/tests/routing_units/main.cpp
@@ -7,6 +7,12 @@
   replica_state();
   retry_budget();
   session_tokens();
+  slow_start();
+  concurrency_limit();
+  server_health();
+  request_decisions();
+  endpoint_polling();
+  probe_leadership();
   std::cout << run << " tests, " << failed << " failed\n";
   return failed == 0 ? 0 : 1;
 }
