--- a/tests/routing_units/builders.hpp
+++ b/tests/routing_units/builders.hpp
@@ -1,7 +1,6 @@
 // What the unit tests of the decision module share: named checks, and small states to check against.
 #pragma once
 
-#include <deque>
 #include <initializer_list>
 #include <iostream>
 #include <string>
--- a/tests/routing_units/main.cpp
+++ b/tests/routing_units/main.cpp
@@ -3,6 +3,7 @@
 
 int main() {
   using namespace reedspindle::routing::tests;
+  std::cout.precision(12);
   eligibility();
   replica_state();
   retry_budget();
--- a/tests/routing_units/replica_state.cpp
+++ b/tests/routing_units/replica_state.cpp
@@ -1,6 +1,8 @@
 // Recording samples, and finding the primary from what servers say of themselves.
 #include "routing/replica_state.hpp"
 
+#include <vector>
+
 #include "routing_units/builders.hpp"
 
 namespace reedspindle::routing::tests {
