--- a/bench/consistency.cpp
+++ b/bench/consistency.cpp
@@ -78,7 +78,7 @@
 int main(int count, char** words) {
   int fronts = 10;
   std::uint64_t seed = 1;
-  CLI::App app{"The accord of the fleet in virtual time", "reedspindle-bench-accord"};
+  CLI::App app{"The accord of the fleet in virtual time", "reedspindle-bench-consistency"};
   app.add_option("--fronts", fronts);
   app.add_option("--seed", seed);
   CLI11_PARSE(app, count, words);
--- a/bench/probe_leaders.cpp
+++ b/bench/probe_leaders.cpp
@@ -85,7 +85,7 @@
 int main(int count, char** words) {
   Stage stage;
   std::uint64_t seed = 1;
-  CLI::App app{"Keepers of groups in virtual time", "reedspindle-bench-keepers"};
+  CLI::App app{"Keepers of groups in virtual time", "reedspindle-bench-probe-leaders"};
   app.add_option("--fronts", stage.fronts);
   app.add_option("--groups", stage.groups);
   app.add_option("--members", stage.members, "of each group");
--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -121,7 +121,7 @@
 
 int main(int count, char** words) {
   Wish wish;
-  CLI::App app{"Shares of the fleet in virtual time", "reedspindle-bench-shares"};
+  CLI::App app{"Shares of the fleet in virtual time", "reedspindle-bench-quota"};
   app.add_option("--fronts", wish.fronts);
   app.add_option("--runs", wish.runs, "of drawn faults");
   app.add_option("--seconds", wish.seconds, "of each run");
--- a/deploy/reedspindle.sexp
+++ b/deploy/reedspindle.sexp
@@ -11,10 +11,10 @@
   (op-type (name report) (needs any) (effect retryable) (latency-target 4s) (op-timeout 8s))
   ; Who of the tier is there. Off where this list is missing, and on the platform, where a front is started bare.
   (fleet (pace 500ms) (time-out 200ms) (patience 4) (forget 5m) (status "/run/reedspindle/fleet.json")
-    ; What each does by what it knows of the others (docs/accord.md).
+    ; What each does by what it knows of the others (docs/consistency.md).
     (accord (pace 1s) (grace 3s) (silence 10s) (writes-for 2m))
     (resends (share 0.2) (burst 100))
-    ; What each may use of what a store takes from all: the same at all fronts (docs/shares.md).
+    ; What each may use of what a store takes from all: the same at all fronts (docs/quota.md).
     (shares (fleet 8) (connections 200) (lease 2s) (evidence 1s) (notice 500ms) (kept 0.25) (drift 0.01)))
   (stores (cold-from 0.15) (warm-within 15s))
   (control
--- a/src/consistency/consistency_monitor.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -1,6 +1,6 @@
 // Compares the state by which this instance routes with that of its peers, and detects when the instance is
 // isolated from everything that could correct it. Free of I/O: events in, decisions out.
-// docs/design-accord.md gives the reasons.
+// docs/design-consistency.md gives the reasons.
 #pragma once
 
 #include <array>
--- a/src/quota/quota_manager.hpp
+++ b/src/quota/quota_manager.hpp
@@ -1,7 +1,7 @@
 // The quota of this instance: what it may use of the capacity that the whole fleet shares. All live instances
 // together never exceed that capacity. Each has its own slot; unused slots are granted for a time by one
 // instance that holds a lease from a majority of the fleet. Free of I/O: events in, decisions out.
-// docs/design-shares.md gives the proof.
+// docs/design-quota.md gives the proof.
 #pragma once
 
 #include <cstdint>
