--- /dev/null
+++ b/src/proxy/decision_execution.cpp
@@ -0,0 +1,59 @@
+// Carries the decisions of the router out: the only place where a decision becomes I/O.
+#include <fmt/format.h>
+
+#include "proxy/proxy_server.hpp"
+
+namespace reedspindle::proxy {
+
+void ProxyServer::execute(const StartAttempt& decision) {
+  const auto found = requests_.find(decision.request);
+  if (found == requests_.end()) {
+    return;  // it has ended, and the event that says so is queued
+  }
+  Request& request = found->second;
+  const int number = request.attempts++;
+  if (log_.writes(logging::LogLevel::debug)) {
+    log_.debug("request", "attempt",
+               {{"id", request.id},
+                {"attempt", number},
+                {"member", decision.server.address},
+                {"ms", clock_.now() - request.arrived}});
+  }
+  connection_pool_.start_attempt(decision.request, decision, last_run_, {number}, request.text,
+                                 request.patience_span);
+}
+
+void ProxyServer::execute(const CancelAttempt& decision) {
+  connection_pool_.cancel_attempt(decision.request, decision.attempt);
+}
+
+void ProxyServer::execute(const RejectRequest& decision) {
+  const std::string retry_after = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
+  complete_request(decision.request,
+                   postgres::error(postgres::Severity::error, "53300", "busy, try again", retry_after),
+                   "refused");
+}
+
+void ProxyServer::execute(const FailRequest& decision) {
+  complete_request(decision.request,
+                   postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
+                   "no answer in time");
+}
+
+void ProxyServer::execute(const SetTimer& decision) {
+  timers_.set(decision.at, [this, timer = decision.timer] { enqueue(TimerExpired{timer}); });
+}
+
+void ProxyServer::execute(const StartProbe& decision) {
+  connection_pool_.probe(decision.server, decision.timeout);
+}
+
+void ProxyServer::execute(const WatchEndpoints& /*unused*/) { discovery_client_.watch(); }
+
+void ProxyServer::execute(const ForgetServer& decision) { connection_pool_.forget(decision.server); }
+
+void ProxyServer::execute(const BroadcastToPeers& decision) { peer_socket_.tell(decision.text); }
+
+void ProxyServer::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
+
+}  // namespace reedspindle::proxy
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -10,8 +10,8 @@
 namespace reedspindle::proxy {
 namespace {
 
-// The status file is written at most so often, and at least so often, by which readers see that it is alive.
-constexpr Millis kMinWriteInterval = 200, kMaxWriteInterval = 5000;
+// The status file is written at most once in so many milliseconds.
+constexpr Millis kMinWriteInterval = 200;
 
 }  // namespace
 
@@ -65,14 +65,14 @@
   write_status();
 }
 
-void FleetCoordinator::listed(int slots) {
+void FleetCoordinator::set_fleet_size(int slots) {
   slots_ = slots;
   process_membership(membership::SlotCountChanged{slots});
   publish_peers();
 }
 
 // A list that comes in parts is compared once the last of them is there.
-void FleetCoordinator::list_read(const net::EndpointList& list) {
+void FleetCoordinator::handle_endpoint_list(const net::EndpointList& list) {
   if (!consistency_.core || list.kind == EndpointListKind::failed) {
     return;
   }
@@ -89,7 +89,7 @@
   }
 }
 
-void FleetCoordinator::leave() { process_membership(membership::Leaving{}); }
+void FleetCoordinator::start_leaving() { process_membership(membership::Leaving{}); }
 
 void FleetCoordinator::stop() {
   // Its connections to stores are closed by now.
@@ -218,7 +218,7 @@
                               [this] { status_timer_.reset(), write_status(); });
 }
 
-void FleetCoordinator::look() {
+void FleetCoordinator::check_allocation() {
   if (quota_.core && quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_,
                                            connections_) != connection_limits_) {
     process_quota(std::nullopt);
@@ -228,7 +228,7 @@
 void FleetCoordinator::report_demand() {
   demand_timer_ = timers_.set(clock_.now() + quota_options_->lease / 6, [this] {
     demand_timer_.reset();
-    process_quota(usage_->demand(pool_.take_need()));
+    process_quota(usage_->demand(pool_.take_connection_need()));
     report_demand();
   });
 }
@@ -243,7 +243,7 @@
   const bool fleet_size_changed = allocation_.sharing_instances != decision.allocation.sharing_instances;
   allocation_ = decision.allocation;
   connection_limits_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
-  pool_.limit(connection_limits_.open, connection_limits_.hold);
+  pool_.set_connection_limits(connection_limits_.open, connection_limits_.hold);
   log_.debug("shares", "part", {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
   if (fleet_size_changed) {
     publish_fleet_size();
@@ -324,82 +324,4 @@
   }
 }
 
-std::string FleetCoordinator::status() const {
-  const membership::View view = membership_.core->view();
-  nlohmann::json peers = nlohmann::json::array();
-  for (const membership::PeerView& peer : view.peers) {
-    peers.push_back({{"name", peer.name},
-                     {"place", peer.slot.number},
-                     {"standing", word_of(peer.state)},
-                     {"incarnation", peer.incarnation.number},
-                     {"since", std::llround(peer.since)}});
-  }
-  nlohmann::json quota;
-  if (quota_.core) {
-    const quota::View shared = quota_.core->view();
-    quota = {{"open", shared.allocation.open},
-             {"hold", shared.allocation.hold},
-             {"connections", connection_limits_.hold},
-             {"among", shared.allocation.sharing_instances},
-             {"office", shared.holds_lease},
-             {"holder", shared.holder.number},
-             {"pool", shared.pool},
-             {"given", shared.allocated},
-             {"dropped", shared.dropped}};
-  }
-  nlohmann::json consistency;
-  if (consistency_.core) {
-    const consistency::View compared = consistency_.core->view();
-    consistency = {{"contact", std::llround(compared.last_contact)},
-                   {"cut_off", compared.isolated},
-                   {"writes", compared.admission.writes},
-                   {"reads", compared.admission.reads},
-                   {"doubted", compared.suspect_servers.size()},
-                   {"dropped", compared.dropped},
-                   {"revision", endpoint_list_.revision()}};
-    for (int kind = 0; kind < consistency::kDigestKinds; ++kind) {
-      const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(kind)];
-      consistency[word_of(static_cast<consistency::DigestKind>(kind))] = {
-          {"differ", difference.differ},
-          {"compared", difference.compared},
-          {"since", std::llround(difference.since)},
-          {"first", difference.first.number},
-          {"behind", difference.behind}};
-    }
-  }
-  return nlohmann::json{{"name", membership_options_.name},
-                        {"place", membership_options_.slot.number},
-                        {"at", std::llround(clock_.now())},
-                        {"version", view.version},
-                        {"incarnation", view.incarnation.number},
-                        {"health", view.health},
-                        {"yielded", view.yielded},
-                        {"fellows", std::move(peers)},
-                        {"shares", std::move(quota)},
-                        {"accord", std::move(consistency)},
-                        {"dropped",
-                         {{"unread", view.dropped.malformed},
-                          {"strange", view.dropped.unexpected_sender},
-                          {"flood", view.dropped.rate_limited},
-                          {"late", view.dropped.stale_reply}}}}
-      .dump();
-}
-
-// Whoever reads it finds a whole one: it is written beside and then takes the old one's name.
-void FleetCoordinator::write_status() {
-  if (status_path_.empty()) {
-    return;
-  }
-  status_written_at_ = clock_.now();
-  const std::string temporary = status_path_ + ".new";
-  std::ofstream file(temporary, std::ios::trunc);
-  file << status() << '\n';
-  file.close();
-  if (!file || std::rename(temporary.c_str(), status_path_.c_str()) != 0) {
-    log_.warn("fleet", "status file can't be written", {{"path", status_path_}});
-  }
-  status_timer_ =
-      timers_.set(status_written_at_ + kMaxWriteInterval, [this] { status_timer_.reset(), write_status(); });
-}
-
 }  // namespace reedspindle::proxy
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -33,13 +33,13 @@
                    EndpointListHandler on_endpoint_list, ServerViews server_views);
 
   // The list of peers has that many slots now.
-  void listed(int slots);
+  void set_fleet_size(int slots);
   // One part of an endpoint list from discovery.
-  void list_read(const net::EndpointList& list);
+  void handle_endpoint_list(const net::EndpointList& list);
   // Applies an allocation that has expired since the last event; to be called before requests are sent.
-  void look();
+  void check_allocation();
   // Begins the graceful shutdown: peers are notified at once, the coordinator goes on until stop().
-  void leave();
+  void start_leaving();
   // Releases the allocation, cancels all timers and writes the status file a last time.
   void stop();
 
--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -16,7 +16,7 @@
 PeerSocket::PeerSocket(asio::io_context& io, logging::Log& log, const config::InstanceConfig& config,
                        DatagramHandler heard)
     : log_(log), config_(config), heard_(std::move(heard)), socket_(io) {
-  learn(config.peers);
+  set_peers(config.peers);
   if (!config_.hears_peers) {
     return;
   }
@@ -26,7 +26,7 @@
   listen();
 }
 
-void PeerSocket::learn(std::vector<asio::ip::udp::endpoint> peers) {
+void PeerSocket::set_peers(std::vector<asio::ip::udp::endpoint> peers) {
   peers_ = std::move(peers);
   numbers_.clear();
   for (std::size_t number = 0; number < peers_.size(); ++number) {
--- a/src/proxy/peer_socket.hpp
+++ b/src/proxy/peer_socket.hpp
@@ -30,7 +30,7 @@
   // From now on as much as comes back of a datagram where nobody listens goes there.
   void on_refusals(DatagramHandler refused);
   // The list has changed: who stands where, and who is believed.
-  void learn(std::vector<asio::ip::udp::endpoint> peers);
+  void set_peers(std::vector<asio::ip::udp::endpoint> peers);
   void stop();
 
  private:
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -163,7 +163,7 @@
   timers_.drop(peer_message_timer_);
   turn_gauge_.doing("tier");
   if (fleet_) {
-    fleet_->look();
+    fleet_->check_allocation();
   }
   last_run_ = clock_.now();
   pass_events_to_router(last_run_);
@@ -284,7 +284,7 @@
   turn_full_ = !list.servers.empty();
   connection_pool_.apply_endpoint_list(list);
   if (fleet_) {
-    fleet_->list_read(list);
+    fleet_->handle_endpoint_list(list);
   }
   // Every list that was read comes in parts, also a saved one: to the router they are changes.
   const bool failed = list.kind == EndpointListKind::failed;
@@ -325,7 +325,7 @@
 void ProxyServer::start_draining(int signal) {
   log_.info("front", "drains", {{"signal", signal}});
   if (fleet_) {
-    fleet_->leave();
+    fleet_->start_leaving();
   }
   client_connections_.start_draining();
 }
@@ -337,8 +337,8 @@
     config::InstanceConfig read = config::read_instance_config(environment_, config::Reading::again);
     log_.info("front", "placement read again", {{"discovery", config::text_of(read.discovery)}});
     if (fleet_) {
-      peer_socket_.learn(read.peers);
-      fleet_->listed(static_cast<int>(read.peers.size()));
+      peer_socket_.set_peers(read.peers);
+      fleet_->set_fleet_size(static_cast<int>(read.peers.size()));
       read.peers = config_.peers;
     }
     for (const std::string& key : config::keys_that_need_restart(config_, read)) {
@@ -350,55 +350,4 @@
   }
 }
 
-void ProxyServer::execute(const StartAttempt& decision) {
-  const auto found = requests_.find(decision.request);
-  if (found == requests_.end()) {
-    return;  // it has ended, and the event that says so is queued
-  }
-  Request& request = found->second;
-  const int number = request.attempts++;
-  if (log_.writes(logging::LogLevel::debug)) {
-    log_.debug("request", "attempt",
-               {{"id", request.id},
-                {"attempt", number},
-                {"member", decision.server.address},
-                {"ms", clock_.now() - request.arrived}});
-  }
-  connection_pool_.start_attempt(decision.request, decision, last_run_, {number}, request.text,
-                                 request.patience_span);
-}
-
-void ProxyServer::execute(const CancelAttempt& decision) {
-  connection_pool_.cancel_attempt(decision.request, decision.attempt);
-}
-
-void ProxyServer::execute(const RejectRequest& decision) {
-  const std::string retry_after = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
-  complete_request(decision.request,
-                   postgres::error(postgres::Severity::error, "53300", "busy, try again", retry_after),
-                   "refused");
-}
-
-void ProxyServer::execute(const FailRequest& decision) {
-  complete_request(decision.request,
-                   postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
-                   "no answer in time");
-}
-
-void ProxyServer::execute(const SetTimer& decision) {
-  timers_.set(decision.at, [this, timer = decision.timer] { enqueue(TimerExpired{timer}); });
-}
-
-void ProxyServer::execute(const StartProbe& decision) {
-  connection_pool_.probe(decision.server, decision.timeout);
-}
-
-void ProxyServer::execute(const WatchEndpoints& /*unused*/) { discovery_client_.watch(); }
-
-void ProxyServer::execute(const ForgetServer& decision) { connection_pool_.forget(decision.server); }
-
-void ProxyServer::execute(const BroadcastToPeers& decision) { peer_socket_.tell(decision.text); }
-
-void ProxyServer::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
-
 }  // namespace reedspindle::proxy
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -158,7 +158,7 @@
   need_ = std::max(need_, server.connections - server.idle.size() + unserved);
 }
 
-void ConnectionPool::limit(std::size_t open, std::size_t hold) {
+void ConnectionPool::set_connection_limits(std::size_t open, std::size_t hold) {
   open_limit_ = open;
   hold_limit_ = hold;
   for (auto& [id, server] : servers_) {
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -56,10 +56,10 @@
 
   // Sets how many connections each server may have: new ones are opened up to `open`, and none are kept
   // beyond `hold`.
-  void limit(std::size_t open, std::size_t hold);
+  void set_connection_limits(std::size_t open, std::size_t hold);
   // The largest number of connections that any server has needed at once since the last call, including those
   // that the limit did not allow.
-  std::size_t take_need() { return std::exchange(need_, 0); }
+  std::size_t take_connection_need() { return std::exchange(need_, 0); }
 
   // Closes all connections and reports nothing more of what was on them.
   void stop();
