--- a/src/faulttest/process.cpp
+++ b/src/faulttest/process.cpp
@@ -5,14 +5,45 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <array>
+#include <cerrno>
 #include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
+#include <system_error>
 #include <utility>
 
 namespace reedspindle::faulttest {
+namespace {
+
+// A child holds this process's sockets until it closes them, and meanwhile an address that this process has
+// closed can't be bound again: whoever forks waits until the child has closed what it inherited.
+class InheritedSockets {
+ public:
+  InheritedSockets() {
+    if (pipe2(ends_.data(), O_CLOEXEC) != 0) {
+      throw std::system_error(errno, std::generic_category(), "pipe2");
+    }
+  }
+  ~InheritedSockets() { close(ends_[0]); }
+  InheritedSockets(const InheritedSockets&) = delete;
+  InheritedSockets& operator=(const InheritedSockets&) = delete;
+
+  // In the parent. The pipe ends as the child closes its copy of the writing end, or ends itself.
+  void wait_until_closed() {
+    close(ends_[1]);
+    char none = 0;
+    while (read(ends_[0], &none, 1) < 0 && errno == EINTR) {
+    }
+  }
+
+ private:
+  std::array<int, 2> ends_{};
+};
+
+}  // namespace
 
 Process::Process(std::string program, std::string folder, std::string label)
     : program_(std::move(program)), folder_(std::move(folder)), label_(std::move(label)) {}
@@ -35,8 +66,10 @@
   const std::string placement_path = base + ".json";
   const std::string log_path = base + ".log";
   const pid_t rig = getpid();
+  InheritedSockets inherited;
   pid_ = fork();
   if (pid_ != 0) {
+    inherited.wait_until_closed();
     return;
   }
   prctl(PR_SET_PDEATHSIG, SIGKILL);
