--- a/tests/routing.cpp
+++ b/tests/routing.cpp
@@ -1,6 +1,7 @@
-// Reads a case file, plays its event lines to a Router and prints each line with the decisions taken after
-// it. A case file holds its own expected decisions (lines starting with "  "), which are skipped on reading:
-// the output is compared with the file itself. Lines starting with '#' are echoed. Times are in ms.
+// Reads a trace, plays its events to a Router and prints each line of the trace, followed by the decisions
+// that it leads to. A trace contains the decisions that are expected, in lines that start with two spaces.
+// They are skipped on reading, and the output is compared with the trace itself. Lines that start with '#'
+// are comments and are printed as they are. Times are in milliseconds.
 #include <fstream>
 #include <iostream>
 #include <sstream>
@@ -11,7 +12,7 @@
 namespace {
 using namespace reedspindle;
 
-Settings usual() {
+Settings default_settings() {
   Settings values{{"instances", 1.0},
                   {"tick", 5.0},
                   {"op_types", 0.0},
@@ -26,16 +27,16 @@
                   {"rule.warm_within", 10000.0},
                   {"rule.fall_multiple", 2.0},
                   {"rule.fall", 1000.0}};
-  const char* types[][3] = {{"write", "tokened", "0"},       {"session", "retryable", "0"},
-                            {"bounded", "retryable", "300"}, {"current", "retryable", "0"},
-                            {"any", "retryable", "0"},       {"write", "non-retryable", "0"}};
+  const char* classes[][3] = {{"write", "tokened", "0"},       {"session", "retryable", "0"},
+                              {"bounded", "retryable", "300"}, {"current", "retryable", "0"},
+                              {"any", "retryable", "0"},       {"write", "non-retryable", "0"}};
   for (int i = 0; i < 6; ++i) {
-    const std::string at = "op_type." + std::to_string(i) + ".";
-    values[at + "needs"] = types[i][0];
-    values[at + "effect"] = types[i][1];
-    values[at + "bound"] = std::stod(types[i][2]);
-    values[at + "latency_target"] = i == 4 ? 5000.0 : 400.0;
-    values[at + "token_memory"] = 1000.0;
+    const std::string prefix = "op_type." + std::to_string(i) + ".";
+    values[prefix + "needs"] = classes[i][0];
+    values[prefix + "effect"] = classes[i][1];
+    values[prefix + "bound"] = std::stod(classes[i][2]);
+    values[prefix + "latency_target"] = i == 4 ? 5000.0 : 400.0;
+    values[prefix + "token_memory"] = 1000.0;
   }
   values["op_types"] = 6.0;
   return values;
@@ -43,149 +44,162 @@
 
 struct Printer {
   void operator()(const StartAttempt& d) const {
-    std::cout << "  send " << d.request.number << " to " << d.server.address;
+    std::cout << "  send request " << d.request.number << " to " << d.server.address;
     if (d.start_within) {
-      std::cout << ", begun within " << *d.start_within;
+      std::cout << ", start within " << *d.start_within;
     }
     std::cout << '\n';
   }
   void operator()(const CancelAttempt& d) const {
-    std::cout << "  call off " << d.request.number << '/' << d.attempt.number << '\n';
+    std::cout << "  cancel attempt " << d.request.number << '/' << d.attempt.number << '\n';
   }
   void operator()(const RejectRequest& d) const {
-    std::cout << "  busy-reply " << d.request.number << (d.retry_after > 0 ? ", come back later" : "")
+    std::cout << "  reject request " << d.request.number << (d.retry_after > 0 ? ", retry later" : "")
               << '\n';
   }
-  void operator()(const FailRequest& d) const { std::cout << "  error reply " << d.request.number << '\n'; }
+  void operator()(const FailRequest& d) const { std::cout << "  fail request " << d.request.number << '\n'; }
   void operator()(const SetTimer& /*unused*/) const {}
   void operator()(const StartProbe& d) const { std::cout << "  probe " << d.server.address << '\n'; }
   void operator()(const ForgetServer& d) const { std::cout << "  forget " << d.server.address << '\n'; }
-  void operator()(const WatchEndpoints& /*unused*/) const { std::cout << "  watch the list\n"; }
-  void operator()(const BroadcastToPeers& d) const { std::cout << "  tell " << d.text << '\n'; }
+  void operator()(const WatchEndpoints& /*unused*/) const { std::cout << "  watch endpoints\n"; }
+  void operator()(const BroadcastToPeers& d) const { std::cout << "  broadcast " << d.text << '\n'; }
   void operator()(const LogMessage& d) const { std::cout << "  log " << d.text << '\n'; }
 };
 
-// What the module holds true as of the last settle: "view" prints it.
-void print(const std::vector<ServerView>& views) {
-  const char* const words[] = {"", " drains", " gone", " down", " resting"};
+// Prints the state of each server as of the last process(), for the line "view".
+void print_views(const std::vector<ServerView>& views) {
+  const char* const states[] = {"", " draining", " gone", " down", " backing-off"};
   for (const ServerView& view : views) {
     std::cout << "  " << view.entry.id.address << (view.primary ? " primary" : "")
-              << words[static_cast<int>(view.unavailability)];
+              << states[static_cast<int>(view.unavailability)];
     if (view.slow_start_fraction < 1) {
-      std::cout << " warm " << view.slow_start_fraction;
+      std::cout << " slow-start " << view.slow_start_fraction;
     }
     if (view.position >= 0) {
-      std::cout << " at " << view.position << " seen " << view.sampled_at;
+      std::cout << " position " << view.position << " sampled " << view.sampled_at;
     }
-    for (const FreshnessWindow& fresh : view.fresh) {
-      std::cout << ", for " << fresh.bound << " until " << fresh.until;
+    for (const FreshnessWindow& window : view.fresh) {
+      std::cout << ", bound " << window.bound << " fresh until " << window.until;
     }
     std::cout << '\n';
   }
 }
 
-Role role_of(const std::string& word) {
+Role parse_role(const std::string& word) {
   return word == "primary" ? Role::primary : word == "replica" ? Role::replica : Role::unknown;
 }
 
-AttemptOutcome ending_of(const std::string& word) {
-  const char* words[] = {"acked", "errored",    "full",       "timed-out", "unconnected",
-                         "reset", "called-off", "never-sent", "untouched"};
+AttemptOutcome parse_outcome(const std::string& word) {
+  const char* outcomes[] = {"acknowledged", "failed",         "rejected-overloaded",
+                            "timed-out",    "connect-failed", "reset",
+                            "cancelled",    "not-sent",       "rejected-not-executed"};
   for (int i = 0; i < 9; ++i) {
-    if (word == words[i]) {
+    if (word == outcomes[i]) {
       return static_cast<AttemptOutcome>(i);
     }
   }
-  throw std::runtime_error("unknown ending " + word);
+  throw std::runtime_error("unknown attempt outcome " + word);
 }
 
-// "list complete a:ready b:draining:9000" (address, state, up since), "op 1 type 2 patience 400 token 50",
-// "ended 1/0 a acked replica 9900 took 40", "probed b replica 9950 busy 0.5", "unprobed b", "gone 1", "among
-// 1,2 of 0.6 no-writes no-reads", "wake".
-Event event_of(std::istream& line, const std::string& word) {
+// Reads an event from the rest of its line. One example of each kind:
+//   endpoints complete a:ready b:draining:9000 (address, state, start time)
+//   request 1 class 2 remaining 400 token-age 50
+//   attempt-completed 1/0 a acknowledged replica 9900 latency 40 (1/0: attempt 0 of request 1; the role and
+//   the
+//     position are those of the answer's sample; no sample: role "none" or "unknown", position absent or -1)
+//   probe-answered b replica 9950 utilization 0.5
+//   probe-failed b
+//   request-abandoned 1
+//   peer-message TEXT
+//   fleet-view 1,2 share 0.6 no-primary-only no-reads (live peers or "none", share of the fleet that shares
+//   common
+//     work, and what the instance may not send)
+//   timer-expired
+Event parse_event(std::istream& line, const std::string& word) {
   std::string text;
   std::string rest;
   char slash;
-  if (word == "list") {
-    EndpointListReceived read;
+  if (word == "endpoints") {
+    EndpointListReceived list;
     line >> text;
-    read.kind = text == "complete"  ? EndpointListKind::complete
+    list.kind = text == "complete"  ? EndpointListKind::complete
                 : text == "changes" ? EndpointListKind::changes
                 : text == "saved"   ? EndpointListKind::saved
                                     : EndpointListKind::failed;
     while (line >> text) {
       std::istringstream parts(text);
-      ServerEntry member;
-      std::getline(parts, member.id.address, ':');
+      ServerEntry server;
+      std::getline(parts, server.id.address, ':');
       std::getline(parts, rest, ':');
-      member.state = rest == "ready"      ? ServerState::ready
+      server.state = rest == "ready"      ? ServerState::ready
                      : rest == "draining" ? ServerState::draining
                                           : ServerState::gone;
-      parts >> member.started_at;
-      read.servers.push_back(member);
-    }
-    return read;
-  }
-  if (word == "op") {
-    RequestReceived op;
-    line >> op.request.number >> text >> op.request_class.number >> text >> op.remaining >> text >>
-        op.token_age;
-    return op;
-  }
-  if (word == "ended") {
-    AttemptCompleted ended;
-    line >> ended.request.number >> slash >> ended.attempt.number >> ended.server.address >> text >> rest;
-    ended.outcome = ending_of(text);
-    ended.request_completed = ended.outcome == AttemptOutcome::acknowledged;
-    ended.sample.role = role_of(rest);
-    if (!(line >> ended.sample.position)) {
-      ended.sample.position = -1;
-    }
-    if (!(line >> text >> ended.latency)) {
-      ended.latency = 40;
-    }
-    return ended;
-  }
-  if (word == "probed") {
-    ProbeCompleted ended;
-    line >> ended.server.address >> text >> ended.sample.position;
-    if (!(line >> rest >> ended.sample.utilization)) {
-      ended.sample.utilization = -1;
-    }
-    ended.answered = true;
-    ended.sample.role = role_of(text);
-    return ended;
-  }
-  if (word == "unprobed") {
-    ProbeCompleted ended;
-    line >> ended.server.address;
-    return ended;
-  }
-  if (word == "gone") {
-    RequestAbandoned gone;
-    line >> gone.request.number;
-    return gone;
-  }
-  if (word == "told") {
-    PeerMessageReceived spoke;
-    line >> spoke.text;
-    return spoke;
-  }
-  if (word == "among") {
-    FleetViewChanged among;
-    line >> text >> rest >> among.fleet_share;
+      parts >> server.started_at;
+      list.servers.push_back(server);
+    }
+    return list;
+  }
+  if (word == "request") {
+    RequestReceived received;
+    line >> received.request.number >> text >> received.request_class.number >> text >> received.remaining >>
+        text >> received.token_age;
+    return received;
+  }
+  if (word == "attempt-completed") {
+    AttemptCompleted completed;
+    line >> completed.request.number >> slash >> completed.attempt.number >> completed.server.address >>
+        text >> rest;
+    completed.outcome = parse_outcome(text);
+    completed.request_completed = completed.outcome == AttemptOutcome::acknowledged;
+    completed.sample.role = parse_role(rest);
+    if (!(line >> completed.sample.position)) {
+      completed.sample.position = -1;
+    }
+    if (!(line >> text >> completed.latency)) {
+      completed.latency = 40;
+    }
+    return completed;
+  }
+  if (word == "probe-answered") {
+    ProbeCompleted completed;
+    line >> completed.server.address >> text >> completed.sample.position;
+    if (!(line >> rest >> completed.sample.utilization)) {
+      completed.sample.utilization = -1;
+    }
+    completed.answered = true;
+    completed.sample.role = parse_role(text);
+    return completed;
+  }
+  if (word == "probe-failed") {
+    ProbeCompleted completed;
+    line >> completed.server.address;
+    return completed;
+  }
+  if (word == "request-abandoned") {
+    RequestAbandoned abandoned;
+    line >> abandoned.request.number;
+    return abandoned;
+  }
+  if (word == "peer-message") {
+    PeerMessageReceived message;
+    line >> message.text;
+    return message;
+  }
+  if (word == "fleet-view") {
+    FleetViewChanged view;
+    line >> text >> rest >> view.fleet_share;
     std::istringstream peers(text);
     for (std::string peer; std::getline(peers, peer, ',');) {
       if (peer != "none") {
-        among.alive_peers.insert(std::stoi(peer));
+        view.alive_peers.insert(std::stoi(peer));
       }
     }
     while (line >> text) {
-      (text == "no-writes" ? among.primary_only_allowed : among.reads_allowed) = false;
+      (text == "no-primary-only" ? view.primary_only_allowed : view.reads_allowed) = false;
     }
-    return among;
+    return view;
   }
-  if (word == "wake") {
+  if (word == "timer-expired") {
     return TimerExpired{};
   }
   throw std::runtime_error("unknown event " + word);
@@ -194,7 +208,7 @@
 
 int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
-  Settings values = usual();
+  Settings values = default_settings();
   std::unique_ptr<reedspindle::Router> router;
   for (std::string text; std::getline(file, text);) {
     if (text.starts_with("  ")) {
@@ -208,7 +222,7 @@
     if (word.empty() || word == "#") {
       continue;
     }
-    if (word == "given") {  // a value that differs from the usual: "given checks turns_away"
+    if (word == "setting") {  // replaces a default: "setting checks turns_away"
       line >> name >> word;
       if (word.find_first_not_of("0123456789.") == std::string::npos) {
         values[name] = std::stod(word);
@@ -218,20 +232,20 @@
       continue;
     }
     if (word == "view") {
-      print(router->view());
+      print_views(router->view());
       continue;
     }
     if (!router) {
       router = reedspindle::make_router(values, 7);
     }
-    if (word == "at") {  // "at 10000" settles what came before; events may follow on later lines
+    if (word == "process") {  // "process 10000" processes, at that time, the events of the lines before it
       double now = 0;
       line >> now;
       for (const auto& decision : router->process(now)) {
         std::visit(Printer{}, decision);
       }
     } else {
-      router->enqueue(event_of(line, word));
+      router->enqueue(parse_event(line, word));
     }
   }
 }
