--- a/tests/routing.cpp
+++ b/tests/routing.cpp
@@ -104,16 +104,15 @@
 // Reads an event from the rest of its line. One example of each kind:
 //   endpoints complete a:ready b:draining:9000 (address, state, start time)
 //   request 1 class 2 remaining 400 token-age 50
-//   attempt-completed 1/0 a acknowledged replica 9900 latency 40 (1/0: attempt 0 of request 1; the role and
-//   the
-//     position are those of the answer's sample; no sample: role "none" or "unknown", position absent or -1)
+//   attempt-completed 1/0 a acknowledged replica 9900 latency 40 (1/0: attempt 0 of request 1; role and
+//     position are those of the answer's sample; without one the role is "none" or "unknown", and the
+//     position absent or -1)
 //   probe-answered b replica 9950 utilization 0.5
 //   probe-failed b
 //   request-abandoned 1
 //   peer-message TEXT
-//   fleet-view 1,2 share 0.6 no-primary-only no-reads (live peers or "none", share of the fleet that shares
-//   common
-//     work, and what the instance may not send)
+//   fleet-view 1,2 share 0.6 no-primary-only no-reads (live peers or "none", the share of the fleet that
+//     takes part in common work, and what this instance may not send)
 //   timer-expired
 Event parse_event(std::istream& line, const std::string& word) {
   std::string text;
--- a/tests/routing_units/builders.hpp
+++ b/tests/routing_units/builders.hpp
@@ -1,4 +1,4 @@
-// What the unit tests of the decision module share: named checks, and small states to check against.
+// Shared by the unit tests of the router: named checks, and builders of small states to check.
 #pragma once
 
 #include <initializer_list>
@@ -17,35 +17,35 @@
 
 namespace reedspindle::routing::tests {
 
-inline int run = 0;
-inline int failed = 0;
+inline int tests_run = 0;
+inline int tests_failed = 0;
 
-// One test; its name says what is expected.
+// Checks one value. The name says what is expected, and is printed if the check fails.
 template <typename T>
-void expect(const char* name, const T& got, const std::type_identity_t<T>& wanted) {
-  ++run;
-  if (got == wanted) {
+void expect(const char* name, const T& actual, const std::type_identity_t<T>& expected) {
+  ++tests_run;
+  if (actual == expected) {
     return;
   }
-  ++failed;
+  ++tests_failed;
   std::cout << name;
-  if constexpr (requires { std::cout << got; }) {
-    std::cout << ": " << got << ", expected " << wanted;
+  if constexpr (requires { std::cout << actual; }) {
+    std::cout << ": " << actual << ", expected " << expected;
   }
   std::cout << '\n';
 }
 
-// Of sums of fractions, which are not exact.
-inline void expect_near(const char* name, double got, double wanted) {
-  const double difference = got > wanted ? got - wanted : wanted - got;
-  expect(name, difference < 1e-9 ? wanted : got, wanted);
+// Checks a number with a tolerance of 1e-9: sums of fractions are not exact.
+inline void expect_near(const char* name, double actual, double expected) {
+  const double difference = actual > expected ? actual - expected : expected - actual;
+  expect(name, difference < 1e-9 ? expected : actual, expected);
 }
 
 constexpr Millis kNow = 1000000;
 
-// The parts that others are built on.
-struct Parts {
-  explicit Parts(const Settings& settings = {}) : context(settings, 1) {
+// The components of the router that the tested ones depend on, at the time kNow.
+struct Components {
+  explicit Components(const Settings& settings = {}) : context(settings, 1) {
     context.now = kNow;
     context.started_at = kNow;
   }
@@ -59,8 +59,8 @@
   ProbeLeadership leadership{context, registry};
 };
 
-// A replica that was seen once.
-inline Server seen_server(Millis position, Millis seen_at) {
+// Returns a replica with a single sample.
+inline Server server_with_sample(Millis position, Millis seen_at) {
   Server server;
   server.applied_position = position;
   server.samples = {{position, seen_at}};
@@ -82,7 +82,7 @@
   return group;
 }
 
-// A file for each part.
+// The tests, with one source file for each component.
 void eligibility();
 void replica_state();
 void retry_budget();
--- a/tests/routing_units/main.cpp
+++ b/tests/routing_units/main.cpp
@@ -1,4 +1,4 @@
-// Short tests of the parts of the decision module. Prints the names of those that fail.
+// Unit tests of the components of the router. Prints the names of the tests that fail.
 #include "routing_units/builders.hpp"
 
 int main() {
@@ -14,6 +14,6 @@
   request_decisions();
   endpoint_polling();
   probe_leadership();
-  std::cout << run << " tests, " << failed << " failed\n";
-  return failed == 0 ? 0 : 1;
+  std::cout << tests_run << " tests, " << tests_failed << " failed\n";
+  return tests_failed == 0 ? 0 : 1;
 }
--- a/tests/routing_units/replica_state.cpp
+++ b/tests/routing_units/replica_state.cpp
@@ -1,4 +1,4 @@
-// Recording samples, and finding the primary from what servers say of themselves.
+// Tests how samples are recorded, and how the primary is determined from the roles that servers report.
 #include "routing/replica_state.hpp"
 
 #include <vector>
@@ -12,55 +12,55 @@
   Server server;
   server.probe_unanswered = true;
   record_sample(server, {Role::replica, kNow - 50, 0.4}, kNow, kNow);
-  expect("a sample shows the applied position", server.applied_position, kNow - 50);
-  expect("a sample ends the silence after a failed probe", server.probe_unanswered, false);
+  expect("a sample sets the applied position", server.applied_position, kNow - 50);
+  expect("a sample clears the mark of an unanswered probe", server.probe_unanswered, false);
   record_sample(server, {Role::replica, kNow - 80, -1}, kNow, kNow + 10);
-  expect("a position once shown holds", server.applied_position, kNow - 50);
-  expect("a sample that states no utilization leaves the last one", server.utilization_seen_at, kNow);
+  expect("an earlier position does not replace a later one", server.applied_position, kNow - 50);
+  expect("a sample without a utilization leaves the last one in place", server.utilization_seen_at, kNow);
   record_sample(server, {Role::replica, -1, -1}, kNow, kNow + 20);
-  expect("a sample that states no position is not kept", server.samples.size(), 2);
+  expect("a sample without a position is not kept", server.samples.size(), 2);
   for (int count = 0; count < 3; ++count) {
     record_sample(server, {Role::replica, kNow + count, -1}, kNow, kNow + 30 + count);
   }
-  expect("the last three positions are kept", server.samples.size(), 3);
+  expect("the last three samples are kept", server.samples.size(), 3);
   record_sample(server, {Role::primary, kNow + 200, -1}, kNow, kNow, true);
-  expect("a commit's position proves a millisecond less", server.applied_position, kNow + 199);
+  expect("the position of a commit proves one that is 1 ms earlier", server.applied_position, kNow + 199);
 }
 
 void primary() {
-  Server one;
-  Server other;
-  const Group group = group_of({&one, &other});
-  other.entry.primary = true;
-  expect("the listed primary counts where no server has spoken", primary_of(group), &other);
-  record_sample(one, {Role::primary}, kNow, kNow);
-  expect("a claim outweighs the list", primary_of(group), &one);
-  record_sample(other, {Role::primary}, kNow + 1, kNow + 1);
-  expect("the last claim wins", primary_of(group), &other);
-  record_sample(one, {Role::primary}, kNow - 5, kNow + 2);
-  expect("a claim of an earlier date, heard later, wins nothing", primary_of(group), &other);
-  record_sample(other, {Role::replica}, kNow + 3, kNow + 3);
-  expect("who has taken a claim back loses to an older claim", primary_of(group), &one);
-  record_sample(one, {Role::replica}, kNow + 4, kNow + 4);
-  expect("a listed primary that calls itself a replica is none", primary_of(group), nullptr);
+  Server first;
+  Server second;
+  const Group group = group_of({&first, &second});
+  second.entry.primary = true;
+  expect("the listed primary counts while no server has reported a role", primary_of(group), &second);
+  record_sample(first, {Role::primary}, kNow, kNow);
+  expect("a server that reports to be the primary outweighs the list", primary_of(group), &first);
+  record_sample(second, {Role::primary}, kNow + 1, kNow + 1);
+  expect("the latest claim to be the primary counts", primary_of(group), &second);
+  record_sample(first, {Role::primary}, kNow - 5, kNow + 2);
+  expect("a claim of an earlier date that arrives later does not count", primary_of(group), &second);
+  record_sample(second, {Role::replica}, kNow + 3, kNow + 3);
+  expect("a claim that was withdrawn loses to an older one", primary_of(group), &first);
+  record_sample(first, {Role::replica}, kNow + 4, kNow + 4);
+  expect("a listed primary that reports to be a replica is not the primary", primary_of(group), nullptr);
 }
 
 void order() {
   Group group;
-  Server low;
-  Server high;
-  Server same;
-  low.mark = 1;
-  high.mark = 2;
-  same.mark = 2;
-  high.entry.id = {"a"};
-  same.entry.id = {"b"};
-  for (Server* const server : {&same, &high, &low}) {
+  Server low_mark;
+  Server high_mark;
+  Server same_mark;
+  low_mark.mark = 1;
+  high_mark.mark = 2;
+  same_mark.mark = 2;
+  high_mark.entry.id = {"a"};
+  same_mark.entry.id = {"b"};
+  for (Server* const server : {&same_mark, &high_mark, &low_mark}) {
     server->group = &group;
     insert_into_group(*server);
   }
-  expect("the servers of a group are in the order of marks, then of ids", group.servers,
-         std::vector<Server*>{&low, &high, &same});
+  expect("the servers of a group are ordered by mark, then by id", group.servers,
+         std::vector<Server*>{&low_mark, &high_mark, &same_mark});
 }
 
 }  // namespace
--- a/tests/routing_units/request_decisions.cpp
+++ b/tests/routing_units/request_decisions.cpp
@@ -1,4 +1,4 @@
-// What becomes of a request, as the router decides it.
+// Tests the router's decisions on a request: start an attempt, wait, reject or fail.
 #include "routing/request_decisions.hpp"
 
 #include <memory>
@@ -11,10 +11,10 @@
 namespace reedspindle::routing::tests {
 namespace {
 
-// One class of writes, one server that is listed as the primary.
-class Routed {
+// A router with one request class, of writes, and at most two attempts per request.
+class TestRouter {
  public:
-  explicit Routed(const std::string& effect) {
+  explicit TestRouter(const std::string& effect) {
     router_ = make_router({{"op_types", 1.0},
                            {"op_type.0.needs", std::string("write")},
                            {"op_type.0.effect", effect},
@@ -25,7 +25,8 @@
                           1);
   }
 
-  // The last of its decisions on requests: "start", "reject", "fail"; none: it waits.
+  // Plays the events and returns the last decision on a request: "start", "reject" or "fail", or "wait" if
+  // there is none.
   std::string play(const std::vector<Event>& events, Millis now) {
     for (const Event& event : events) {
       router_->enqueue(event);
@@ -50,40 +51,46 @@
 const RequestReceived kRequest = {
     .request = {1}, .request_class = {}, .group = {}, .session = "a", .remaining = 1000};
 
-EndpointListReceived list_of_one() {
+// Returns a list of one server, the primary.
+EndpointListReceived list_with_primary() {
   ServerEntry entry;
   entry.id = {"primary"};
   entry.primary = true;
   return {EndpointListKind::complete, {entry}};
 }
 
-// After a first attempt that ended so.
-std::string second_step(const std::string& effect, AttemptOutcome outcome, Millis at) {
-  Routed routed(effect);
-  if (routed.play({list_of_one(), kRequest}, kNow) != "start") {
+// Returns the decision that follows a first attempt with the given outcome, completed at the given time.
+std::string decision_after_first_attempt(const std::string& effect, AttemptOutcome outcome, Millis at) {
+  TestRouter router(effect);
+  if (router.play({list_with_primary(), kRequest}, kNow) != "start") {
     return "not started";
   }
-  return routed.play({AttemptCompleted{{1}, {0}, {"primary"}, outcome, 10, false, {}}}, at);
+  return router.play({AttemptCompleted{{1}, {0}, {"primary"}, outcome, 10, false, {}}}, at);
 }
 
 }  // namespace
 
 void request_decisions() {
   using std::string;
-  Routed empty("retryable");
-  expect("a request waits while no server may have it", empty.play({kRequest}, kNow), string("wait"));
-  expect("it still waits before half of its time is over", empty.play({}, kNow + 480), string("wait"));
-  expect("nothing sent at half of its time, it is rejected", empty.play({}, kNow + 501), string("reject"));
+  TestRouter without_servers("retryable");
+  expect("a request waits while no server can take it", without_servers.play({kRequest}, kNow),
+         string("wait"));
+  expect("a request still waits before half of its time is over", without_servers.play({}, kNow + 480),
+         string("wait"));
+  expect("a request without an attempt is rejected at half of its time", without_servers.play({}, kNow + 501),
+         string("reject"));
 
-  const AttemptOutcome error = AttemptOutcome::failed;
-  expect("what may be repeated is sent again", second_step("retryable", error, kNow + 10), string("start"));
-  expect("what may have run and must not twice fails", second_step("once", error, kNow + 10), string("fail"));
-  expect("what has not run is sent again, whatever it is",
-         second_step("once", AttemptOutcome::not_sent, kNow + 10), string("start"));
-  expect("what may have run fails when its time is over, its token being its group's",
-         second_step("tokened", error, kNow + 1001), string("fail"));
-  expect("what may be repeated is rejected when its time is over",
-         second_step("retryable", error, kNow + 1001), string("reject"));
+  const AttemptOutcome failed = AttemptOutcome::failed;
+  expect("a retryable request that failed is sent again",
+         decision_after_first_attempt("retryable", failed, kNow + 10), string("start"));
+  expect("a request that may have run and must not run twice fails",
+         decision_after_first_attempt("once", failed, kNow + 10), string("fail"));
+  expect("a request that has not run is sent again even if it must not run twice",
+         decision_after_first_attempt("once", AttemptOutcome::not_sent, kNow + 10), string("start"));
+  expect("a request with a token of its group that may have run fails when its time is over",
+         decision_after_first_attempt("tokened", failed, kNow + 1001), string("fail"));
+  expect("a retryable request is rejected when its time is over",
+         decision_after_first_attempt("retryable", failed, kNow + 1001), string("reject"));
 }
 
 }  // namespace reedspindle::routing::tests
--- a/tests/routing_units/retry_budget.cpp
+++ b/tests/routing_units/retry_budget.cpp
@@ -1,4 +1,4 @@
-// The bucket of retries: the settings resends.share and resends.burst.
+// Tests the retry budget, which the settings resends.share (its ratio) and resends.burst define.
 #include "routing/retry_budget.hpp"
 
 #include "routing_units/builders.hpp"
@@ -22,23 +22,23 @@
 }  // namespace
 
 void retry_budget() {
-  RetryBudget spent(budget(0.5, 3));
-  record(spent, 2, true);
-  expect("the burst may be spent to the last retry", spent.permits_retry(), true);
-  record(spent, 1, true);
-  expect("no retry is permitted once the burst is spent", spent.permits_retry(), false);
-  record(spent, 1, false);
-  record(spent, 1, false);
-  expect("two first attempts at a ratio of a half earn a retry", spent.permits_retry(), true);
-
-  RetryBudget saved(budget(0.5, 1));
-  record(saved, 100, false);
-  record(saved, 1, true);
-  expect("no more than the burst is saved up", saved.permits_retry(), false);
-
-  RetryBudget none(budget(0, 1));
-  record(none, 100, true);
-  expect("without a ratio there is no budget to spend", none.permits_retry(), true);
+  RetryBudget used_up(budget(0.5, 3));
+  record(used_up, 2, true);
+  expect("the whole burst may be spent", used_up.permits_retry(), true);
+  record(used_up, 1, true);
+  expect("no retry is permitted once the burst is spent", used_up.permits_retry(), false);
+  record(used_up, 1, false);
+  record(used_up, 1, false);
+  expect("at a ratio of 0.5 two first attempts earn a retry", used_up.permits_retry(), true);
+
+  RetryBudget saved_up(budget(0.5, 1));
+  record(saved_up, 100, false);
+  record(saved_up, 1, true);
+  expect("the budget never holds more than the burst", saved_up.permits_retry(), false);
+
+  RetryBudget unlimited(budget(0, 1));
+  record(unlimited, 100, true);
+  expect("at a ratio of 0 retries are not limited", unlimited.permits_retry(), true);
 
   expect("the burst is shared among the instances",
          parse_router_options({{"instances", 4.0}, {"resends.burst", 20.0}}).retry_budget_burst, 5);
