--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -262,6 +262,7 @@
   std::multimap<Millis, Event> due_;
   std::map<RequestId, int> attempts_;
   std::uint64_t requests_ = 0;
+  // The fault 0 makes attempts time out, 1 resets their connections, with 2 connecting fails.
   int fault_ = 0, faulty_server_ = 0;
 };
 
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -1,5 +1,5 @@
-// Writes drawn messages of the membership, the shares, the accord and the samples, reads them whole, mutated
-// and cut, and prints a digest of the bytes and of what was read.
+// Encodes random messages of the membership, quota and consistency protocols and random gossiped samples,
+// decodes them whole, mutated and cut off, and prints a digest of the bytes and of what was decoded.
 #include <algorithm>
 #include <optional>
 
@@ -16,127 +16,129 @@
 
 class Sequence {
  public:
-  Sequence(unsigned seed, bool prints) : draws_(seed), digest_(prints) {}
+  Sequence(unsigned seed, bool print_lines) : random_(seed), digest_(print_lines) {}
   std::string play() {
     for (int number = 0; number < kMessages; ++number) {
-      play(membership_bytes());
-      play(shares_bytes());
-      play(accord_bytes());
-      samples();
+      add_message(membership_bytes());
+      add_message(quota_bytes());
+      add_message(consistency_bytes());
+      add_samples();
     }
     for (int number = 0; number < kMessages; ++number) {
-      const char letter[] = {'M', 'm', 'S', 's', 'A', 'a', '{', '1'};
-      std::string bytes(1, letter[draws_.below(8)]);
-      bytes += draws_.bytes(draws_.below(20));
-      read(bytes);
+      const char first_bytes[] = {'M', 'm', 'S', 's', 'A', 'a', '{', '1'};
+      std::string bytes(1, first_bytes[random_.below(8)]);
+      bytes += random_.bytes(random_.below(20));
+      decode_all(bytes);
     }
     return digest_.text();
   }
 
  private:
-  std::uint32_t number(int below) { return static_cast<std::uint32_t>(draws_.below(below)); }
-  int place() { return draws_.one_in(9) ? draws_.below(70000) : draws_.below(30); }
-  std::string name() {
-    std::string name = fmt::format("front-{}", draws_.below(100));
-    if (draws_.one_in(10)) {
-      name += std::string(static_cast<std::size_t>(draws_.below(40)), 'x');
+  std::uint32_t random_number(int below) { return static_cast<std::uint32_t>(random_.below(below)); }
+  int random_slot() { return random_.one_in(9) ? random_.below(70000) : random_.below(30); }
+  std::string random_name() {
+    std::string name = fmt::format("front-{}", random_.below(100));
+    if (random_.one_in(10)) {
+      name += std::string(static_cast<std::size_t>(random_.below(40)), 'x');
     }
     return name;
   }
 
   std::string membership_bytes() {
     membership::Message message;
-    message.kind = static_cast<membership::Kind>(draws_.below(7));
-    message.sequence = number(2000000000);
-    message.name = name();
-    message.slot = {place()};
-    message.incarnation = {1767225600000U + number(100000)};
-    message.started_at = 1767225600000U + number(100000);
-    message.leaving = draws_.one_in(4);
-    message.is_reply = draws_.one_in(4);
-    message.target = {place()};
-    message.range = {draws_.below(4), number(4096)};
+    message.kind = static_cast<membership::Kind>(random_.below(7));
+    message.sequence = random_number(2000000000);
+    message.name = random_name();
+    message.slot = {random_slot()};
+    message.incarnation = {1767225600000U + random_number(100000)};
+    message.started_at = 1767225600000U + random_number(100000);
+    message.leaving = random_.one_in(4);
+    message.is_reply = random_.one_in(4);
+    message.target = {random_slot()};
+    message.range = {random_.below(4), random_number(4096)};
     if (message.kind == membership::Kind::digest) {
       for (int part = 0; part < membership::kDigestFanOut; ++part) {
-        message.digests.push_back(number(2000000000));
+        message.digests.push_back(random_number(2000000000));
       }
     }
-    const int words = draws_.below(12);
-    for (int update = 0; update < words; ++update) {
+    const int update_count = random_.below(12);
+    for (int update = 0; update < update_count; ++update) {
       membership::GossipUpdate one;
-      one.name = name();
-      one.slot = {place()};
-      one.state = static_cast<membership::PeerState>(draws_.below(4));
-      one.incarnation = {1767225600000U + number(100000)};
-      one.suspected_by = {draws_.between(-1, 20)};
+      one.name = random_name();
+      one.slot = {random_slot()};
+      one.state = static_cast<membership::PeerState>(random_.below(4));
+      one.incarnation = {1767225600000U + random_number(100000)};
+      one.suspected_by = {random_.between(-1, 20)};
       message.updates.push_back(one);
     }
-    std::size_t told = 0;
-    const std::string bytes = membership::encode(message, told);
-    digest_.add(fmt::format("told {} of {}", told, words));
+    std::size_t encoded_updates = 0;
+    const std::string bytes = membership::encode(message, encoded_updates);
+    digest_.add(fmt::format("told {} of {}", encoded_updates, update_count));
     return bytes;
   }
-  std::string shares_bytes() {
+  std::string quota_bytes() {
     quota::Message message;
-    message.kind = static_cast<quota::Kind>(draws_.below(7));
-    message.number = number(2000000000);
-    message.in_reply_to = number(2000000000);
-    message.slot = {place()};
-    message.incarnation = {number(2000000000)};
-    message.options_hash = number(2000000000);
-    message.is_holder = draws_.one_in(2);
-    message.granted = draws_.one_in(2);
-    message.warming_up = draws_.one_in(2);
-    message.restores_slot = draws_.one_in(2);
-    message.shortage = draws_.one_in(2);
-    message.wanted = draws_.below(9000);
-    message.lent = draws_.below(9000);
-    message.amount = draws_.below(9000);
-    message.valid_for = 0.25 * draws_.below(9000);
+    message.kind = static_cast<quota::Kind>(random_.below(7));
+    message.number = random_number(2000000000);
+    message.in_reply_to = random_number(2000000000);
+    message.slot = {random_slot()};
+    message.incarnation = {random_number(2000000000)};
+    message.options_hash = random_number(2000000000);
+    message.is_holder = random_.one_in(2);
+    message.granted = random_.one_in(2);
+    message.warming_up = random_.one_in(2);
+    message.restores_slot = random_.one_in(2);
+    message.shortage = random_.one_in(2);
+    message.wanted = random_.below(9000);
+    message.lent = random_.below(9000);
+    message.amount = random_.below(9000);
+    message.valid_for = 0.25 * random_.below(9000);
     return quota::encode(message);
   }
-  std::string accord_bytes() {
+  std::string consistency_bytes() {
     consistency::Message message;
-    message.kind = static_cast<consistency::Kind>(draws_.below(4));
-    message.number = number(2000000000);
-    message.slot = {place()};
+    message.kind = static_cast<consistency::Kind>(random_.below(4));
+    message.number = random_number(2000000000);
+    message.slot = {random_slot()};
     for (std::uint32_t& sum : message.digest.sums) {
-      sum = number(2000000000);
+      sum = random_number(2000000000);
     }
-    message.digest.revision = number(1000000);
-    message.discovery_age = draws_.one_in(2) ? -1 : draws_.below(90000);
-    const int marks = draws_.one_in(3) ? draws_.below(41) : 0;
+    message.digest.revision = random_number(1000000);
+    message.discovery_age = random_.one_in(2) ? -1 : random_.below(90000);
+    const int marks = random_.one_in(3) ? random_.below(41) : 0;
     for (int mark = 0; mark < marks; ++mark) {
-      message.marks.push_back(number(1 << 24));
+      message.marks.push_back(random_number(1 << 24));
     }
     return consistency::encode(message);
   }
 
-  void play(const std::string& bytes) {
+  // Decodes a message whole, mutated and cut off.
+  void add_message(const std::string& bytes) {
     digest_.add(digests::hex(bytes));
-    read(bytes);
-    read(draws_.mutated(bytes));
-    read(bytes.substr(0, static_cast<std::size_t>(draws_.below(static_cast<int>(bytes.size())))));
+    decode_all(bytes);
+    decode_all(random_.mutated(bytes));
+    decode_all(bytes.substr(0, static_cast<std::size_t>(random_.below(static_cast<int>(bytes.size())))));
   }
-  void read(const std::string& bytes) {
+  // Lets each protocol decode the bytes, and adds what it read.
+  void decode_all(const std::string& bytes) {
     digest_.comment(digests::hex(bytes));
     digest_.add(fmt::format("for {} {} {}", membership::is_membership_message(bytes),
                             quota::is_quota_message(bytes), consistency::is_consistency_message(bytes)));
-    const auto fellow = membership::decode(bytes);
-    if (fellow) {
-      add(*fellow);
+    const auto membership_message = membership::decode(bytes);
+    if (membership_message) {
+      add(*membership_message);
     }
-    const auto share = quota::decode(bytes);
-    if (share) {
-      add(*share);
+    const auto quota_message = quota::decode(bytes);
+    if (quota_message) {
+      add(*quota_message);
     }
-    const auto question = quota::decode_liveness_query(bytes);
-    if (question) {
-      digest_.add(fmt::format("question {}", *question));
+    const auto liveness_query = quota::decode_liveness_query(bytes);
+    if (liveness_query) {
+      digest_.add(fmt::format("question {}", *liveness_query));
     }
-    const auto account = consistency::decode(bytes);
-    if (account) {
-      add(*account);
+    const auto consistency_message = consistency::decode(bytes);
+    if (consistency_message) {
+      add(*consistency_message);
     }
   }
   void add(const membership::Message& message) {
@@ -169,39 +171,40 @@
     }
   }
 
-  void samples() {
-    const Millis now = 1767225600000 + draws_.below(1000000);
-    std::vector<GossipedSample> told;
-    const int count = draws_.below(45);
+  // Encodes random samples and decodes them whole and mutated.
+  void add_samples() {
+    const Millis now = 1767225600000 + random_.below(1000000);
+    std::vector<GossipedSample> samples;
+    const int count = random_.below(45);
     for (int sample = 0; sample < count; ++sample) {
       GossipedSample one;
-      one.mark = mark_of({fmt::format("m{}", draws_.below(1000))});
-      one.sample.role = static_cast<Role>(draws_.below(3));
-      one.sample.position = draws_.one_in(5) ? -1 : now - draws_.below(9000);
-      one.sample.utilization = draws_.one_in(5) ? -1 : 0.01 * draws_.below(101);
-      told.push_back(one);
+      one.mark = mark_of({fmt::format("m{}", random_.below(1000))});
+      one.sample.role = static_cast<Role>(random_.below(3));
+      one.sample.position = random_.one_in(5) ? -1 : now - random_.below(9000);
+      one.sample.utilization = random_.one_in(5) ? -1 : 0.01 * random_.below(101);
+      samples.push_back(one);
     }
-    const std::string text = text_of(now, told);
+    const std::string text = text_of(now, samples);
     digest_.add(text);
-    add(decode_samples(text, now + draws_.below(100)));
-    const std::string mutated = draws_.mutated(text);
-    add(decode_samples(mutated, now + draws_.below(100)));
+    add(decode_samples(text, now + random_.below(100)));
+    const std::string mutated = random_.mutated(text);
+    add(decode_samples(mutated, now + random_.below(100)));
   }
-  void add(const std::optional<SampleGossip>& read) {
-    if (!read) {
+  void add(const std::optional<SampleGossip>& gossip) {
+    if (!gossip) {
       return digest_.add("no samples");
     }
-    digest_.add(fmt::format("samples of {:.3f}", read->then));
-    for (const GossipedSample& one : read->samples) {
+    digest_.add(fmt::format("samples of {:.3f}", gossip->then));
+    for (const GossipedSample& one : gossip->samples) {
       digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.sample.role),
                               one.sample.position, one.sample.utilization));
     }
   }
 
-  digests::Draws draws_;
+  digests::RandomSource random_;
   digests::Digest digest_;
 };
 
 }  // namespace
 
-int main(int count, char** words) { digests::play_seeds<Sequence>(count, words, 4); }
+int main(int argument_count, char** arguments) { digests::run_seeds<Sequence>(argument_count, arguments, 4); }
--- a/tests/digests/control.cpp
+++ b/tests/digests/control.cpp
@@ -1,5 +1,6 @@
-// Plays drawn lists, views and streams of proxies to the control service's modules that are free of I/O, and
-// prints a digest of what they decide. Reasons are left out: whether there is one is told.
+// Plays random endpoint lists, views and xDS streams of proxies to the modules of the control service that
+// are free of I/O, and prints a digest of their decisions. Of the reason for closing a stream the digest
+// contains only whether it is empty.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -9,49 +10,52 @@
 #include "control/resource_snapshot.hpp"
 #include "control/subscriptions.hpp"
 #include "digest.hpp"
-#include "drawn_members.hpp"
+#include "random_registry.hpp"
 
 namespace {
 using namespace reedspindle;
 using namespace reedspindle::control;
-using digests::DrawnMembers;
+using digests::RandomRegistry;
 
-constexpr int kTurns = 800;
-constexpr int kGroups = DrawnMembers::kGroups;
+constexpr int kSteps = 800;
+constexpr int kGroups = RandomRegistry::kGroups;
 constexpr int kStreams = 6;
 
 class Sequence {
  public:
-  Sequence(unsigned seed, bool prints) : draws_(seed), digest_(prints), members_(draws_, digest_) { start(); }
+  Sequence(unsigned seed, bool print_lines)
+      : random_(seed), digest_(print_lines), registry_(random_, digest_) {
+    start();
+  }
 
   std::string play() {
-    for (int turn = 0; turn < kTurns; ++turn) {
-      now_ += draws_.below(draws_.one_in(100) ? 20000 : 400);
-      digest_.comment(fmt::format("turn {} at {}", turn, now_));
-      if (draws_.one_in(4)) {
-        members_.list(now_);
+    for (int step = 0; step < kSteps; ++step) {
+      now_ += random_.below(random_.one_in(100) ? 20000 : 400);
+      digest_.comment(fmt::format("step {} at {}", step, now_));
+      if (random_.one_in(4)) {
+        registry_.apply_random_list(now_);
       }
-      if (draws_.one_in(400)) {
+      if (random_.one_in(400)) {
         restart();
       }
-      const int events = draws_.below(4);
+      const int events = random_.below(4);
       for (int event = 0; event < events; ++event) {
-        stream_event();
+        add_random_stream_event();
       }
-      const std::set<ClientCapabilities> wanted = subscriptions_->capabilities();
+      const std::set<ClientCapabilities> requested_capabilities = subscriptions_->capabilities();
       const auto snapshots =
-          snapshot_builder_->build(members_.views(now_), members_.registry(), wanted, now_);
+          snapshot_builder_->build(registry_.views(now_), registry_.registry(), requested_capabilities, now_);
       for (const auto& [capabilities, snapshot] : snapshots) {
         add(capabilities, *snapshot);
       }
       subscriptions_->update_snapshots(snapshots);
-      for (const StreamAction& act : subscriptions_->collect_actions(now_)) {
-        std::visit([this](const auto& one) { add(one); }, act);
+      for (const StreamAction& action : subscriptions_->collect_actions(now_)) {
+        std::visit([this](const auto& one) { add(one); }, action);
       }
       digest_.add(fmt::format("due {:.3f} of {} {}", subscriptions_->next_deadline().value_or(-1),
                               subscriptions_->size(), snapshot_builder_->ready()));
     }
-    members_.add();
+    registry_.add_state();
     const Subscriptions::Counts& counts = subscriptions_->counts();
     digest_.add(fmt::format("{} {} {} {} {} {}", counts.responses, counts.urgent, counts.acknowledged,
                             counts.rejected, counts.stale_nonces, counts.ended));
@@ -59,15 +63,16 @@
   }
 
  private:
-  struct Asked {
+  // What the client of a stream has subscribed to, and the responses that it has yet to acknowledge.
+  struct ClientState {
     ProtocolVariant variant = ProtocolVariant::state_of_the_world;
     std::map<ResourceType, std::string> version;
     std::map<ResourceType, std::vector<std::string>> names;
-    std::deque<std::pair<ResourceType, std::string>> unanswered;
+    std::deque<std::pair<ResourceType, std::string>> unacknowledged;
   };
 
   void start() {
-    members_.start();
+    registry_.reset();
     snapshot_builder_ = std::make_unique<SnapshotBuilder>(
         std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
                                         {"browse", RoutedRequestClass::Needs::bounded, 1500},
@@ -79,22 +84,22 @@
     bounds.names = 24;
     bounds.name_length = 40;
     subscriptions_ = std::make_unique<Subscriptions>(bounds, fmt::format("service-{}", epoch_ % 2), epoch_);
-    asked_.clear();
+    clients_.clear();
   }
   void restart() {
-    const std::string text = text_of(members_.registry().persisted_state());
+    const std::string text = text_of(registry_.registry().persisted_state());
     ++epoch_;
     start();
-    if (!draws_.one_in(4)) {
-      members_.restore(text);
+    if (!random_.one_in(4)) {
+      registry_.restore(text);
     }
   }
 
-  std::string name() {
+  std::string random_name() {
     const char* const types[] = {"save", "browse", "own", "report"};
-    const int kind = draws_.below(6);
-    const int group = draws_.below(kGroups + 1);
-    const int type = draws_.below(4);
+    const int kind = random_.below(6);
+    const int group = random_.below(kGroups + 1);
+    const int type = random_.below(4);
     if (kind == 0) {
       return kRoutes;
     }
@@ -104,93 +109,94 @@
     if (kind == 2) {
       return fmt::format("absent-{}", group);
     }
-    if (!seen_.empty() && kind < 5) {
-      return seen_[static_cast<std::size_t>(draws_.below(static_cast<int>(seen_.size())))];
+    if (!resource_names_.empty() && kind < 5) {
+      return resource_names_[static_cast<std::size_t>(
+          random_.below(static_cast<int>(resource_names_.size())))];
     }
-    return draws_.one_in(60) ? std::string(50, 'x') : fmt::format("{}-{}", types[type], group);
+    return random_.one_in(60) ? std::string(50, 'x') : fmt::format("{}-{}", types[type], group);
   }
-  void stream_event() {
-    const StreamId id{static_cast<std::uint64_t>(draws_.between(1, kStreams))};
-    const auto found = asked_.find(id);
-    if (found == asked_.end()) {
-      return open(id);
+  void add_random_stream_event() {
+    const StreamId id{static_cast<std::uint64_t>(random_.between(1, kStreams))};
+    const auto found = clients_.find(id);
+    if (found == clients_.end()) {
+      return open_stream(id);
     }
-    const int kind = draws_.below(40);
+    const int kind = random_.below(40);
     if (kind == 0) {
       subscriptions_->close_stream(id);
-      asked_.erase(found);
+      clients_.erase(found);
     } else if (kind < 14) {
-      ask(id, found->second);
+      send_subscription(id, found->second);
     } else if (kind < 30) {
-      answer(id, found->second);
+      send_acknowledgement(id, found->second);
     } else {
       subscriptions_->on_response_sent(id);
     }
   }
-  void open(StreamId id) {
+  void open_stream(StreamId id) {
     ClientCapabilities capabilities;
-    capabilities.expiry = static_cast<Expiry>(draws_.below(3));
-    capabilities.uses_weights = draws_.one_in(2);
-    capabilities.checks_session_tokens = draws_.one_in(3);
-    capabilities.legacy_matchers = draws_.one_in(3);
-    const ProtocolVariant variant = static_cast<ProtocolVariant>(draws_.below(2));
+    capabilities.expiry = static_cast<Expiry>(random_.below(3));
+    capabilities.uses_weights = random_.one_in(2);
+    capabilities.checks_session_tokens = random_.one_in(3);
+    capabilities.legacy_matchers = random_.one_in(3);
+    const ProtocolVariant variant = static_cast<ProtocolVariant>(random_.below(2));
     const bool opened = subscriptions_->open_stream(id, variant, capabilities, now_);
     digest_.add(fmt::format("open {} {} {}", id.number, static_cast<int>(variant), opened));
     if (!opened) {
       return;
     }
-    asked_[id] = Asked{variant, {}, {}, {}};
+    clients_[id] = ClientState{variant, {}, {}, {}};
   }
-  void ask(StreamId id, Asked& asked) {
+  void send_subscription(StreamId id, ClientState& client) {
     SubscriptionRequest request;
-    request.type = static_cast<ResourceType>(draws_.below(static_cast<int>(kResourceTypes)));
-    const int names = draws_.below(5);
+    request.type = static_cast<ResourceType>(random_.below(static_cast<int>(kResourceTypes)));
+    const int names = random_.below(5);
     for (int number = 0; number < names; ++number) {
-      request.names.push_back(name());
+      request.names.push_back(random_name());
     }
-    if (asked.variant == ProtocolVariant::state_of_the_world) {
-      asked.names[request.type] = request.names;
-      request.version = asked.version[request.type];
+    if (client.variant == ProtocolVariant::state_of_the_world) {
+      client.names[request.type] = request.names;
+      request.version = client.version[request.type];
     } else {
-      if (draws_.one_in(4)) {
-        request.unsubscribed.push_back(name());
+      if (random_.one_in(4)) {
+        request.unsubscribed.push_back(random_name());
       }
-      if (draws_.one_in(6)) {
-        const std::string held = name();
-        request.known_versions[held] = text_of(version());
+      if (random_.one_in(6)) {
+        const std::string known_name = random_name();
+        request.known_versions[known_name] = text_of(random_version());
       }
     }
     subscriptions_->on_request(id, request, now_);
   }
-  Version version() {
+  Version random_version() {
     Version version;
-    version.revision = members_.told() + draws_.between(-3, 1);
-    version.epoch = static_cast<std::uint64_t>(draws_.below(4));
-    version.change = static_cast<std::uint64_t>(draws_.below(400));
-    version.service = fmt::format("service-{}", draws_.below(2));
-    const std::string text = draws_.mutated(text_of(version));
+    version.revision = registry_.revision() + random_.between(-3, 1);
+    version.epoch = static_cast<std::uint64_t>(random_.below(4));
+    version.change = static_cast<std::uint64_t>(random_.below(400));
+    version.service = fmt::format("service-{}", random_.below(2));
+    const std::string text = random_.mutated(text_of(version));
     const auto read = parse_version(text);
     digest_.add(fmt::format("{} reads {}", digests::hex(text), read ? text_of(*read) : "not"));
     return version;
   }
-  void answer(StreamId id, Asked& asked) {
-    if (asked.unanswered.empty()) {
+  void send_acknowledgement(StreamId id, ClientState& client) {
+    if (client.unacknowledged.empty()) {
       return;
     }
     SubscriptionRequest request;
-    request.type = asked.unanswered.front().first;
-    request.nonce = asked.unanswered.front().second;
-    if (!draws_.one_in(12)) {
-      asked.unanswered.pop_front();
+    request.type = client.unacknowledged.front().first;
+    request.nonce = client.unacknowledged.front().second;
+    if (!random_.one_in(12)) {
+      client.unacknowledged.pop_front();
     }
-    if (asked.variant == ProtocolVariant::state_of_the_world) {
-      request.names = asked.names[request.type];
+    if (client.variant == ProtocolVariant::state_of_the_world) {
+      request.names = client.names[request.type];
     }
-    request.version = asked.version[request.type];
-    if (draws_.one_in(12)) {
+    request.version = client.version[request.type];
+    if (random_.one_in(12)) {
       request.rejection_reason = "no";
     }
-    if (draws_.one_in(30)) {
+    if (random_.one_in(30)) {
       request.nonce = "n0";
     }
     subscriptions_->on_request(id, request, now_);
@@ -206,16 +212,18 @@
     }
     for (std::size_t kind = 0; kind < kResourceTypes; ++kind) {
       digest_.add(fmt::format("kind {} {}", kind, snapshot.versions[kind]));
-      for (const auto& [name, held] : snapshot.resources[kind]) {
-        if (!known_.insert({epoch_, held->version}).second) {
+      for (const auto& [name, resource] : snapshot.resources[kind]) {
+        if (!added_versions_.insert({epoch_, resource->version}).second) {
           continue;
         }
-        if (seen_.size() < 40 && std::ranges::find(seen_, name) == seen_.end()) {
-          seen_.push_back(name);
+        if (resource_names_.size() < 40 &&
+            std::ranges::find(resource_names_, name) == resource_names_.end()) {
+          resource_names_.push_back(name);
         }
-        digest_.add(fmt::format("{} {} {} {} {:.3f} {:.3f}", name, held->version, held->last_revocation,
-                                held->revision, held->built_at, held->valid_until));
-        std::visit([this](const auto& body) { add(body); }, held->body);
+        digest_.add(fmt::format("{} {} {} {} {:.3f} {:.3f}", name, resource->version,
+                                resource->last_revocation, resource->revision, resource->built_at,
+                                resource->valid_until));
+        std::visit([this](const auto& body) { add(body); }, resource->body);
       }
     }
   }
@@ -250,29 +258,29 @@
     for (const std::string& name : response.removed) {
       digest_.add("removed " + name);
     }
-    Asked& asked = asked_[response.stream];
-    asked.version[response.type] = response.version;
-    asked.unanswered.emplace_back(response.type, response.nonce);
+    ClientState& client = clients_[response.stream];
+    client.version[response.type] = response.version;
+    client.unacknowledged.emplace_back(response.type, response.nonce);
   }
-  void add(const StreamToClose& end) {
-    digest_.add(fmt::format("end {} {}", end.stream.number, end.why.empty()));
-    subscriptions_->close_stream(end.stream);
-    asked_.erase(end.stream);
+  void add(const StreamToClose& closure) {
+    digest_.add(fmt::format("end {} {}", closure.stream.number, closure.why.empty()));
+    subscriptions_->close_stream(closure.stream);
+    clients_.erase(closure.stream);
   }
   void add(const OperatorNotice& notice) { digest_.add(fmt::format("notice {}", notice.stream.number)); }
 
-  digests::Draws draws_;
+  digests::RandomSource random_;
   digests::Digest digest_;
   Millis now_ = 1767225600000;
   std::uint64_t epoch_ = 1;
-  DrawnMembers members_;
+  RandomRegistry registry_;
   std::unique_ptr<SnapshotBuilder> snapshot_builder_;
   std::unique_ptr<Subscriptions> subscriptions_;
-  std::map<StreamId, Asked> asked_;
-  std::set<std::pair<std::uint64_t, std::uint64_t>> known_;
-  std::vector<std::string> seen_;
+  std::map<StreamId, ClientState> clients_;
+  std::set<std::pair<std::uint64_t, std::uint64_t>> added_versions_;
+  std::vector<std::string> resource_names_;
 };
 
 }  // namespace
 
-int main(int count, char** words) { digests::play_seeds<Sequence>(count, words, 4); }
+int main(int argument_count, char** arguments) { digests::run_seeds<Sequence>(argument_count, arguments, 4); }
--- a/tests/digests/digest.hpp
+++ b/tests/digests/digest.hpp
@@ -1,4 +1,5 @@
-// What the digest programs share: a sum over lines of text, and draws that are the same on every machine.
+// Shared by the digest programs: a hash over lines of text, and random numbers that are the same on every
+// machine.
 #pragma once
 
 #include <fmt/format.h>
@@ -11,24 +12,27 @@
 
 namespace reedspindle::digests {
 
+// A hash over lines of text, and their number.
 class Digest {
  public:
-  // Also prints what it is made of: to find the first line in which two versions differ.
-  explicit Digest(bool prints) : prints_(prints) {}
+  // print_lines: also prints each line, to find the first one in which two versions differ.
+  explicit Digest(bool print_lines) : print_lines_(print_lines) {}
   void add(const std::string& text) {
-    if (prints_) std::cout << text << '\n';
-    for (const char letter : text) sum_ = (sum_ ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
-    ++count_;
+    if (print_lines_) std::cout << text << '\n';
+    for (const char character : text)
+      hash_ = (hash_ ^ static_cast<unsigned char>(character)) * 1099511628211ull;
+    ++lines_;
   }
+  // Prints a line that is not part of the digest.
   void comment(const std::string& text) const {
-    if (prints_) std::cout << "# " << text << '\n';
+    if (print_lines_) std::cout << "# " << text << '\n';
   }
-  std::string text() const { return fmt::format("{:016x} of {}", sum_, count_); }
+  std::string text() const { return fmt::format("{:016x} of {}", hash_, lines_); }
 
  private:
-  std::uint64_t sum_ = 1469598103934665603ull;  // FNV-1a
-  int count_ = 0;
-  const bool prints_;
+  std::uint64_t hash_ = 1469598103934665603ull;  // FNV-1a
+  int lines_ = 0;
+  const bool print_lines_;
 };
 
 inline std::string hex(std::string_view bytes) {
@@ -37,11 +41,12 @@
   return text;
 }
 
-// Whole numbers only. A caller must not draw twice in one call's arguments: their order is not defined.
-class Draws {
+// Random integers and bytes by seed. Callers must not draw twice within the arguments of one call: the order
+// in which arguments are evaluated is not defined.
+class RandomSource {
  public:
-  explicit Draws(unsigned seed) : random_(seed * 2654435761u % 2147483646u + 1) {}
-  int below(int bound) { return static_cast<int>(random_() % static_cast<unsigned>(bound)); }
+  explicit RandomSource(unsigned seed) : engine_(seed * 2654435761u % 2147483646u + 1) {}
+  int below(int bound) { return static_cast<int>(engine_() % static_cast<unsigned>(bound)); }
   int between(int first, int last) { return first + below(last - first + 1); }
   bool one_in(int number) { return below(number) == 0; }
   std::string bytes(int count) {
@@ -49,10 +54,11 @@
     for (int i = 0; i < count; ++i) text += static_cast<char>(below(256));
     return text;
   }
-  // The text with a byte changed, cut out, or put in, its end lost, or as it is.
+  // Returns the text after up to three random changes: a byte replaced, inserted or removed, a bit flipped,
+  // or the end cut off.
   std::string mutated(std::string text) {
-    const int times = between(0, 3);
-    for (int i = 0; i < times && !text.empty(); ++i) {
+    const int changes = between(0, 3);
+    for (int i = 0; i < changes && !text.empty(); ++i) {
       const auto at = static_cast<std::size_t>(below(static_cast<int>(text.size())));
       const int kind = below(5);
       if (kind == 0) text[at] = static_cast<char>(below(256));
@@ -65,17 +71,19 @@
   }
 
  private:
-  std::minstd_rand random_;
+  std::minstd_rand engine_;
 };
 
-// PROGRAM [SEEDS]: a digest a seed. PROGRAM SEED lines: what that seed's digest is made of. The played
-// sequence is a class with a constructor from seed and whether it prints, and with play().
+// Runs a digest program. "PROGRAM [SEEDS]" prints a digest for each seed from 1 to SEEDS, "PROGRAM SEED
+// lines" the digest of that seed and the lines that it is made of. Sequence has a constructor from the seed
+// and whether lines are printed, and play(), which returns the digest.
 template <typename Sequence>
-void play_seeds(int count, char** words, unsigned seeds) {
-  const unsigned number = count > 1 ? static_cast<unsigned>(std::stoul(words[1])) : seeds;
-  const bool prints = count > 2;
-  for (unsigned seed = prints ? number : 1; seed <= number; ++seed) {
-    Sequence sequence(seed, prints);
+void run_seeds(int argument_count, char** arguments, unsigned default_seeds) {
+  const unsigned number =
+      argument_count > 1 ? static_cast<unsigned>(std::stoul(arguments[1])) : default_seeds;
+  const bool print_lines = argument_count > 2;
+  for (unsigned seed = print_lines ? number : 1; seed <= number; ++seed) {
+    Sequence sequence(seed, print_lines);
     std::cout << seed << ' ' << sequence.play() << '\n';
   }
 }
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -1,4 +1,5 @@
-// Plays five fronts' membership in a drawn network and prints a digest of all decisions and views.
+// Runs the membership protocol of five instances in a simulated network with faults, and prints a digest of
+// all decisions and views.
 #include "membership/membership.hpp"
 
 #include <variant>
@@ -11,90 +12,92 @@
 
 class Sequence : public digests::Network<Membership> {
  public:
-  Sequence(unsigned seed, bool prints) : Network(seed, prints), odd_(seed % 2 == 1) {}
+  Sequence(unsigned seed, bool print_lines) : Network(seed, print_lines), odd_seed_(seed % 2 == 1) {}
   std::string play() { return Network::play(30000); }
 
  private:
-  std::unique_ptr<Membership> make(int front) override {
+  std::unique_ptr<Membership> make_core(int slot) override {
     Options options;
-    options.name = fmt::format("n{}", front);
-    if (draws.one_in(10)) {
-      options.name = fmt::format("n{}", draws.below(kFronts));
+    options.name = fmt::format("n{}", slot);
+    if (random.one_in(10)) {
+      options.name = fmt::format("n{}", random.below(kInstances));
     }
-    options.slot = {front};
-    options.slots = kFronts + (odd_ ? 2 : 0);
-    options.forget = odd_ ? 20000 : 60000;
-    if (odd_) {
+    options.slot = {slot};
+    options.slots = kInstances + (odd_seed_ ? 2 : 0);
+    options.forget = odd_seed_ ? 20000 : 60000;
+    if (odd_seed_) {
       options.pace = 300;
     }
-    return make_membership(options, static_cast<std::uint64_t>(draws.below(1000000)));
+    return make_membership(options, static_cast<std::uint64_t>(random.below(1000000)));
   }
-  void heard(int front, int from, const std::string& bytes) override {
-    at(front).core->enqueue(DatagramReceived{{from}, bytes});
+  void receive(int slot, int from, const std::string& bytes) override {
+    instance_at(slot).core->enqueue(DatagramReceived{{from}, bytes});
   }
-  void happen(int front) override {
-    if (draws.one_in(400)) {
-      at(front).core->enqueue(Leaving{});
-    } else if (draws.one_in(30)) {
-      at(front).core->enqueue(SlotCountChanged{draws.between(kFronts - 1, kFronts + 3)});
+  void add_random_event(int slot) override {
+    if (random.one_in(400)) {
+      instance_at(slot).core->enqueue(Leaving{});
+    } else if (random.one_in(30)) {
+      instance_at(slot).core->enqueue(SlotCountChanged{random.between(kInstances - 1, kInstances + 3)});
     } else {
       return;
     }
-    touch(front);
+    mark_event(slot);
   }
-  std::string foreign(int front) override {
+  std::string forged_message(int slot) override {
     Message message;
-    message.kind = static_cast<Kind>(draws.below(7));
-    message.sequence = static_cast<std::uint32_t>(draws.below(200));
-    message.name = fmt::format("n{}", draws.below(kFronts + 2));
-    message.slot = {draws.below(kFronts + 1)};
-    message.incarnation = {static_cast<std::uint64_t>(now) - static_cast<std::uint64_t>(draws.below(90000))};
+    message.kind = static_cast<Kind>(random.below(7));
+    message.sequence = static_cast<std::uint32_t>(random.below(200));
+    message.name = fmt::format("n{}", random.below(kInstances + 2));
+    message.slot = {random.below(kInstances + 1)};
+    message.incarnation = {static_cast<std::uint64_t>(now) - static_cast<std::uint64_t>(random.below(90000))};
     message.started_at = message.incarnation.number;
-    message.leaving = draws.one_in(20);
-    message.is_reply = draws.one_in(2);
-    message.target = {draws.below(kFronts)};
+    message.leaving = random.one_in(20);
+    message.is_reply = random.one_in(2);
+    message.target = {random.below(kInstances)};
     if (message.kind == Kind::digest) {
       for (int part = 0; part < kDigestFanOut; ++part) {
-        message.digests.push_back(static_cast<std::uint32_t>(draws.below(5000)));
+        message.digests.push_back(static_cast<std::uint32_t>(random.below(5000)));
       }
     }
-    const int words = draws.below(4);
-    for (int number = 0; number < words; ++number) {
+    const int update_count = random.below(4);
+    for (int number = 0; number < update_count; ++number) {
       GossipUpdate update;
-      update.name = fmt::format("n{}", draws.below(kFronts + 2));
-      update.slot = {draws.below(kFronts + 1)};
-      update.state = static_cast<PeerState>(draws.below(4));
-      update.incarnation = {static_cast<std::uint64_t>(now) - static_cast<std::uint64_t>(draws.below(90000))};
-      update.suspected_by = {draws.below(kFronts)};
+      update.name = fmt::format("n{}", random.below(kInstances + 2));
+      update.slot = {random.below(kInstances + 1)};
+      update.state = static_cast<PeerState>(random.below(4));
+      update.incarnation = {static_cast<std::uint64_t>(now) -
+                            static_cast<std::uint64_t>(random.below(90000))};
+      update.suspected_by = {random.below(kInstances)};
       message.updates.push_back(update);
     }
-    std::size_t told = 0;
-    const std::string bytes = encode(message, told);
-    digest.add(fmt::format("to {} drawn {} told {} of {}", front, digests::hex(bytes), told, words));
+    std::size_t encoded_updates = 0;
+    const std::string bytes = encode(message, encoded_updates);
+    digest.add(fmt::format("to {} drawn {} told {} of {}", slot, digests::hex(bytes), encoded_updates,
+                           update_count));
     return bytes;
   }
-  void read(const std::string& bytes) override { decode(bytes); }
-  void take(int front) override {
-    for (const auto& decision : at(front).core->process(clock(front))) {
-      std::visit([this, front](const auto& one) { take(front, one); }, decision);
+  void parse(const std::string& bytes) override { decode(bytes); }
+  void process_events(int slot) override {
+    for (const auto& decision : instance_at(slot).core->process(local_time(slot))) {
+      std::visit([this, slot](const auto& one) { handle(slot, one); }, decision);
     }
   }
-  void take(int front, const SendDatagram& tell) { send(front, tell.to.number, tell.bytes); }
-  void take(int front, const RequestWakeup& wanted) {
-    digest.add(fmt::format("{} {} wakes {:.3f}", now, front, wanted.at));
-    wake(front, wanted.at);
+  void handle(int slot, const SendDatagram& datagram) { send(slot, datagram.to.number, datagram.bytes); }
+  void handle(int slot, const RequestWakeup& wakeup) {
+    digest.add(fmt::format("{} {} wakes {:.3f}", now, slot, wakeup.at));
+    set_wakeup(slot, wakeup.at);
   }
-  void take(int front, const PeerChanged& change) {
-    digest.add(fmt::format("{} {} sees {} {} {} {}", now, front, change.name, change.slot.number,
+  void handle(int slot, const PeerChanged& change) {
+    digest.add(fmt::format("{} {} sees {} {} {} {}", now, slot, change.name, change.slot.number,
                            static_cast<int>(change.event), change.incarnation.number));
   }
-  void take(int front, const SelfReport& found) {
-    digest.add(fmt::format("{} {} finds {} {} {:.3f}", now, front, static_cast<int>(found.event),
-                           found.slot.number, found.duration));
+  void handle(int slot, const SelfReport& report) {
+    digest.add(fmt::format("{} {} finds {} {} {:.3f}", now, slot, static_cast<int>(report.event),
+                           report.slot.number, report.duration));
   }
-  void show(int front) override {
-    const View view = at(front).core->view();
-    digest.add(fmt::format("{} view {} {} {} {} dropped {} {} {} {}", front, view.version,
+  void add_view(int slot) override {
+    const View view = instance_at(slot).core->view();
+    digest.add(fmt::format("{} view {} {} {} {} dropped {} {} {} {}", slot, view.version,
                            view.incarnation.number, view.health, view.yielded, view.dropped.malformed,
                            view.dropped.unexpected_sender, view.dropped.rate_limited,
                            view.dropped.stale_reply));
@@ -102,14 +105,16 @@
       digest.add(fmt::format("{} {} {} {} {:.3f}", peer.name, peer.slot.number, static_cast<int>(peer.state),
                              peer.incarnation.number, peer.since));
     }
-    for (const SlotId& place : alive_peers(view)) {
-      digest.add(fmt::format("there {}", place.number));
+    for (const SlotId& peer_slot : alive_peers(view)) {
+      digest.add(fmt::format("there {}", peer_slot.number));
     }
   }
 
-  const bool odd_;
+  const bool odd_seed_;
 };
 
 }  // namespace
 
-int main(int count, char** words) { digests::play_seeds<Sequence>(count, words, 12); }
+int main(int argument_count, char** arguments) {
+  digests::run_seeds<Sequence>(argument_count, arguments, 12);
+}
--- a/tests/digests/network.hpp
+++ b/tests/digests/network.hpp
@@ -1,5 +1,5 @@
-// Several instances of one core in a network with delay, loss, cut-off links, stopped and restarted processes
-// and drawn datagrams that nobody sent. Times are whole milliseconds.
+// Simulates several instances of one core in a network with delay, loss, blocked links, paused and restarted
+// instances, and random datagrams that no instance sent. Times are whole milliseconds.
 #pragma once
 
 #include <array>
@@ -18,64 +18,67 @@
 template <typename Core>
 class Network {
  public:
-  static constexpr int kFronts = 5;
-  static constexpr int kTick = 10;
+  static constexpr int kInstances = 5;
+  static constexpr int kTick = 10;  // milliseconds
 
-  Network(unsigned seed, bool prints) : draws(seed), digest(prints) {}
+  Network(unsigned seed, bool print_lines) : random(seed), digest(print_lines) {}
   virtual ~Network() = default;
 
   std::string play(int ticks) {
-    for (int front = 0; front < kFronts; ++front) start(front);
+    for (int slot = 0; slot < kInstances; ++slot) start(slot);
     for (int tick = 0; tick < ticks; ++tick) {
       now += kTick;
       digest.comment(fmt::format("tick {}", tick));
       deliver();
-      faults();
-      for (int front = 0; front < kFronts; ++front) {
-        if (runs(front) && draws.one_in(40)) happen(front);
-        settle(front);
+      inject_faults();
+      for (int slot = 0; slot < kInstances; ++slot) {
+        if (is_running(slot) && random.one_in(40)) add_random_event(slot);
+        take_turn(slot);
       }
     }
-    for (int front = 0; front < kFronts; ++front)
-      if (at(front).core) show(front);
+    for (int slot = 0; slot < kInstances; ++slot)
+      if (instance_at(slot).core) add_view(slot);
     return digest.text();
   }
 
  protected:
-  struct Process {
+  struct Instance {
     std::unique_ptr<Core> core;
-    Millis wakes = 0;
-    Millis apart = 0;      // of its clock
-    Millis stopped = 0;    // until then it takes nothing in
-    Millis down = 0;       // until then there is none
-    bool touched = false;  // it has taken something in since its last turn
+    Millis wakes_at = 0;
+    Millis clock_offset = 0;  // of its clock from the network's
+    Millis paused_until = 0;  // until then it receives nothing
+    Millis down_until = 0;    // until then a stopped instance is not restarted
+    bool has_event = false;   // it has received an event since its last turn
   };
 
-  virtual std::unique_ptr<Core> make(int front) = 0;
-  virtual void heard(int front, int from, const std::string& bytes) = 0;
-  virtual void refused(int, int, const std::string&) {}
-  virtual void happen(int front) = 0;          // an event that is no datagram
-  virtual void take(int front) = 0;            // one settle, and each decision of it
-  virtual void show(int front) = 0;            // its view
-  virtual std::string foreign(int front) = 0;  // a message that nobody sent
-  virtual void read(const std::string& bytes) = 0;
-
-  Process& at(int front) { return processes_[static_cast<std::size_t>(front)]; }
-  bool runs(int front) { return at(front).core && at(front).stopped <= now; }
-  Millis clock(int front) { return now + at(front).apart; }
-  void wake(int front, Millis when) { at(front).wakes = when - at(front).apart; }
-  void touch(int front) { at(front).touched = true; }
+  virtual std::unique_ptr<Core> make_core(int slot) = 0;
+  virtual void receive(int slot, int from, const std::string& bytes) = 0;
+  virtual void receive_returned(int, int, const std::string&) {}  // an own datagram was not delivered
+  virtual void add_random_event(int slot) = 0;       // gives the core an event other than a datagram
+  virtual void process_events(int slot) = 0;         // processes the events and carries out each decision
+  virtual void add_view(int slot) = 0;               // adds the core's view to the digest
+  virtual std::string forged_message(int slot) = 0;  // returns a well-formed message that no instance sent
+  virtual void parse(const std::string& bytes) = 0;  // decodes bytes that may be malformed
+
+  Instance& instance_at(int slot) { return instances_[static_cast<std::size_t>(slot)]; }
+  bool is_running(int slot) { return instance_at(slot).core && instance_at(slot).paused_until <= now; }
+  Millis local_time(int slot) { return now + instance_at(slot).clock_offset; }
+  void set_wakeup(int slot, Millis when) {
+    instance_at(slot).wakes_at = when - instance_at(slot).clock_offset;
+  }
+  void mark_event(int slot) { instance_at(slot).has_event = true; }
   void send(int from, int to, const std::string& bytes) {
     digest.add(fmt::format("{} {} to {} {}", now, from, to, hex(bytes)));
-    past_.push_back(bytes);
-    if (past_.size() > 64) past_.erase(past_.begin());
-    if (to < 0 || to >= kFronts || cut_.contains({from, to}) || draws.one_in(loss_)) return;
-    const Millis delay = draws.between(1, draws.one_in(20) ? 400 : 40);
-    due_.emplace(now + delay, Datagram{from, to, false, bytes});
-    if (draws.one_in(50)) due_.emplace(now + delay + 30, Datagram{from, to, false, bytes});
+    recent_datagrams_.push_back(bytes);
+    if (recent_datagrams_.size() > 64) recent_datagrams_.erase(recent_datagrams_.begin());
+    if (to < 0 || to >= kInstances || blocked_links_.contains({from, to}) || random.one_in(loss_one_in_))
+      return;
+    const Millis delay = random.between(1, random.one_in(20) ? 400 : 40);
+    in_transit_.emplace(now + delay, Datagram{from, to, false, bytes});
+    if (random.one_in(50)) in_transit_.emplace(now + delay + 30, Datagram{from, to, false, bytes});
   }
 
-  Draws draws;
+  RandomSource random;
   Digest digest;
   Millis now = 1767225600000;
 
@@ -83,95 +86,98 @@
   struct Datagram {
     int from = 0;
     int to = 0;
-    bool back = false;  // it comes back: nobody listens there
+    bool is_returned = false;  // returned to its sender, since nothing listens at its destination
     std::string bytes;
   };
 
-  void start(int front) {
-    Process& process = at(front);
-    process = Process{};
-    if (draws.one_in(3)) process.apart = draws.between(-50, 50);
-    process.core = make(front);
-    process.touched = true;
+  void start(int slot) {
+    Instance& instance = instance_at(slot);
+    instance = Instance{};
+    if (random.one_in(3)) instance.clock_offset = random.between(-50, 50);
+    instance.core = make_core(slot);
+    instance.has_event = true;
   }
 
   void deliver() {
-    while (!due_.empty() && due_.begin()->first <= now) {
-      const Datagram datagram = due_.begin()->second;
-      due_.erase(due_.begin());
-      Process& process = at(datagram.to);
-      if (!process.core) {
-        if (!datagram.back && !cut_.contains({datagram.to, datagram.from}))
-          due_.emplace(now + 5, Datagram{datagram.to, datagram.from, true, datagram.bytes});
+    while (!in_transit_.empty() && in_transit_.begin()->first <= now) {
+      const Datagram datagram = in_transit_.begin()->second;
+      in_transit_.erase(in_transit_.begin());
+      Instance& instance = instance_at(datagram.to);
+      if (!instance.core) {
+        if (!datagram.is_returned && !blocked_links_.contains({datagram.to, datagram.from}))
+          in_transit_.emplace(now + 5, Datagram{datagram.to, datagram.from, true, datagram.bytes});
         continue;
       }
-      if (process.stopped > now) {
-        due_.emplace(process.stopped, datagram);
+      if (instance.paused_until > now) {
+        in_transit_.emplace(instance.paused_until, datagram);
         continue;
       }
-      if (datagram.back) {
-        refused(datagram.to, datagram.from, datagram.bytes);
+      if (datagram.is_returned) {
+        receive_returned(datagram.to, datagram.from, datagram.bytes);
       } else {
-        heard(datagram.to, datagram.from, datagram.bytes);
+        receive(datagram.to, datagram.from, datagram.bytes);
       }
-      process.touched = true;
+      instance.has_event = true;
     }
   }
 
-  void faults() {
-    if (draws.one_in(400)) {
-      const int pattern = draws.below(4);
-      const int alone = draws.below(kFronts);
-      cut_.clear();
-      for (int other = 0; other < kFronts; ++other) {
-        if (pattern == 1 || pattern == 2) cut_.insert({alone, other});
-        if (pattern == 2) cut_.insert({other, alone});
-        if (pattern == 3) cut_.insert({other, draws.below(kFronts)});
+  void inject_faults() {
+    if (random.one_in(400)) {
+      // 0: no link is blocked; 1: an instance cannot send; 2: it can neither send nor receive; 3: random
+      // links.
+      const int pattern = random.below(4);
+      const int isolated = random.below(kInstances);
+      blocked_links_.clear();
+      for (int other = 0; other < kInstances; ++other) {
+        if (pattern == 1 || pattern == 2) blocked_links_.insert({isolated, other});
+        if (pattern == 2) blocked_links_.insert({other, isolated});
+        if (pattern == 3) blocked_links_.insert({other, random.below(kInstances)});
       }
     }
-    if (draws.one_in(500)) loss_ = draws.one_in(3) ? 3 : 60;
-    const int front = draws.below(kFronts);
-    Process& process = at(front);
-    if (!process.core && process.down <= now) {
-      start(front);
-    } else if (process.core && draws.one_in(1500)) {
-      process.core.reset();
-      process.down = now + draws.between(50, 20000);
-    } else if (process.core && draws.one_in(1500)) {
-      process.stopped = now + draws.between(50, 8000);
-    } else if (runs(front) && draws.one_in(30)) {
-      const int from = draws.between(-1, kFronts + 1);
-      heard(front, from, drawn(front));
-      touch(front);
+    if (random.one_in(500)) loss_one_in_ = random.one_in(3) ? 3 : 60;
+    const int slot = random.below(kInstances);
+    Instance& instance = instance_at(slot);
+    if (!instance.core && instance.down_until <= now) {
+      start(slot);
+    } else if (instance.core && random.one_in(1500)) {
+      instance.core.reset();
+      instance.down_until = now + random.between(50, 20000);
+    } else if (instance.core && random.one_in(1500)) {
+      instance.paused_until = now + random.between(50, 8000);
+    } else if (is_running(slot) && random.one_in(30)) {
+      const int from = random.between(-1, kInstances + 1);
+      receive(slot, from, random_datagram(slot));
+      mark_event(slot);
     }
   }
 
-  std::string drawn(int front) {
-    const int kind = draws.below(4);
-    if (kind == 0) return readable(draws.bytes(draws.below(40)));
-    if (kind == 1 || past_.empty()) return foreign(front);
-    const std::string old = past_[static_cast<std::size_t>(draws.below(static_cast<int>(past_.size())))];
-    return kind == 2 ? old : readable(draws.mutated(old));
+  std::string random_datagram(int slot) {
+    const int kind = random.below(4);
+    if (kind == 0) return parsed(random.bytes(random.below(40)));
+    if (kind == 1 || recent_datagrams_.empty()) return forged_message(slot);
+    const std::string earlier =
+        recent_datagrams_[static_cast<std::size_t>(random.below(static_cast<int>(recent_datagrams_.size())))];
+    return kind == 2 ? earlier : parsed(random.mutated(earlier));
   }
 
-  std::string readable(const std::string& bytes) {
-    read(bytes);
+  std::string parsed(const std::string& bytes) {
+    parse(bytes);
     return bytes;
   }
 
-  void settle(int front) {
-    Process& process = at(front);
-    if (!runs(front) || (!process.touched && process.wakes > now)) return;
-    process.touched = false;
-    process.wakes = now + 100000;
-    take(front);
+  void take_turn(int slot) {
+    Instance& instance = instance_at(slot);
+    if (!is_running(slot) || (!instance.has_event && instance.wakes_at > now)) return;
+    instance.has_event = false;
+    instance.wakes_at = now + 100000;
+    process_events(slot);
   }
 
-  std::array<Process, kFronts> processes_;
-  std::multimap<Millis, Datagram> due_;
-  std::set<std::pair<int, int>> cut_;
-  std::vector<std::string> past_;
-  int loss_ = 60;
+  std::array<Instance, kInstances> instances_;
+  std::multimap<Millis, Datagram> in_transit_;
+  std::set<std::pair<int, int>> blocked_links_;
+  std::vector<std::string> recent_datagrams_;
+  int loss_one_in_ = 60;
 };
 
 }  // namespace reedspindle::digests
--- a/tests/digests/postgres.cpp
+++ b/tests/digests/postgres.cpp
@@ -1,5 +1,6 @@
-// Reads drawn, mutated and cut messages and statements of the stores' protocol, and plays drawn commands to
-// the pending replies and drawn turns to the bound on arrivals; prints a digest of what comes of it.
+// Reads random, mutated and cut off messages and statements of the PostgreSQL protocol, plays random commands
+// to the pending replies and random turns of the event loop to the bound on arrival times, and prints a
+// digest of the results.
 #include <algorithm>
 #include <vector>
 
@@ -14,27 +15,27 @@
 
 constexpr int kMessages = 4000;
 constexpr int kStatements = 4000;
-constexpr int kCommands = 6000;
-constexpr int kTurns = 4000;
+constexpr int kReplyCommands = 6000;
+constexpr int kLoopTurns = 4000;
 
 class Sequence {
  public:
-  Sequence(unsigned seed, bool prints) : draws_(seed), digest_(prints) {}
+  Sequence(unsigned seed, bool print_lines) : random_(seed), digest_(print_lines) {}
   std::string play() {
-    fixed();
+    add_fixed_messages();
     for (int number = 0; number < kMessages; ++number) {
-      message();
+      check_random_message();
     }
     for (int number = 0; number < kStatements; ++number) {
-      statement();
+      check_random_statement();
     }
-    replies();
-    arrivals();
+    check_pending_replies();
+    check_arrival_bound();
     return digest_.text();
   }
 
  private:
-  void fixed() {
+  void add_fixed_messages() {
     digest_.add(digests::hex(postgres::startup("router", "records")));
     digest_.add(digests::hex(postgres::query("SELECT 1")));
     digest_.add(digests::hex(postgres::welcome()));
@@ -52,53 +53,53 @@
     }
     return text;
   }
-  std::string framed(char type, const std::string& body) {
+  std::string message_bytes(char type, const std::string& body) {
     return std::string(1, type) + big_endian(static_cast<int>(body.size()) + 4, 4) + body;
   }
-  std::string drawn_message() {
+  std::string random_message() {
     const char types[] = {'Q', 'X', 'P', 'D', 'S', 'E', 'N', 'T', 'R', 'K', 'C', 'Z', 'I', 'd', 'q'};
-    switch (draws_.below(10)) {
+    switch (random_.below(10)) {
       case 0:
         return postgres::startup("u", "d");
       case 1:
-        return postgres::query(drawn_statement());
+        return postgres::query(random_statement());
       case 2:
-        return postgres::welcome({static_cast<std::uint32_t>(draws_.below(1000)), 5});
+        return postgres::welcome({static_cast<std::uint32_t>(random_.below(1000)), 5});
       case 3:
         return postgres::error(postgres::Severity::error, "40001", "text");
       case 4:
         return postgres::completed("SELECT 1");
       case 5: {
-        const std::string value = draws_.bytes(draws_.below(12));
-        return framed('D', big_endian(1, 2) + big_endian(static_cast<int>(value.size()), 4) + value);
+        const std::string value = random_.bytes(random_.below(12));
+        return message_bytes('D', big_endian(1, 2) + big_endian(static_cast<int>(value.size()), 4) + value);
       }
       case 6:
-        return framed('T', big_endian(1, 2) + std::string("v\0", 2) + draws_.bytes(18));
+        return message_bytes('T', big_endian(1, 2) + std::string("v\0", 2) + random_.bytes(18));
       case 7: {
-        const int code = draws_.one_in(2) ? 80877102 : 80877103;
-        const std::string body = big_endian(code, 4) + draws_.bytes(draws_.one_in(3) ? 4 : 8);
+        const int code = random_.one_in(2) ? 80877102 : 80877103;
+        const std::string body = big_endian(code, 4) + random_.bytes(random_.one_in(3) ? 4 : 8);
         return big_endian(static_cast<int>(body.size()) + 4, 4) + body;
       }
       case 8:
-        return framed('S', std::string("a\0b\0", 4));
+        return message_bytes('S', std::string("a\0b\0", 4));
       default: {
-        const char type = types[draws_.below(static_cast<int>(sizeof types))];
-        return framed(type, draws_.bytes(draws_.below(12)));
+        const char type = types[random_.below(static_cast<int>(sizeof types))];
+        return message_bytes(type, random_.bytes(random_.below(12)));
       }
     }
   }
-  void message() {
-    std::string held = drawn_message();
-    if (draws_.one_in(3)) {
-      held += drawn_message();
-    }
-    if (draws_.one_in(2)) {
-      held = draws_.mutated(held);
-    }
-    digest_.comment(digests::hex(held));
-    add(postgres::read_from_client(held));
-    add(postgres::read_from_store(held));
-    add(postgres::read_startup(held));
+  void check_random_message() {
+    std::string bytes = random_message();
+    if (random_.one_in(3)) {
+      bytes += random_message();
+    }
+    if (random_.one_in(2)) {
+      bytes = random_.mutated(bytes);
+    }
+    digest_.comment(digests::hex(bytes));
+    add(postgres::read_from_client(bytes));
+    add(postgres::read_from_store(bytes));
+    add(postgres::read_startup(bytes));
   }
   void add(const postgres::Read& read) {
     if (std::holds_alternative<postgres::Partial>(read)) {
@@ -121,35 +122,35 @@
                             postgres::describes_one_column(message.body), postgres::read_tag(message.body)));
   }
 
-  std::string drawn_statement() {
-    const std::string key = fmt::format("k{}", draws_.below(100));
+  std::string random_statement() {
+    const std::string key = fmt::format("k{}", random_.below(100));
     std::string text = "SELECT v FROM records WHERE k = '" + key + "' /* ";
-    if (draws_.one_in(2)) {
-      const std::string value = digests::hex(draws_.bytes(draws_.below(5)));
+    if (random_.one_in(2)) {
+      const std::string value = digests::hex(random_.bytes(random_.below(5)));
       text = "INSERT INTO records (k, v) VALUES ('" + key + "', '\\x" + value + "') RETURNING v /* ";
     }
     std::vector<std::string> items{
-        fmt::format("id=op-{}", draws_.below(1000)), fmt::format("c=type{}", draws_.below(3)),
-        fmt::format("d={}", draws_.below(3000)), fmt::format("cluster={}", draws_.below(9))};
-    if (draws_.one_in(3)) {
-      items.push_back(fmt::format("after={}.25", draws_.below(100000)));
+        fmt::format("id=op-{}", random_.below(1000)), fmt::format("c=type{}", random_.below(3)),
+        fmt::format("d={}", random_.below(3000)), fmt::format("cluster={}", random_.below(9))};
+    if (random_.one_in(3)) {
+      items.push_back(fmt::format("after={}.25", random_.below(100000)));
     }
-    if (draws_.one_in(3)) {
-      items.push_back(fmt::format("k=token{}", draws_.below(9)));
+    if (random_.one_in(3)) {
+      items.push_back(fmt::format("k=token{}", random_.below(9)));
     }
-    if (draws_.one_in(3)) {
-      items.push_back(fmt::format("r={}", draws_.between(1, 2)));
+    if (random_.one_in(3)) {
+      items.push_back(fmt::format("r={}", random_.between(1, 2)));
     }
-    if (draws_.one_in(12)) {
-      items.push_back(fmt::format("d={}", draws_.below(9)));
+    if (random_.one_in(12)) {
+      items.push_back(fmt::format("d={}", random_.below(9)));
     }
-    if (draws_.one_in(12)) {
+    if (random_.one_in(12)) {
       items.push_back("other=1");
     }
-    if (draws_.one_in(8)) {
-      items.erase(items.begin() + draws_.below(static_cast<int>(items.size())));
+    if (random_.one_in(8)) {
+      items.erase(items.begin() + random_.below(static_cast<int>(items.size())));
     }
-    if (draws_.one_in(4)) {
+    if (random_.one_in(4)) {
       std::swap(items.front(), items.back());
     }
     for (std::size_t i = 0; i < items.size(); ++i) {
@@ -157,59 +158,61 @@
     }
     return text + " */";
   }
-  void statement() {
-    std::string text = drawn_statement();
-    if (draws_.one_in(2)) {
-      text = draws_.mutated(text);
+  void check_random_statement() {
+    std::string text = random_statement();
+    if (random_.one_in(2)) {
+      text = random_.mutated(text);
     }
     digest_.add("word " + postgres::first_word(text));
     const auto read = postgres::read_statement(text);
     if (const auto* fault = std::get_if<postgres::Fault>(&read)) {
       return digest_.add("fault " + fault->code);
     }
-    const auto& one = std::get<postgres::Statement>(read);
-    digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", one.writes, one.id, one.request_class,
-                            one.key, one.remaining, one.group, one.position, one.token, one.repeat,
-                            one.patience_place.at, one.patience_place.size));
-    const int patience = draws_.below(90000);
-    digest_.add(digests::hex(postgres::with_patience(text, one.patience_place, 0.25 * patience)));
+    const auto& statement = std::get<postgres::Statement>(read);
+    digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", statement.writes, statement.id,
+                            statement.request_class, statement.key, statement.remaining, statement.group,
+                            statement.position, statement.token, statement.repeat,
+                            statement.patience_place.at, statement.patience_place.size));
+    const int remaining = random_.below(90000);
+    digest_.add(digests::hex(postgres::with_patience(text, statement.patience_place, 0.25 * remaining)));
     const auto [name, value] = postgres::name_and_value(std::string_view(text).substr(text.rfind(',') + 1));
     digest_.add(fmt::format("{} / {}", digests::hex(name), digests::hex(value)));
-    const int units = draws_.below(100);
-    const int exponent = draws_.below(3);
-    const std::string figure = draws_.mutated(fmt::format("{}.5e{}", units, exponent));
-    digest_.add(fmt::format("{:.3f}", postgres::number(figure).value_or(-1)));
+    const int integer = random_.below(100);
+    const int exponent = random_.below(3);
+    const std::string number_text = random_.mutated(fmt::format("{}.5e{}", integer, exponent));
+    digest_.add(fmt::format("{:.3f}", postgres::number(number_text).value_or(-1)));
   }
 
-  void replies() {
+  void check_pending_replies() {
     Allowance allowance(3000);
     proxy::PendingReplies pending(allowance);
-    std::uint64_t last = 0;
-    for (int number = 0; number < kCommands; ++number) {
-      const int kind = draws_.below(8);
+    std::uint64_t last_request = 0;
+    for (int number = 0; number < kReplyCommands; ++number) {
+      const int kind = random_.below(8);
       if (kind == 0) {
         pending.add_complete(fmt::format("at once {}", number));
       }
       if (kind == 1 || kind == 2) {
-        pending.add_request({++last});
+        pending.add_request({++last_request});
       }
-      if (kind == 3 && draws_.one_in(3)) {
+      if (kind == 3 && random_.one_in(3)) {
         pending.add_readiness();
       }
       if (kind == 4) {
         pending.complete_readiness(fmt::format("ready {}", number));
       }
-      if (kind > 4 && last > 0) {
-        const int back = draws_.below(12);
-        RequestId request{last - std::min<std::uint64_t>(last, static_cast<std::uint64_t>(back))};
+      if (kind > 4 && last_request > 0) {
+        const int distance = random_.below(12);
+        RequestId request{last_request -
+                          std::min<std::uint64_t>(last_request, static_cast<std::uint64_t>(distance))};
         const std::vector<RequestId> open = pending.open_requests();
         if (open.size() > 6) {
           request = open.front();
         }
-        const auto size = static_cast<std::size_t>(draws_.below(1500));
+        const auto size = static_cast<std::size_t>(random_.below(1500));
         pending.complete(request, std::string(size, 'x') + fmt::format("{}", number), "instead");
       }
-      if (draws_.one_in(2)) {
+      if (random_.one_in(2)) {
         digest_.add(digests::hex(pending.take_complete()));
       }
       digest_.add(fmt::format("{} {}", pending.size(), pending.empty()));
@@ -218,33 +221,33 @@
       }
     }
   }
-  void arrivals() {
+  void check_arrival_bound() {
     Millis now = 1000;
     proxy::ArrivalBound bound(now);
-    for (int turn = 0; turn < kTurns; ++turn) {
-      now += draws_.below(draws_.one_in(9) ? 200 : 5);
-      if (bound.marker_wanted() && !draws_.one_in(5)) {
+    for (int turn = 0; turn < kLoopTurns; ++turn) {
+      now += random_.below(random_.one_in(9) ? 200 : 5);
+      if (bound.marker_wanted() && !random_.one_in(5)) {
         bound.marker_sent(now);
       }
-      if (draws_.one_in(3)) {
-        bound.none_ready(now - draws_.below(4));
+      if (random_.one_in(3)) {
+        bound.none_ready(now - random_.below(4));
       }
-      if (draws_.one_in(3)) {
-        bound.sleeps(now, now + draws_.below(40));
-        now += draws_.below(60);
+      if (random_.one_in(3)) {
+        bound.sleeps(now, now + random_.below(40));
+        now += random_.below(60);
         bound.wakes(now);
       }
       digest_.add(fmt::format("{} {:.3f}", bound.marker_wanted(), bound.earliest(now)));
-      if (draws_.one_in(2)) {
+      if (random_.one_in(2)) {
         bound.marker_returned();
       }
     }
   }
 
-  digests::Draws draws_;
+  digests::RandomSource random_;
   digests::Digest digest_;
 };
 
 }  // namespace
 
-int main(int count, char** words) { digests::play_seeds<Sequence>(count, words, 5); }
+int main(int argument_count, char** arguments) { digests::run_seeds<Sequence>(argument_count, arguments, 5); }
