--- a/src/config/instance_config.cpp
+++ b/src/config/instance_config.cpp
@@ -61,7 +61,7 @@
 
 template <typename Endpoint>
 Endpoint endpoint_of(const std::string& text, const std::string& key) {
-  const auto endpoint = endpoint_in(text);
+  const auto endpoint = parse_endpoint(text);
   if (!endpoint) {
     wrong(key, "an address and a port such as 10.0.0.4:6432");
   }
@@ -95,7 +95,7 @@
 
 }  // namespace
 
-std::optional<asio::ip::tcp::endpoint> endpoint_in(const std::string& text) {
+std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) {
     return std::nullopt;
@@ -115,13 +115,13 @@
   return asio::ip::tcp::endpoint(address, static_cast<std::uint16_t>(number));
 }
 
-std::string text_of(const asio::ip::tcp::endpoint& endpoint) {
+std::string format_endpoint(const asio::ip::tcp::endpoint& endpoint) {
   const std::string address = endpoint.address().to_string();
   return endpoint.address().is_v6() ? fmt::format("[{}]:{}", address, endpoint.port())
                                     : fmt::format("{}:{}", address, endpoint.port());
 }
 
-InstanceConfig read_instance_config(const Environment& environment, Reading reading) {
+InstanceConfig read_instance_config(const Environment& environment, ReadMode mode) {
   const char* path = environment("ROUTER_CONFIG");
   if (!path || !*path) {
     wrong("ROUTER_CONFIG", "the path of the configuration file");
@@ -134,7 +134,7 @@
   const Json::parser_callback_t without_list = [](int depth, Json::parse_event_t event, Json& key) {
     return depth != 1 || event != Json::parse_event_t::key || key != "known";
   };
-  const Json json = Json::parse(file, reading == Reading::again ? without_list : nullptr, false);
+  const Json json = Json::parse(file, mode == ReadMode::reload ? without_list : nullptr, false);
   if (json.is_discarded() || !json.is_object()) {
     wrong("ROUTER_CONFIG", "a file that holds a JSON object");
   }
@@ -147,7 +147,7 @@
       told(environment, "ROUTER_LISTEN", top.in("listen"), address), "listen");
   const Key discovery_at = top.in("discovery");
   config.discovery =
-      endpoint_of<asio::ip::tcp::endpoint>(reading == Reading::again && discovery_at.value
+      endpoint_of<asio::ip::tcp::endpoint>(mode == ReadMode::reload && discovery_at.value
                                                ? discovery_at.text(address)
                                                : told(environment, "ROUTER_DISCOVERY", discovery_at, address),
                                            "discovery");
@@ -160,11 +160,11 @@
     }
     config.seed = std::stoull(text, nullptr, 16);
   }
-  config.sockets = static_cast<std::size_t>(top.in("limits").in("sockets").number(1024, 64));
-  config.memory = static_cast<std::size_t>(top.in("limits").in("memory_mb").number(64, 16)) << 20;
+  config.max_descriptors = static_cast<std::size_t>(top.in("limits").in("sockets").number(1024, 64));
+  config.memory_bytes = static_cast<std::size_t>(top.in("limits").in("memory_mb").number(64, 16)) << 20;
   if (top.in("peer_listen").value) {
     using Endpoint = asio::ip::udp::endpoint;
-    config.hears_peers = true;
+    config.peers_enabled = true;
     config.peer_listen = endpoint_of<Endpoint>(top.in("peer_listen").text(address), "peer_listen");
     config.peers_all = endpoint_of<Endpoint>(top.in("peers_all").text(address), "peers_all");
     for (const Key& peer : top.in("peers").rows("an array of addresses")) {
@@ -172,7 +172,7 @@
     }
   }
   if (const Key known = top.in("known"); known.value) {
-    config.known = known.value->dump();
+    config.saved_list = known.value->dump();
   }
 
   const Key settings = top.in("settings");
@@ -180,14 +180,14 @@
     wrong("settings", "an object");
   }
   try {
-    config.values = router_settings_in(*settings.value);
+    config.router_settings = parse_router_settings(*settings.value);
   } catch (const std::exception& fault) {
     throw InvalidInput(fmt::format("settings: {}", fault.what()));
   }
   const Key types = settings.in("requestClasses");
   const auto is = [&](RequestClassId type, const char* key, const char* word) {
-    const auto found = config.values.find(fmt::format("op_type.{}.{}", type.number, key));
-    return found != config.values.end() && found->second == decltype(found->second)(word);
+    const auto found = config.router_settings.find(fmt::format("op_type.{}.{}", type.number, key));
+    return found != config.router_settings.end() && found->second == decltype(found->second)(word);
   };
   for (const auto& [name, type] : names_of<RequestClassId>(types, "name")) {
     config.names.request_classes[name] = {type, is(type, "needs", "write"), is(type, "effect", "tokened")};
@@ -206,13 +206,13 @@
   config.polls_endpoints = discovery.value && discovery.text("push or ask") == "ask";
 
   const Key allowed = settings.in("ceilings");
-  config.open_requests = static_cast<std::size_t>(allowed.in("maxOpen").number(20000, 1));
+  config.max_open_requests = static_cast<std::size_t>(allowed.in("maxOpen").number(20000, 1));
   config.connect_timeout = allowed.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
   config.connection_idle = allowed.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
   return config;
 }
 
-std::vector<std::string> keys_that_need_restart(const InstanceConfig& running, const InstanceConfig& read) {
+std::vector<std::string> keys_requiring_restart(const InstanceConfig& running, const InstanceConfig& read) {
   std::vector<std::string> keys;
   if (running.name != read.name) {
     keys.push_back("name");
@@ -220,14 +220,14 @@
   if (running.listen != read.listen) {
     keys.push_back("listen");
   }
-  if (running.sockets != read.sockets || running.memory != read.memory) {
+  if (running.max_descriptors != read.max_descriptors || running.memory_bytes != read.memory_bytes) {
     keys.push_back("limits");
   }
-  if (running.hears_peers != read.hears_peers || running.peer_listen != read.peer_listen ||
+  if (running.peers_enabled != read.peers_enabled || running.peer_listen != read.peer_listen ||
       running.peers_all != read.peers_all || running.peers != read.peers) {
     keys.push_back("peers");
   }
-  if (running.values != read.values || running.names != read.names) {
+  if (running.router_settings != read.router_settings || running.names != read.names) {
     keys.push_back("settings");
   }
   return keys;
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -26,24 +26,24 @@
   options.listen = control["listen"];
   options.keep = control["keep"];
   options.config.name = options.name;
-  const auto discovery = config::endpoint_in(control["discovery"]);
+  const auto discovery = config::parse_endpoint(control["discovery"]);
   if (discovery) {
     options.config.discovery = *discovery;
   } else {
     fault("control.discovery", "a numeric address and a port were expected");
   }
-  if (!config::endpoint_in(options.listen)) {
+  if (!config::parse_endpoint(options.listen)) {
     fault("control.listen", "a numeric address and a port were expected");
   }
   const Json& stores = file.values["stores"];
-  options.config.sockets = control["sockets"];
-  options.config.memory = control["memory"];
+  options.config.max_descriptors = control["sockets"];
+  options.config.memory_bytes = control["memory"];
   options.config.seed = control["seed"];
   options.config.polls_endpoints = control["discovery-mode"] == "ask";
   options.config.connect_timeout = stores["connect-time-out"];
   options.config.connection_idle = stores["connection-idle"];
 
-  Settings& values = options.config.values;
+  Settings& values = options.config.router_settings;
   values = {{"instances", control["instances"].get<double>()},
             {"tick", 5.0},
             {"list", control["discovery-mode"].get<std::string>()},
@@ -96,7 +96,7 @@
     options.tls =
         Tls{control["tls"]["certificate"], control["tls"]["key"], control["tls"].value("proxies", "")};
   }
-  options.log = logging::log_options_in(file.values["log"]);
+  options.log = logging::parse_log_options(file.values["log"]);
   if (!faults.empty()) {
     throw operators::InvalidFile(std::move(faults));
   }
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -132,7 +132,8 @@
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, 1000);
     builder.AddChannelArgument(GRPC_ARG_MAX_CONCURRENT_STREAMS, 100);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.SetResourceQuota(grpc::ResourceQuota("proxies").Resize(options.config.memory).SetMaxThreads(16));
+    builder.SetResourceQuota(
+        grpc::ResourceQuota("proxies").Resize(options.config.memory_bytes).SetMaxThreads(16));
     server_ = builder.BuildAndStart();
     if (!server_ || port_ == 0) {
       throw std::runtime_error(fmt::format("can't listen at {}", options.listen));
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -18,7 +18,7 @@
 RegistryUpdate registry_update(const net::EndpointList& list) {
   RegistryUpdate told{list.kind, list.revision, {}};
   for (const net::ListedEndpoint& store : list.servers) {
-    told.members.push_back({store.entry, config::text_of(store.endpoint), store.zone});
+    told.members.push_back({store.entry, config::format_endpoint(store.endpoint), store.zone});
   }
   return told;
 }
@@ -41,7 +41,7 @@
       store_(disk_),
       registry_(options_.registry),
       epoch_(restore_registry()),
-      router_(make_router(options_.config.values, options_.config.seed)),
+      router_(make_router(options_.config.router_settings, options_.config.seed)),
       snapshot_builder_(options_.request_classes, options_.leases, options_.startup_timeout),
       subscriptions_(options_.streams, options_.name, epoch_),
       members_(
@@ -50,7 +50,7 @@
             router_->enqueue(std::move(ended));
             due_ = router_pending_ = true;
           }),
-      endpoint_watch_(io_, timers_, clock_, log_, options_.config, discovery::Client::Delivery::as_read,
+      endpoint_watch_(io_, timers_, clock_, log_, options_.config, discovery::Client::Delivery::per_list,
                       [this](net::EndpointList list) { on_endpoint_list(std::move(list)); }),
       snapshot_writer_(
           store_, [this](std::string fault) { asio::post(io_, [this, fault] { on_persisted(fault); }); }),
@@ -60,7 +60,7 @@
 // epoch. A generation's number is never used twice, even where its content is damaged, so versions never go
 // back.
 std::uint64_t Service::restore_registry() {
-  log_.be(options_.log);
+  log_.set_options(options_.log);
   const snapshot::LoadResult loaded = store_.load();
   for (const snapshot::DamagedFile& damage : loaded.damaged) {
     log_.error("keep", "damaged", {{"file", damage.name}, {"why", damage.why}});
@@ -88,7 +88,7 @@
     notify_router();
   }
   if (!options_.config.polls_endpoints) {
-    endpoint_watch_.watch();
+    endpoint_watch_.start();
   }
   log_.info("control", "listens",
             {{"name", options_.name}, {"at", options_.listen}, {"port", server_.port()}, {"epoch", epoch_}});
@@ -141,7 +141,7 @@
 void Service::notify_router() {
   net::EndpointList list{EndpointListKind::complete, registry_.revision(), {}};
   for (const auto& [id, entry] : registry_.members()) {
-    if (const auto endpoint = config::endpoint_in(entry.endpoint)) {
+    if (const auto endpoint = config::parse_endpoint(entry.endpoint)) {
       list.servers.push_back({entry.listed, entry.zone, *endpoint});
     }
   }
@@ -154,7 +154,7 @@
   const Millis now = clock_.now();
   if (const auto ask = registry_.poll_at(); ask && now >= *ask) {
     registry_.on_poll_sent(now);
-    endpoint_watch_.ask_whole();
+    endpoint_watch_.request_full_list();
   }
   if (std::exchange(router_pending_, false)) {
     for (const Decision& decision : router_->process(now)) {
@@ -292,7 +292,7 @@
     due_ = router_pending_ = true;
   });
 }
-void Service::execute(const WatchEndpoints& /*unused*/) { endpoint_watch_.watch(); }
+void Service::execute(const WatchEndpoints& /*unused*/) { endpoint_watch_.start(); }
 void Service::execute(const ForgetServer& decision) { members_.forget(decision.server); }
 void Service::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
 
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -67,7 +67,7 @@
 };
 
 Client::Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
-               const config::InstanceConfig& config, Delivery delivery, Told told)
+               const config::InstanceConfig& config, Delivery delivery, ListCallback told)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -77,52 +77,52 @@
       told_(std::move(told)),
       discovery_(config.discovery),
       poller_(config.seed),
-      table_(config.memory / kPartOfMemory / kBytesOfServer) {}
+      table_(config.memory_bytes / kPartOfMemory / kBytesOfServer) {}
 
 Client::~Client() = default;
 
-void Client::watch() {
-  watch_wanted_ = handing_on_ == EndpointListKind::saved && table_.has_parts();
+void Client::start() {
+  watch_wanted_ = handing_on_ == EndpointListKind::saved && table_.has_changes();
   if (watch_wanted_) {
     return;
   }
-  poller_.note(Watch{});
+  poller_.enqueue(StartPolling{});
   settle();
 }
 
-void Client::start_with(net::EndpointList saved) {
-  table_.begin();
+void Client::load_saved(net::EndpointList saved) {
+  table_.begin_list();
   for (net::ListedEndpoint& row : saved.servers) {
-    table_.take(std::move(row));
+    table_.add(std::move(row));
   }
-  table_.end(true);
+  table_.end_list(true);
   taken_ = {saved.revision, true};
   handing_on_ = EndpointListKind::saved;
   hand_on_part();
 }
 
-void Client::move(const Tcp::endpoint& discovery) {
+void Client::set_address(const Tcp::endpoint& discovery) {
   if (discovery == discovery_) {
     return;
   }
   discovery_ = discovery;
-  poller_.note(Moved{});
+  poller_.enqueue(AddressChanged{});
   settle();
 }
 
-void Client::ask_whole() {
-  poller_.note(Doubted{});
+void Client::request_full_list() {
+  poller_.enqueue(FullListRequested{});
   settle();
 }
 
 void Client::stop() {
-  poller_.note(Stopped{});
+  poller_.enqueue(StopPolling{});
   settle();
   timers_.drop(wake_);
 }
 
 void Client::settle() {
-  for (const PollDecision& decision : poller_.settle(clock_.now())) {
+  for (const PollDecision& decision : poller_.process(clock_.now())) {
     std::visit([this](const auto& one) { carry_out(one); }, decision);
   }
 }
@@ -134,29 +134,31 @@
     // Guards against calling a discovery silent whose bytes wait in the kernel, where the process was held
     // up.
     asio::error_code fault;
-    if (poller_.calling() && connection_ && connection_->socket.is_open() &&
+    if (poller_.poll_in_flight() && connection_ && connection_->socket.is_open() &&
         connection_->socket.available(fault) > 0) {
-      poller_.note(BytesCame{});
+      poller_.enqueue(BytesReceived{});
     }
     settle();
   });
 }
 
-void Client::carry_out(const GiveUpCall& /*unused*/) { close(); }
+void Client::carry_out(const AbortPoll& /*unused*/) { close(); }
 
-void Client::carry_out(const TellFailure& failure) {
+void Client::carry_out(const ReportFailure& failure) {
   log_.warn("list", "no answer, what is known stays",
-            {{"why", failure.why}, {"in_a_row", failure.in_a_row}, {"next_in_ms", failure.next_in}});
+            {{"why", failure.why},
+             {"consecutive_failures", failure.consecutive_failures},
+             {"next_in_ms", failure.retry_in}});
   told_({EndpointListKind::failed, poller_.revision(), {}, true});
 }
 
-void Client::carry_out(const Call& call) {
+void Client::carry_out(const SendPoll& call) {
   const std::string path =
       call.since ? fmt::format("/discovery/hosts?since={}&timeout_ms={:.0f}", *call.since, call.wait)
                  : "/discovery/hosts";
   log_.debug("list", "call", {{"path", path}, {"connection", connection_ ? "kept" : "new"}});
   const std::string request = fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
-                                          path, config::text_of(discovery_));
+                                          path, config::format_endpoint(discovery_));
   begin_list();
   if (connection_) {
     connection_->request = request;
@@ -176,7 +178,7 @@
 }
 
 void Client::begin_list() {
-  table_.begin();
+  table_.begin_list();
   as_read_ = {};
   reader_ = std::make_unique<ListReader>(
       config_.names,
@@ -184,10 +186,10 @@
 }
 
 void Client::take_row(net::ListedEndpoint row, const ListReader::Head& /*unused*/) {
-  if (delivery_ == Delivery::as_read) {
+  if (delivery_ == Delivery::per_list) {
     return as_read_.servers.push_back(std::move(row));
   }
-  if (std::optional<net::ListedEndpoint> now = table_.take(std::move(row))) {
+  if (std::optional<net::ListedEndpoint> now = table_.add(std::move(row))) {
     at_once_.push_back(std::move(*now));
   }
 }
@@ -222,7 +224,7 @@
   if (fault && fault != asio::error::eof) {
     return fail(fault.message(), false);
   }
-  poller_.note(BytesCame{count});
+  poller_.enqueue(BytesReceived{count});
   const std::size_t parsed = http_parser_execute(&connection->parser, &Connection::settings(),
                                                  connection->bytes.data(), fault ? 0 : count);
   if (!at_once_.empty()) {
@@ -273,21 +275,21 @@
              {{"revision", taken_.revision}, {"whole", taken_.whole}, {"bytes", connection->body_bytes}});
   // Of changes to another list than the one that is held nothing counts but what drains.
   if (!taken_.whole && taken_.revision < poller_.revision()) {
-    poller_.note(taken_);
+    poller_.enqueue(taken_);
     return settle();
   }
-  if (delivery_ == Delivery::as_read) {
+  if (delivery_ == Delivery::per_list) {
     as_read_.kind = taken_.whole ? EndpointListKind::complete : EndpointListKind::changes;
     as_read_.revision = taken_.revision;
-    poller_.note(taken_);
+    poller_.enqueue(taken_);
     told_(std::exchange(as_read_, {}));
     return settle();
   }
-  poller_.note(AnswerWhole{});
-  table_.end(taken_.whole);
-  if (table_.left_out() > 0) {
+  poller_.enqueue(ResponseCompleted{});
+  table_.end_list(taken_.whole);
+  if (table_.skipped() > 0) {
     log_.warn("list", "servers left out for want of memory",
-              {{"servers", table_.left_out()}, {"kept", table_.size()}});
+              {{"servers", table_.skipped()}, {"kept", table_.size()}});
   }
   handing_on_ = EndpointListKind::changes;
   hand_on_part();
@@ -295,8 +297,8 @@
 
 // A part of what the list has changed each turn of the loop; then the next call.
 void Client::hand_on_part() {
-  std::vector<net::ListedEndpoint> rows = table_.next_part(kRowsOfPart);
-  const bool last = !table_.has_parts();
+  std::vector<net::ListedEndpoint> rows = table_.next_changes(kRowsOfPart);
+  const bool last = !table_.has_changes();
   told_({handing_on_, last ? taken_.revision : poller_.revision(), std::move(rows), last});
   if (!last) {
     asio::post(io_, [this] { hand_on_part(); });
@@ -304,16 +306,16 @@
   }
   if (handing_on_ == EndpointListKind::saved) {
     if (std::exchange(watch_wanted_, false)) {
-      watch();
+      start();
     }
     return;
   }
-  poller_.note(taken_);
+  poller_.enqueue(taken_);
   settle();
 }
 
 void Client::fail(std::string why, bool spoilt) {
-  poller_.note(CallFailed{std::move(why), spoilt});
+  poller_.enqueue(PollFailed{std::move(why), spoilt});
   settle();
 }
 
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -21,21 +21,21 @@
  public:
   // How lists are handed on: as what they change, in short parts, what drains at once; or each list as it was
   // read, whole at a time.
-  enum class Delivery { changes, as_read };
-  using Told = std::function<void(net::EndpointList)>;
+  enum class Delivery { changes, per_list };
+  using ListCallback = std::function<void(net::EndpointList)>;
 
   Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
-         const config::InstanceConfig& config, Delivery delivery, Told told);
+         const config::InstanceConfig& config, Delivery delivery, ListCallback told);
   ~Client();
 
   // Calls begin, and go on by themselves.
-  void watch();
+  void start();
   // What was known before the start is handed on like a list, of the kind saved.
-  void start_with(net::EndpointList saved);
+  void load_saved(net::EndpointList saved);
   // TestDiscovery is at another address from now on. What is known stays until its whole list comes.
-  void move(const asio::ip::tcp::endpoint& discovery);
+  void set_address(const asio::ip::tcp::endpoint& discovery);
   // What is known is in doubt: the whole list, now.
-  void ask_whole();
+  void request_full_list();
   void stop();
 
  private:
@@ -43,9 +43,9 @@
   using Connected = std::shared_ptr<Connection>;
 
   void settle();
-  void carry_out(const Call& call);
-  void carry_out(const GiveUpCall& decision);
-  void carry_out(const TellFailure& failure);
+  void carry_out(const SendPoll& call);
+  void carry_out(const AbortPoll& decision);
+  void carry_out(const ReportFailure& failure);
   void carry_out(const RequestWakeup& wake);
 
   void write(const Connected& connection);
@@ -64,15 +64,15 @@
   logging::Log& log_;
   const config::InstanceConfig& config_;
   const Delivery delivery_;
-  const Told told_;
+  const ListCallback told_;
   asio::ip::tcp::endpoint discovery_;
   Poller poller_;
   ServerTable table_;
   std::unique_ptr<ListReader> reader_;
   net::EndpointList as_read_;  // with that delivery
   std::vector<net::ListedEndpoint>
-      at_once_;      // rows of the bytes read last that count before their list has ended
-  ListTaken taken_;  // of the list whose changes are being handed on
+      at_once_;        // rows of the bytes read last that count before their list has ended
+  ListApplied taken_;  // of the list whose changes are being handed on
   EndpointListKind handing_on_ = EndpointListKind::changes;
   bool watch_wanted_ = false;  // once the saved list has been handed on
   Connected connection_;       // the one owner of the connection to discovery
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -105,7 +105,7 @@
   net::ListedEndpoint server;
   server.entry.id = {text(row, "uid")};
   server.entry.state = state_in(row);
-  const auto endpoint = config::endpoint_in(text(row, "endpoint"));
+  const auto endpoint = config::parse_endpoint(text(row, "endpoint"));
   if (!endpoint) {
     throw InvalidInput("targets: endpoint is no address and port");
   }
@@ -147,9 +147,9 @@
   void read(std::string_view bytes) {
     since_row_ += bytes.size();
     check(yajl_parse(parser_, reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size()));
-    if (since_row_ > kLongestRow) {
-      throw InvalidInput(
-          fmt::format("targets: {} bytes with no server's end, the limit is {}", since_row_, kLongestRow));
+    if (since_row_ > kMaxTargetBytes) {
+      throw InvalidInput(fmt::format("targets: {} bytes with no server's end, the limit is {}", since_row_,
+                                     kMaxTargetBytes));
     }
   }
 
@@ -278,8 +278,8 @@
     if (in_targets() && depth_ == 3) {
       keep(Other{});
     }
-    if (++depth_ > kDeepest) {
-      return fail(fmt::format("nested more than {} deep", kDeepest));
+    if (++depth_ > kMaxDepth) {
+      return fail(fmt::format("nested more than {} deep", kMaxDepth));
     }
     if (in_targets() && depth_ == 3) {
       row_.clear();
@@ -324,7 +324,7 @@
 
 ListReader::Head ListReader::finish() { return document_->finish(); }
 
-net::EndpointList read_list(std::string_view json, const config::NameTable& names) {
+net::EndpointList parse_endpoint_list(std::string_view json, const config::NameTable& names) {
   net::EndpointList list;
   std::set<std::string> seen;
   ListReader reader(names, [&](net::ListedEndpoint server, const ListReader::Head&) {
--- a/src/discovery/list_reader.hpp
+++ b/src/discovery/list_reader.hpp
@@ -19,9 +19,9 @@
 
 // Bytes from one server's end to the next: over three hundred times what a server takes in the protocol's
 // example.
-constexpr std::size_t kLongestRow = 64 * 1024;
+constexpr std::size_t kMaxTargetBytes = 64 * 1024;
 // Objects and arrays inside one another, in what discovery may say beyond the protocol.
-constexpr int kDeepest = 32;
+constexpr int kMaxDepth = 32;
 
 class ListReader {
  public:
@@ -48,6 +48,6 @@
 };
 
 // The whole of a list that is at hand. Throws InvalidInput; nothing of such a list counts.
-net::EndpointList read_list(std::string_view json, const config::NameTable& names);
+net::EndpointList parse_endpoint_list(std::string_view json, const config::NameTable& names);
 
 }  // namespace reedspindle::discovery
--- a/src/discovery/poller.cpp
+++ b/src/discovery/poller.cpp
@@ -17,7 +17,7 @@
 
 Poller::Poller(std::uint64_t seed) : random_(seed_of(seed)) {}
 
-std::vector<PollDecision> Poller::settle(Millis now) {
+std::vector<PollDecision> Poller::process(Millis now) {
   now_ = now;
   for (const PollEvent& event : std::exchange(events_, {})) {
     std::visit([this](const auto& one) { take(one); }, event);
@@ -37,18 +37,18 @@
   return std::exchange(decisions_, {});
 }
 
-void Poller::take(const Watch& /*unused*/) {
+void Poller::take(const StartPolling& /*unused*/) {
   if (state_ == State::stopped) {
     call_at(now_);
   }
 }
 
-void Poller::take(const Moved& /*unused*/) {
+void Poller::take(const AddressChanged& /*unused*/) {
   failures_ = 0;
   ask_whole_now();
 }
 
-void Poller::take(const Doubted& /*unused*/) {
+void Poller::take(const FullListRequested& /*unused*/) {
   if (state_ != State::stopped) {
     ask_whole_now();
   }
@@ -58,7 +58,7 @@
 // A list that is being handed on has been checked: it is handed on to its end, and the call follows.
 void Poller::ask_whole_now() {
   whole_wanted_ = true;
-  decisions_.push_back(GiveUpCall{});
+  decisions_.push_back(AbortPoll{});
   if (state_ == State::handing_on) {
     doubted_meanwhile_ = true;
     return;
@@ -66,12 +66,12 @@
   call_at(now_);
 }
 
-void Poller::take(const Stopped& /*unused*/) {
+void Poller::take(const StopPolling& /*unused*/) {
   state_ = State::stopped;
-  decisions_.push_back(GiveUpCall{});
+  decisions_.push_back(AbortPoll{});
 }
 
-void Poller::take(const BytesCame& came) {
+void Poller::take(const BytesReceived& came) {
   if (state_ != State::calling) {
     return;
   }
@@ -82,13 +82,13 @@
   bytes_ += came.bytes;
 }
 
-void Poller::take(const AnswerWhole& /*unused*/) {
+void Poller::take(const ResponseCompleted& /*unused*/) {
   if (state_ == State::calling) {
     state_ = State::handing_on;
   }
 }
 
-void Poller::take(const ListTaken& list) {
+void Poller::take(const ListApplied& list) {
   if (state_ != State::calling && state_ != State::handing_on) {
     return;
   }
@@ -104,7 +104,7 @@
   call_at(at_once && !news ? now_ + kPollPause : now_);
 }
 
-void Poller::take(const CallFailed& failure) {
+void Poller::take(const PollFailed& failure) {
   if (state_ != State::calling) {
     return;
   }
@@ -126,14 +126,14 @@
   first_byte_.reset();
   last_byte_.reset();
   bytes_ = 0;
-  decisions_.push_back(Call{whole_wanted_ ? std::nullopt : std::optional(revision_), wait_});
+  decisions_.push_back(SendPoll{whole_wanted_ ? std::nullopt : std::optional(revision_), wait_});
 }
 
 void Poller::fail(const std::string& why) {
   ++failures_;
   const Millis pause = back_off();
-  decisions_.push_back(GiveUpCall{});
-  decisions_.push_back(TellFailure{why, failures_, pause});
+  decisions_.push_back(AbortPoll{});
+  decisions_.push_back(ReportFailure{why, failures_, pause});
   call_at(now_ + pause);
 }
 
--- a/src/discovery/poller.hpp
+++ b/src/discovery/poller.hpp
@@ -33,64 +33,65 @@
 constexpr Millis kFirstBackOff = 100, kLongestBackOff = 1000;
 
 // Events.
-struct Watch {};    // calls begin, and go on by themselves
-struct Moved {};    // discovery is at another address
-struct Doubted {};  // what is known is in doubt: the whole list is wanted
-struct Stopped {};
-struct BytesCame {
+struct StartPolling {};       // calls begin, and go on by themselves
+struct AddressChanged {};     // discovery is at another address
+struct FullListRequested {};  // what is known is in doubt: the whole list is wanted
+struct StopPolling {};
+struct BytesReceived {
   std::size_t bytes = 0;
 };
 // An answer has come whole and reads: what it changes is being handed on, for which no time is set.
-struct AnswerWhole {};
+struct ResponseCompleted {};
 // All of it has been handed on.
-struct ListTaken {
+struct ListApplied {
   long long revision = 0;
   bool whole = false;
 };
 // None has come, or one that is no list. What is spoilt makes the whole list wanted.
-struct CallFailed {
+struct PollFailed {
   std::string why;
   bool spoilt = false;
 };
-using PollEvent = std::variant<Watch, Moved, Doubted, Stopped, BytesCame, AnswerWhole, ListTaken, CallFailed>;
+using PollEvent = std::variant<StartPolling, AddressChanged, FullListRequested, StopPolling, BytesReceived,
+                               ResponseCompleted, ListApplied, PollFailed>;
 
 // Decisions, to be carried out in their order.
-struct Call {
+struct SendPoll {
   std::optional<long long> since;  // none: the whole list
   Millis wait = 0;
 };
-struct GiveUpCall {};  // its connection is to be closed, nothing of it counts any more
-struct TellFailure {
+struct AbortPoll {};  // its connection is to be closed, nothing of it counts any more
+struct ReportFailure {
   std::string why;
-  int in_a_row = 1;
-  Millis next_in = 0;
+  int consecutive_failures = 1;
+  Millis retry_in = 0;
 };
 struct RequestWakeup {  // settle is wanted again then, at the latest; in the place of the time wanted before
   Millis at = 0;
 };
-using PollDecision = std::variant<Call, GiveUpCall, TellFailure, RequestWakeup>;
+using PollDecision = std::variant<SendPoll, AbortPoll, ReportFailure, RequestWakeup>;
 
 class Poller {
  public:
   explicit Poller(std::uint64_t seed);
 
-  void note(PollEvent event) { events_.push_back(std::move(event)); }
-  std::vector<PollDecision> settle(Millis now);
+  void enqueue(PollEvent event) { events_.push_back(std::move(event)); }
+  std::vector<PollDecision> process(Millis now);
 
-  [[nodiscard]] bool calling() const { return state_ == State::calling; }
+  [[nodiscard]] bool poll_in_flight() const { return state_ == State::calling; }
   [[nodiscard]] long long revision() const { return revision_; }
 
  private:
   enum class State { stopped, waiting, calling, handing_on };
 
-  void take(const Watch& /*unused*/);
-  void take(const Moved& /*unused*/);
-  void take(const Doubted& /*unused*/);
-  void take(const Stopped& /*unused*/);
-  void take(const BytesCame& came);
-  void take(const AnswerWhole& /*unused*/);
-  void take(const ListTaken& list);
-  void take(const CallFailed& failure);
+  void take(const StartPolling& /*unused*/);
+  void take(const AddressChanged& /*unused*/);
+  void take(const FullListRequested& /*unused*/);
+  void take(const StopPolling& /*unused*/);
+  void take(const BytesReceived& came);
+  void take(const ResponseCompleted& /*unused*/);
+  void take(const ListApplied& list);
+  void take(const PollFailed& failure);
   void ask_whole_now();
   void call_at(Millis at);
   void begin_call();
--- a/src/discovery/server_table.cpp
+++ b/src/discovery/server_table.cpp
@@ -7,13 +7,13 @@
 
 namespace reedspindle::discovery {
 
-void ServerTable::begin() {
+void ServerTable::begin_list() {
   ++list_;
   staged_.clear();
-  left_out_ = 0;
+  skipped_ = 0;
 }
 
-std::optional<net::ListedEndpoint> ServerTable::take(net::ListedEndpoint row) {
+std::optional<net::ListedEndpoint> ServerTable::add(net::ListedEndpoint row) {
   const std::string id = row.entry.id.address;
   const auto found = known_.find(id);
   if (found == known_.end()) {
@@ -24,7 +24,7 @@
       throw InvalidInput("targets: uid is there twice: " + id);
     }
     if (known_.size() + staged_.size() >= most_) {
-      ++left_out_;
+      ++skipped_;
     } else {
       staged_.emplace(id, std::move(row));
     }
@@ -64,7 +64,7 @@
   return now;
 }
 
-void ServerTable::end(bool whole) {
+void ServerTable::end_list(bool whole) {
   if (whole) {
     for (auto& [id, known] : known_) {
       if (known.seen_in == list_ || known.row.entry.state == ServerState::gone) {
@@ -90,7 +90,7 @@
   }
 }
 
-std::vector<net::ListedEndpoint> ServerTable::next_part(std::size_t rows) {
+std::vector<net::ListedEndpoint> ServerTable::next_changes(std::size_t rows) {
   std::vector<net::ListedEndpoint> part;
   while (part.size() < rows && !changes_.empty()) {
     part.push_back(std::move(changes_.extract(changes_.begin()).mapped()));
--- a/src/discovery/server_table.hpp
+++ b/src/discovery/server_table.hpp
@@ -23,21 +23,21 @@
   explicit ServerTable(std::size_t most) : most_(most) {}
 
   // A list begins; what was read of one that did not end is forgotten.
-  void begin();
+  void begin_list();
   // The row, if it counts at once, as it is to be handed on. Throws InvalidInput where the list has that
   // server twice.
-  std::optional<net::ListedEndpoint> take(net::ListedEndpoint row);
-  // The list has ended: what it changes is there for next_part. A whole list leaves out the servers that are
-  // gone.
-  void end(bool whole);
+  std::optional<net::ListedEndpoint> add(net::ListedEndpoint row);
+  // The list has ended: what it changes is there for next_changes. A whole list leaves out the servers that
+  // are gone.
+  void end_list(bool whole);
   // The next of what the last list has changed, so many rows at the most, servers that leave first; empty:
   // that was all.
-  std::vector<net::ListedEndpoint> next_part(std::size_t rows);
-  [[nodiscard]] bool has_parts() const { return !changes_.empty(); }
+  std::vector<net::ListedEndpoint> next_changes(std::size_t rows);
+  [[nodiscard]] bool has_changes() const { return !changes_.empty(); }
 
   [[nodiscard]] std::size_t size() const { return known_.size(); }
   // Servers of the last list for which there was no room.
-  [[nodiscard]] std::size_t left_out() const { return left_out_; }
+  [[nodiscard]] std::size_t skipped() const { return skipped_; }
 
  private:
   struct Known {
@@ -56,7 +56,7 @@
   std::map<std::pair<bool, std::string>, net::ListedEndpoint>
       changes_;                    // by whether the server is ready, and its id
   std::vector<std::string> gone_;  // forgotten once the list has ended, unless it has them again
-  std::size_t left_out_ = 0;
+  std::size_t skipped_ = 0;
 };
 
 }  // namespace reedspindle::discovery
--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -152,7 +152,7 @@
 
 nlohmann::json TestEnvironment::placement_of(int front) const {
   const auto at = static_cast<std::size_t>(front);
-  return {{"discovery", config::text_of(seen_at_[at].back())},
+  return {{"discovery", config::format_endpoint(seen_at_[at].back())},
           {"known", first_[at]},
           {"settings", settings_of(plan_, front)}};
 }
@@ -181,8 +181,8 @@
     }
     targets.push_back(
         {{"uid", fmt::format("s{}", store)},
-         {"endpoint",
-          config::text_of(seen_at_[static_cast<std::size_t>(front)][static_cast<std::size_t>(store)])},
+         {"endpoint", config::format_endpoint(
+                          seen_at_[static_cast<std::size_t>(front)][static_cast<std::size_t>(store)])},
          {"pod_group", state.group},
          {"state", state.draining ? "leaving" : "active"},
          {"boot_ms", state.booted}});
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -31,7 +31,7 @@
 }
 
 std::string text_of(const asio::ip::udp::endpoint& endpoint) {
-  return config::text_of({endpoint.address(), endpoint.port()});
+  return config::format_endpoint({endpoint.address(), endpoint.port()});
 }
 
 // What a status file says, as the end of a line.
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -226,7 +226,7 @@
             "      \"capacity_hint\": 1.0,\n      \"boot_ms\": {:.0f}\n    }}"
           : R"({{"uid":"s-{:08x}","endpoint":"{}","az":"a","model":"m","pod_group":{},)"
             R"("state":"{}","capacity_hint":1.0,"boot_ms":{:.0f}}})";
-  return fmt::format(fmt::runtime(form), server, config::text_of(servers_.at(server)),
+  return fmt::format(fmt::runtime(form), server, config::format_endpoint(servers_.at(server)),
                      servers_.state(server).group, state, servers_.state(server).booted);
 }
 
@@ -574,16 +574,16 @@
   const std::string peer_address = own_address(kPeerRole);
   peer_.open(asio::ip::udp::v4());
   peer_.bind({asio::ip::make_address(peer_address), kFirstPort});
-  Json peers = {fmt::format("{}:{}", peer_address, kFirstPort), config::text_of(front_at_)};
+  Json peers = {fmt::format("{}:{}", peer_address, kFirstPort), config::format_endpoint(front_at_)};
   for (int other = 2; other < day_.fronts; ++other) {
     peers.push_back(fmt::format("{}:{}", peer_address, kFirstPort + other));
   }
   const Json config = {{"name", "n0"},
-                       {"listen", config::text_of(front_at_)},
-                       {"discovery", config::text_of(discovery_.at())},
+                       {"listen", config::format_endpoint(front_at_)},
+                       {"discovery", config::format_endpoint(discovery_.at())},
                        {"seed", "7"},
                        {"limits", {{"sockets", 1024}, {"memory_mb", 192}}},
-                       {"peer_listen", config::text_of(front_at_)},
+                       {"peer_listen", config::format_endpoint(front_at_)},
                        {"peers", peers},
                        {"peers_all", fmt::format("{}:{}", peer_address, kFirstPort)},
                        {"known", Json::parse(list_since(-1).list)},
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -108,9 +108,9 @@
   int lost_ = 0;
 };
 
-LogOptions log_options_in(const nlohmann::json& log) {
+LogOptions parse_log_options(const nlohmann::json& log) {
   const std::string level = log["level"];
-  return {log["form"] == "json" ? LogForm::json : LogForm::text,
+  return {log["form"] == "json" ? LogFormat::json : LogFormat::text,
           level == "debug"  ? LogLevel::debug
           : level == "info" ? LogLevel::info
           : level == "warn" ? LogLevel::warn
@@ -122,20 +122,21 @@
     : clock_(clock),
       waiting_(std::make_shared<Waiting>()),
       logger_(std::make_unique<spdlog::logger>("", waiting_)) {
-  be({});
+  set_options({});
 }
 
 Log::~Log() { flush(); }
 
-void Log::be(const LogOptions& manner) {
-  manner_ = manner;
-  const char* pattern = manner.form == LogForm::json ? "{\"time\":%E.%e,\"level\":\"%l\",%v}" : "%E.%e %l %v";
+void Log::set_options(const LogOptions& options) {
+  options_ = options;
+  const char* pattern =
+      options.format == LogFormat::json ? "{\"time\":%E.%e,\"level\":\"%l\",%v}" : "%E.%e %l %v";
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern));
-  logger_->set_level(level_of(manner.level));
+  logger_->set_level(level_of(options.level));
 }
 
 void Log::line(LogLevel level, std::string_view kind, std::string_view event, Fields fields) {
-  if (level < manner_.level) {
+  if (level < options_.level) {
     return;
   }
   const Millis now = clock_.now();
@@ -148,15 +149,15 @@
     left_out = of->second.dropped;
     of->second = {now, 0, 0};
   }
-  if (++of->second.written > manner_.lines_of_a_kind) {
+  if (++of->second.written > options_.max_lines_per_component) {
     return void(++of->second.dropped);
   }
   const auto write = [this](LogLevel at, const std::string& text) {
     logger_->log(level_of(at), spdlog::string_view_t(text));
   };
   const auto put = [&](LogLevel at, std::string_view part, std::string_view what, Fields told, int missing) {
-    write(at, manner_.form == LogForm::json ? json_of(part, what, told, missing)
-                                            : text_of(part, what, told, missing));
+    write(at, options_.format == LogFormat::json ? json_of(part, what, told, missing)
+                                                 : text_of(part, what, told, missing));
   };
   if (const int lost = waiting_->lost(); lost > 0) {
     put(LogLevel::warn, "log", "lines lost", {{"lines", lost}}, 0);
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -31,15 +31,15 @@
   bool number;
 };
 
-enum class LogForm { text, json };
+enum class LogFormat { text, json };
 enum class LogLevel { debug, info, warn, error };
 struct LogOptions {
-  LogForm form = LogForm::text;
+  LogFormat format = LogFormat::text;
   LogLevel level = LogLevel::info;
-  int lines_of_a_kind = 5;  // in ten seconds: enough to see what it is and that it goes on
+  int max_lines_per_component = 5;  // in ten seconds: enough to see what it is and that it goes on
 };
 // Of the operators' file, complete and checked.
-LogOptions log_options_in(const nlohmann::json& log);
+LogOptions parse_log_options(const nlohmann::json& log);
 
 class Log {
  public:
@@ -50,7 +50,7 @@
   Log(const Log&) = delete;
 
   // From now on.
-  void be(const LogOptions& manner);
+  void set_options(const LogOptions& options);
 
   // The kind says what part of the program speaks, the event what happened, in one word or two.
   void debug(std::string_view kind, std::string_view event, Fields fields = {}) {
@@ -67,7 +67,7 @@
   }
 
   // Whether lines of this level are written: for those whose fields cost something to make.
-  [[nodiscard]] bool writes(LogLevel level) const { return level >= manner_.level; }
+  [[nodiscard]] bool enabled(LogLevel level) const { return level >= options_.level; }
 
   // Writes what standard error takes now.
   void flush();
@@ -86,7 +86,7 @@
     int written = 0, dropped = 0;
   };
   const net::Clock& clock_;
-  LogOptions manner_;
+  LogOptions options_;
   std::map<std::string, Kind, std::less<>> kinds_;
   std::shared_ptr<Waiting> waiting_;
   std::unique_ptr<spdlog::logger> logger_;
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -40,8 +40,8 @@
       config_(config),
       owner_(owner),
       acceptor_(io),
-      allowance_(config.memory / kMemoryDivisor),
-      reply_allowance_(config.memory / kMemoryDivisor) {}
+      allowance_(config.memory_bytes / kMemoryDivisor),
+      reply_allowance_(config.memory_bytes / kMemoryDivisor) {}
 
 void ClientConnections::listen() {
   acceptor_.open(config_.listen.protocol());
@@ -59,12 +59,12 @@
 // hold no more than their quota, against those that send one request and stay connected: no new connection
 // comes then, for which an idle one would have to be closed.
 void ClientConnections::check_connections() {
-  const std::size_t many = config_.sockets / kManyConnectionsDivisor;
+  const std::size_t many = config_.max_descriptors / kManyConnectionsDivisor;
   std::vector<ConnectionPtr> idle;
   std::vector<ConnectionPtr> gone;
   const Millis idle_before =
       clock_.now() -
-      (active_connections() > config_.sockets / kCrowdedDivisor ? kIdleTimeWhenCrowded : kIdleTime);
+      (active_connections() > config_.max_descriptors / kCrowdedDivisor ? kIdleTimeWhenCrowded : kIdleTime);
   for (const ConnectionPtr& connection : connections_) {
     const bool is_idle = connection->command_seen && connection->last_activity < idle_before;
     if (active_connections() > many && is_idle && is_evictable(*connection)) {
@@ -148,7 +148,7 @@
   if (accept_stopped_) {
     return;
   }
-  while (lingering_ > config_.leaving_connections()) {
+  while (lingering_ > config_.closing_client_connections()) {
     close(**std::ranges::find(connections_, ClientConnection::State::lingering, &ClientConnection::state_of));
   }
 }
--- a/src/proxy/decision_execution.cpp
+++ b/src/proxy/decision_execution.cpp
@@ -12,7 +12,7 @@
   }
   Request& request = found->second;
   const int number = request.attempts++;
-  if (log_.writes(logging::LogLevel::debug)) {
+  if (log_.enabled(logging::LogLevel::debug)) {
     log_.debug("request", "attempt",
                {{"id", request.id},
                 {"attempt", number},
@@ -48,7 +48,7 @@
   connection_pool_.probe(decision.server, decision.timeout);
 }
 
-void ProxyServer::execute(const WatchEndpoints& /*unused*/) { discovery_client_.watch(); }
+void ProxyServer::execute(const WatchEndpoints& /*unused*/) { discovery_client_.start(); }
 
 void ProxyServer::execute(const ForgetServer& decision) { connection_pool_.forget(decision.server); }
 
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -10,7 +10,7 @@
 
 ProxyOptions proxy_options_in(const operators::File& file, const std::string& path) {
   ProxyOptions orders;
-  orders.log = logging::log_options_in(file.values["log"]);
+  orders.log = logging::parse_log_options(file.values["log"]);
   orders.clock_offset = file.values["clock"]["offset"];
   if (!file.values.contains("fleet")) {
     return orders;
@@ -70,7 +70,7 @@
     throw InvalidInput(
         "name: up to 32 letters, digits, dots, dashes or underlines were expected, for the fleet");
   }
-  if (!config.hears_peers) {
+  if (!config.peers_enabled) {
     throw InvalidInput("peer_listen: an address was expected, for the fleet");
   }
   options.name = config.name;
--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -17,7 +17,7 @@
                        DatagramHandler heard)
     : log_(log), config_(config), heard_(std::move(heard)), socket_(io) {
   set_peers(config.peers);
-  if (!config_.hears_peers) {
+  if (!config_.peers_enabled) {
     return;
   }
   socket_.open(config_.peer_listen.protocol());
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -26,8 +26,8 @@
     : environment_(std::move(environment)),
       config_([&] {
         config::InstanceConfig config = config::read_instance_config(environment_);
-        config.values.insert(options.values.begin(), options.values.end());
-        saved_endpoint_list_ = std::exchange(config.known, {});
+        config.router_settings.insert(options.values.begin(), options.values.end());
+        saved_endpoint_list_ = std::exchange(config.saved_list, {});
         return config;
       }()),
       clock_(options.clock_offset),
@@ -35,8 +35,8 @@
       io_(1),
       timers_(io_, clock_),
       signals_(io_, SIGTERM, SIGINT, SIGHUP),
-      router_(make_router(config_.values, config_.seed)),
-      text_allowance_(config_.memory / kMemoryDivisor),
+      router_(make_router(config_.router_settings, config_.seed)),
+      text_allowance_(config_.memory_bytes / kMemoryDivisor),
       connection_pool_(
           io_, timers_, clock_, log_, config_,
           [this](AttemptCompleted completed, std::string row) {
@@ -48,7 +48,7 @@
                         [this](net::EndpointList list) { handle_endpoint_list(std::move(list)); }),
       peer_socket_(io_, log_, config_,
                    [this](int peer, std::string text) { handle_peer_message(peer, std::move(text)); }) {
-  log_.be(options.log);
+  log_.set_options(options.log);
   if (options.fleet) {
     fleet_.emplace(
         timers_, clock_, log_, config_, *options.fleet, peer_socket_, connection_pool_,
@@ -63,9 +63,9 @@
   release_signals();
   restore_endpoint_list();
   if (!config_.polls_endpoints) {
-    discovery_client_.watch();
+    discovery_client_.start();
   }
-  log_.info("front", "listens", {{"name", config_.name}, {"at", config::text_of(config_.listen)}});
+  log_.info("front", "listens", {{"name", config_.name}, {"at", config::format_endpoint(config_.listen)}});
   while (!client_connections_.finished()) {
     run_turn();
   }
@@ -84,8 +84,8 @@
     return;
   }
   try {
-    discovery_client_.start_with(
-        discovery::read_list(std::exchange(saved_endpoint_list_, {}), config_.names));
+    discovery_client_.load_saved(
+        discovery::parse_endpoint_list(std::exchange(saved_endpoint_list_, {}), config_.names));
   } catch (const std::exception& fault) {
     log_.warn("list", "saved list does not count", {{"why", fault.what()}});
   }
@@ -224,7 +224,7 @@
   if (open_ids_.contains(statement.id)) {
     return postgres::Fault{"22023", "id is that of an open op"};
   }
-  if (requests_.size() >= config_.open_requests || !text_allowance_.take(text.size())) {
+  if (requests_.size() >= config_.max_open_requests || !text_allowance_.take(text.size())) {
     return postgres::Fault{"53300", "too many ops are open"};
   }
   return std::nullopt;
@@ -263,7 +263,7 @@
   if (found == requests_.end()) {
     return;
   }
-  if (log_.writes(logging::LogLevel::debug)) {
+  if (log_.enabled(logging::LogLevel::debug)) {
     log_.debug("request", "ended",
                {{"id", found->second.id},
                 {"why", reason},
@@ -334,17 +334,17 @@
 // peers where the fleet coordination is enabled; other changes need a restart.
 void ProxyServer::reload_configuration() {
   try {
-    config::InstanceConfig read = config::read_instance_config(environment_, config::Reading::again);
-    log_.info("front", "placement read again", {{"discovery", config::text_of(read.discovery)}});
+    config::InstanceConfig read = config::read_instance_config(environment_, config::ReadMode::reload);
+    log_.info("front", "placement read again", {{"discovery", config::format_endpoint(read.discovery)}});
     if (fleet_) {
       peer_socket_.set_peers(read.peers);
       fleet_->set_fleet_size(static_cast<int>(read.peers.size()));
       read.peers = config_.peers;
     }
-    for (const std::string& key : config::keys_that_need_restart(config_, read)) {
+    for (const std::string& key : config::keys_requiring_restart(config_, read)) {
       log_.warn("placement", "change waits for the next start", {{"key", key}});
     }
-    discovery_client_.move(read.discovery);
+    discovery_client_.set_address(read.discovery);
   } catch (const std::exception& fault) {
     log_.warn("placement", "faulty, the old one stays", {{"why", fault.what()}});
   }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-std::string word_for(const std::string& wire) {
+std::string router_term_of(const std::string& wire) {
   static const std::map<std::string, std::string> words = {
       {"repeatable", "retryable"}, {"by_key", "tokened"},     {"once", "non-retryable"}, {"update", "write"},
       {"latest", "current"},       {"own_writes", "session"}, {"recent", "bounded"},     {"loose", "any"},
@@ -21,9 +21,9 @@
 
 void put(Settings& values, const std::string& name, const Json& value, double per_unit) {
   if (value.is_string()) {
-    values[name] = word_for(value.get<std::string>());
+    values[name] = router_term_of(value.get<std::string>());
   } else if (value.is_number() || value.is_boolean()) {
-    values[name] = number_or(value, 0) / per_unit;
+    values[name] = number_or_default(value, 0) / per_unit;
   }
 }
 
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-const Json& field(const Json& list, std::size_t place) {
+const Json& element_or_null(const Json& list, std::size_t place) {
   static const Json null;
   return place < list.size() ? list[place] : null;
 }
 
-double number_or(const Json& value, double other) {
+double number_or_default(const Json& value, double other) {
   if (value.is_null()) {
     return other;
   }
@@ -53,7 +53,7 @@
   return value.get<double>();
 }
 
-std::string word_or(const Json& value, const std::string& other) {
+std::string string_or_default(const Json& value, const std::string& other) {
   if (value.is_null()) {
     return other;
   }
@@ -63,7 +63,7 @@
   return value.get<std::string>();
 }
 
-Settings router_settings_in(const Json& settings) {
+Settings parse_router_settings(const Json& settings) {
   static const std::vector<Setting> general = {
       {"az", "zone", 1},
       {"nInstances", "instances", 1},
@@ -140,8 +140,8 @@
         put(values, prefix + setting.name, types[i][setting.wire], setting.per_unit);
       }
     }
-    put(values, prefix + "needs", field(needs, i), 1);
-    put(values, prefix + "bound", field(bounds, i), kNsPerMs);
+    put(values, prefix + "needs", element_or_null(needs, i), 1);
+    put(values, prefix + "bound", element_or_null(bounds, i), kNsPerMs);
   }
   return values;
 }
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -18,12 +18,12 @@
 constexpr double kNsPerMs = 1e6;  // times are whole ns there, ms with fractions here
 
 // A value of an array by its place; null beyond the end.
-const nlohmann::json& field(const nlohmann::json& list, std::size_t place);
+const nlohmann::json& element_or_null(const nlohmann::json& list, std::size_t place);
 // Missing values become the other; a value of another kind is malformed.
-double number_or(const nlohmann::json& value, double other);
-std::string word_or(const nlohmann::json& value, const std::string& other);
+double number_or_default(const nlohmann::json& value, double other);
+std::string string_or_default(const nlohmann::json& value, const std::string& other);
 
 // The settings under the module's names (times in ms).
-Settings router_settings_in(const nlohmann::json& settings);
+Settings parse_router_settings(const nlohmann::json& settings);
 
 }  // namespace reedspindle
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -11,7 +11,7 @@
   std::string line;
   for (long number = 1; std::getline(std::cin, line); ++number) {
     try {
-      const std::string reply = host.take(line);
+      const std::string reply = host.handle_line(line);
       if (!reply.empty()) {
         std::cout << reply << std::flush;
       }
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -11,23 +11,25 @@
 using Json = nlohmann::json;
 
 double needed(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) {
+  if (element_or_null(line, at).is_null()) {
     throw InvalidInput("value " + std::to_string(at) + " is missing");
   }
-  return number_or(field(line, at), 0);
+  return number_or_default(element_or_null(line, at), 0);
 }
 
-double ms(const Json& line, std::size_t at) { return number_or(field(line, at), 0) / kNsPerMs; }
+double ms(const Json& line, std::size_t at) {
+  return number_or_default(element_or_null(line, at), 0) / kNsPerMs;
+}
 
 std::string needed_word(const Json& line, std::size_t at) {
-  if (field(line, at).is_null()) {
+  if (element_or_null(line, at).is_null()) {
     throw InvalidInput("value " + std::to_string(at) + " is missing");
   }
-  return word_or(line[at], "");
+  return string_or_default(line[at], "");
 }
 
 std::uint64_t needed_id(const Json& line, std::size_t at) {
-  const Json& value = field(line, at);
+  const Json& value = element_or_null(line, at);
   if (!value.is_number_integer() || value < 0) {
     throw InvalidInput("value " + std::to_string(at) + " is no id");
   }
@@ -40,8 +42,8 @@
   }
   ServerEntry member;
   member.id = {needed_word(row, 0)};
-  member.zone = {static_cast<int>(number_or(field(row, 1), 0))};
-  member.kind = static_cast<int>(number_or(field(row, 2), 0));
+  member.zone = {static_cast<int>(number_or_default(element_or_null(row, 1), 0))};
+  member.kind = static_cast<int>(number_or_default(element_or_null(row, 2), 0));
   member.group = {static_cast<int>(needed(row, 3))};
   const std::string state = needed_word(row, 4);
   if (state == "ready") {
@@ -53,9 +55,9 @@
   } else {
     throw InvalidInput("unknown state " + state);
   }
-  member.size = number_or(field(row, 5), 1);
+  member.size = number_or_default(element_or_null(row, 5), 1);
   member.started_at = ms(row, 6);
-  member.primary = number_or(field(row, 7), 0) > 0;
+  member.primary = number_or_default(element_or_null(row, 7), 0) > 0;
   return member;
 }
 
@@ -80,10 +82,10 @@
     seen.position = zero_ms + load["x0"].get<double>() * 1000;
   }
   if (load.contains("x1")) {
-    seen.role = number_or(load["x1"], 0) > 0 ? Role::primary : Role::replica;
+    seen.role = number_or_default(load["x1"], 0) > 0 ? Role::primary : Role::replica;
   }
   if (load.contains("cpu")) {
-    seen.utilization = number_or(load["cpu"], -1);
+    seen.utilization = number_or_default(load["cpu"], -1);
   }
   return seen;
 }
@@ -125,7 +127,7 @@
 
 }  // namespace
 
-std::string Host::take(const std::string& line) {
+std::string Host::handle_line(const std::string& line) {
   if (line.find_first_not_of(" \t\r") == std::string::npos) {
     return "";
   }
@@ -185,12 +187,12 @@
 void Host::born(const Json& line) {
   const std::string name = needed_word(line, 1);
   const std::uint64_t seed = needed_id(line, 2);
-  const Json& conf = field(line, 3);
+  const Json& conf = element_or_null(line, 3);
   std::erase(order_, name);
   Instance& fresh = instances_[name] = Instance{};
-  const Settings values = router_settings_in(conf);
+  const Settings values = parse_router_settings(conf);
   if (conf.contains("familyInfo") && conf["familyInfo"].is_object()) {
-    fresh.zero_ms = number_or(conf["familyInfo"].value("positionZero", Json(0)), 0) / kNsPerMs;
+    fresh.zero_ms = number_or_default(conf["familyInfo"].value("positionZero", Json(0)), 0) / kNsPerMs;
   }
   touch(name, fresh);
   try {
@@ -205,7 +207,7 @@
   if (number < 0 || number > 15) {
     throw InvalidInput("list number out of range");
   }
-  if (!field(line, 2).is_array()) {
+  if (!element_or_null(line, 2).is_array()) {
     throw InvalidInput("a list without entries");
   }
   std::vector<ServerEntry> members;
@@ -242,9 +244,9 @@
   ended.server = {needed_word(line, 4)};
   ended.outcome = ending_of(line, 5);
   ended.latency = ms(line, 6);
-  ended.request_completed = number_or(field(line, 7), 0) > 0;
-  ended.sample = from_report(field(line, 9), at.zero_ms);
-  const auto note = static_cast<long long>(number_or(field(line, 8), 0));
+  ended.request_completed = number_or_default(element_or_null(line, 7), 0) > 0;
+  ended.sample = from_report(element_or_null(line, 9), at.zero_ms);
+  const auto note = static_cast<long long>(number_or_default(element_or_null(line, 8), 0));
   if (note > 0) {
     ended.sample.role = note % 4 == 1 ? Role::primary : note % 4 == 2 ? Role::replica : Role::unknown;
     if (note / 4 > 0) {
@@ -278,12 +280,12 @@
   } else if (name == "Submit") {
     RequestReceived op;
     op.request = {needed_id(line, 2)};
-    op.token_age = number_or(field(line, 3), 0);
-    op.session = word_or(field(line, 5), "");
+    op.token_age = number_or_default(element_or_null(line, 3), 0);
+    op.session = string_or_default(element_or_null(line, 5), "");
     op.group = {static_cast<int>(needed(line, 6))};
     op.remaining = needed(line, 7) / kNsPerMs;
     op.request_class = {static_cast<int>(needed(line, 9))};
-    op.is_retry = (static_cast<long long>(number_or(field(line, 10), 0)) & 2) != 0;
+    op.is_retry = (static_cast<long long>(number_or_default(element_or_null(line, 10), 0)) & 2) != 0;
     noted = op;
   } else if (name == "Result") {
     noted = result(at, line);
@@ -293,10 +295,11 @@
     noted = TimerExpired{{static_cast<std::int64_t>(needed(line, 2))}};
   } else if (name == "Checked") {
     const bool answered = needed(line, 3) == 1;
-    const ReplicaSample seen = answered ? from_report(field(line, 5), at.zero_ms) : ReplicaSample{};
+    const ReplicaSample seen = answered ? from_report(element_or_null(line, 5), at.zero_ms) : ReplicaSample{};
     noted = ProbeCompleted{{needed_word(line, 2)}, answered, ms(line, 4), seen};
   } else {
-    noted = PeerMessageReceived{static_cast<int>(needed(line, 2)), word_or(field(line, 3), "")};
+    noted = PeerMessageReceived{static_cast<int>(needed(line, 2)),
+                                string_or_default(element_or_null(line, 3), "")};
   }
   try {
     at.router->enqueue(noted);
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -16,7 +16,7 @@
 class Host {
  public:
   // Takes one line; at the end of a batch it returns the whole reply, else nothing. Throws InvalidInput.
-  std::string take(const std::string& line);
+  std::string handle_line(const std::string& line);
 
  private:
   using Json = nlohmann::json;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -28,7 +28,7 @@
       config_(config),
       attempt_done_(std::move(attempt_done)),
       probe_done_(std::move(probe_done)),
-      allowance_(config.memory / kMemoryDivisor) {
+      allowance_(config.memory_bytes / kMemoryDivisor) {
   close_expired_idle();
 }
 
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -23,7 +23,7 @@
 
 // Opens a connection for a queued call. Where all descriptors are used, the longest idle one is closed first.
 void ConnectionPool::open(ServerPool& server) {
-  if (connections_.size() >= config_.store_connections() && !close_longest_idle()) {
+  if (connections_.size() >= config_.server_connections() && !close_longest_idle()) {
     return complete(take_first_queued(server), AttemptOutcome::connect_failed);
   }
   const auto connection = std::make_shared<ServerConnection>(io_, server, allowance_);
--- a/tests/codecs.cpp
+++ b/tests/codecs.cpp
@@ -27,7 +27,7 @@
 void list(const std::string& text) {
   const reedspindle::config::NameTable names{{}, {{"a", {0}}, {"b", {1}}}, {{"m2", 1}}};
   try {
-    const auto list = reedspindle::discovery::read_list(text, names);
+    const auto list = reedspindle::discovery::parse_endpoint_list(text, names);
     std::cout << "  " << (list.kind == reedspindle::EndpointListKind::complete ? "complete " : "changes ")
               << list.revision << '\n';
     const char* states[] = {"ready", "draining", "gone"};
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -25,15 +25,15 @@
   }
 
   std::string play() {
-    poller_.note(Watch{});
+    poller_.enqueue(StartPolling{});
     for (int step = 0; step < kSteps; ++step) {
       now_ += draws_.below(60);
       call_event();
-      for (const PollDecision& decision : poller_.settle(now_)) {
+      for (const PollDecision& decision : poller_.process(now_)) {
         std::visit([this](const auto& one) { add(one); }, decision);
       }
       if (step % 50 == 0) {
-        digest_.add(fmt::format("{} {}", poller_.calling(), poller_.revision()));
+        digest_.add(fmt::format("{} {}", poller_.poll_in_flight(), poller_.revision()));
       }
     }
     for (int list = 0; list < kLists; ++list) {
@@ -50,36 +50,36 @@
   void call_event() {
     const int kind = draws_.below(400);
     if (kind == 0) {
-      poller_.note(Moved{});
+      poller_.enqueue(AddressChanged{});
     } else if (kind == 1) {
-      poller_.note(Doubted{});
+      poller_.enqueue(FullListRequested{});
     } else if (kind == 2) {
-      poller_.note(Stopped{});
+      poller_.enqueue(StopPolling{});
     } else if (kind < 20) {
-      poller_.note(Watch{});
-    } else if (poller_.calling() && kind < 60) {
-      poller_.note(BytesCame{static_cast<std::size_t>(draws_.below(40000))});
-    } else if (poller_.calling() && kind < 90) {
+      poller_.enqueue(StartPolling{});
+    } else if (poller_.poll_in_flight() && kind < 60) {
+      poller_.enqueue(BytesReceived{static_cast<std::size_t>(draws_.below(40000))});
+    } else if (poller_.poll_in_flight() && kind < 90) {
       if (draws_.one_in(3)) {
         ++revision_;
       }
-      poller_.note(AnswerWhole{});
+      poller_.enqueue(ResponseCompleted{});
       handing_on_ = true;
     } else if (handing_on_ && kind < 200) {
       const bool whole = draws_.one_in(3);
-      poller_.note(ListTaken{revision_, whole});
+      poller_.enqueue(ListApplied{revision_, whole});
       handing_on_ = false;
-    } else if (poller_.calling() && kind < 230 && draws_.one_in(2)) {
-      poller_.note(CallFailed{"no", draws_.one_in(4)});
+    } else if (poller_.poll_in_flight() && kind < 230 && draws_.one_in(2)) {
+      poller_.enqueue(PollFailed{"no", draws_.one_in(4)});
       handing_on_ = false;
     }
   }
-  void add(const Call& call) {
+  void add(const SendPoll& call) {
     digest_.add(fmt::format("{} call {} {:.3f}", now_, call.since.value_or(-1), call.wait));
   }
-  void add(const GiveUpCall& /*unused*/) { digest_.add(fmt::format("{} give up", now_)); }
-  void add(const TellFailure& failure) {
-    digest_.add(fmt::format("{} failed {} {:.3f}", now_, failure.in_a_row, failure.next_in));
+  void add(const AbortPoll& /*unused*/) { digest_.add(fmt::format("{} give up", now_)); }
+  void add(const ReportFailure& failure) {
+    digest_.add(fmt::format("{} failed {} {:.3f}", now_, failure.consecutive_failures, failure.retry_in));
   }
   void add(const RequestWakeup& wanted) { digest_.add(fmt::format("{} wake {:.3f}", now_, wanted.at)); }
 
@@ -139,15 +139,15 @@
     return fmt::format("{} {} {} {} {} {:.3f} {:.3f} {} {} {}", digests::hex(entry.id.address),
                        entry.zone.number, entry.kind, entry.group.number, static_cast<int>(entry.state),
                        entry.size, entry.started_at, entry.primary, digests::hex(one.zone),
-                       config::text_of(one.endpoint));
+                       config::format_endpoint(one.endpoint));
   }
   void read(const std::string& text) {
-    table_.begin();
+    table_.begin_list();
     try {
       ListReader reader(catalogue_, [this](ListedEndpoint row, const ListReader::Head& head) {
         digest_.add(fmt::format("row {} {}: {}", head.revision.value_or(-1),
                                 head.whole ? static_cast<int>(*head.whole) : -1, text_of(row)));
-        const auto counts = table_.take(std::move(row));
+        const auto counts = table_.add(std::move(row));
         if (counts) {
           digest_.add("at once " + text_of(*counts));
         }
@@ -160,13 +160,13 @@
       }
       const ListReader::Head head = reader.finish();
       digest_.add(fmt::format("list {} {}", *head.revision, *head.whole));
-      table_.end(*head.whole);
+      table_.end_list(*head.whole);
     } catch (const InvalidInput&) {
       digest_.add("no list");
     }
-    while (table_.has_parts()) {
+    while (table_.has_changes()) {
       const auto rows = static_cast<std::size_t>(draws_.between(1, 5));
-      for (const ListedEndpoint& one : table_.next_part(rows)) {
+      for (const ListedEndpoint& one : table_.next_changes(rows)) {
         digest_.add("part " + text_of(one));
       }
       digest_.add("part ends");
@@ -174,9 +174,9 @@
         break;
       }
     }
-    digest_.add(fmt::format("table {} {}", table_.size(), table_.left_out()));
+    digest_.add(fmt::format("table {} {}", table_.size(), table_.skipped()));
     try {
-      const net::EndpointList list = read_list(text, catalogue_);
+      const net::EndpointList list = parse_endpoint_list(text, catalogue_);
       digest_.add(fmt::format("whole {} {} {} {}", static_cast<int>(list.kind), list.revision,
                               list.servers.size(), list.last));
     } catch (const InvalidInput&) {
--- a/tests/discovery_properties.cpp
+++ b/tests/discovery_properties.cpp
@@ -29,7 +29,7 @@
   Manner manner = Manner::answers;
   long long revision = 1;
   struct Open {
-    Call call;
+    SendPoll call;
     Millis asked = 0;
     Manner manner = Manner::answers;
     std::optional<Millis> done;  // its answer has come whole
@@ -43,7 +43,7 @@
   return rc::check("a change is known 6 s after discovery had it and could be reached", [] {
     Poller poller(*rc::gen::inRange<std::uint64_t>(1, 100000));
     Service service;
-    poller.note(Watch{});
+    poller.enqueue(StartPolling{});
     Millis now = 0;
     Millis reachable_since = 0;
     std::map<long long, Millis> changed_at{{1, 0}};
@@ -78,7 +78,7 @@
         next_manner = now + *rc::gen::inRange(100, 12000);
       }
       if (*rc::gen::inRange(0, 2000) == 0) {
-        poller.note(Doubted{});
+        poller.enqueue(FullListRequested{});
       }
       if (Service::Open* const open = service.call.get()) {
         using Manner = Service::Manner;
@@ -87,30 +87,30 @@
         if (open->manner == Manner::refuses || open->manner == Manner::turns_away) {
           service.call.reset();
           for_nothing();
-          poller.note(CallFailed{"no", false});
+          poller.enqueue(PollFailed{"no", false});
         } else if (open->manner != Manner::silent && due) {
           const Millis takes = open->manner == Manner::slow ? 1500 : 20;
           if (!open->done) {
             open->done = now + takes;
           }
-          poller.note(BytesCame{64 * 1024});
+          poller.enqueue(BytesReceived{64 * 1024});
           if (now >= *open->done) {
             const bool whole = !open->call.since;
             if (!news) {
               for_nothing();
             }
             service.call.reset();
-            poller.note(AnswerWhole{});
-            poller.note(ListTaken{service.revision, whole});
+            poller.enqueue(ResponseCompleted{});
+            poller.enqueue(ListApplied{service.revision, whole});
           }
         }
       }
-      for (const PollDecision& decision : poller.settle(now)) {
-        if (const auto* call = std::get_if<Call>(&decision)) {
+      for (const PollDecision& decision : poller.process(now)) {
+        if (const auto* call = std::get_if<SendPoll>(&decision)) {
           RC_ASSERT(!service.call);
           service.call = std::make_unique<Service::Open>(*call, now, service.manner, std::nullopt);
         }
-        if (std::holds_alternative<GiveUpCall>(decision)) {
+        if (std::holds_alternative<AbortPoll>(decision)) {
           service.call.reset();
         }
       }
@@ -153,7 +153,7 @@
     for (int list = 0; list < lists; ++list) {
       const bool whole = *rc::gen::arbitrary<bool>();
       const bool ends = *rc::gen::inRange(0, 4) > 0;
-      table.begin();
+      table.begin_list();
       View next = whole ? View{} : wanted;
       View leaving = wanted;
       const int rows = *rc::gen::inRange(0, 12);
@@ -171,16 +171,16 @@
             leaving.erase(known);
           }
         }
-        if (const auto now = table.take(row)) {
+        if (const auto now = table.add(row)) {
           RC_ASSERT(now->entry.state != ServerState::ready);
           apply(held, *now);
         }
       }
       if (ends) {
-        table.end(whole);
+        table.end_list(whole);
       }
-      while (table.has_parts()) {
-        const auto part = table.next_part(3);
+      while (table.has_changes()) {
+        const auto part = table.next_changes(3);
         RC_ASSERT(!part.empty() && part.size() <= 3);
         for (const ListedEndpoint& row : part) {
           apply(held, row);
@@ -219,7 +219,7 @@
                      RC_ASSERT(reader.finish().revision == 7);
                      RC_ASSERT(read.size() == static_cast<std::size_t>(rows));
                      const auto cut = *rc::gen::inRange<std::size_t>(0, text.size());
-                     RC_ASSERT_THROWS_AS(read_list(text.substr(0, cut), names), InvalidInput);
+                     RC_ASSERT_THROWS_AS(parse_endpoint_list(text.substr(0, cut), names), InvalidInput);
                    });
 }
 
--- a/tests/log.cpp
+++ b/tests/log.cpp
@@ -51,7 +51,7 @@
   for (const bool json : {false, true}) {
     std::cout << (json ? "json" : "text") << '\n';
     Log log(clock);
-    log.be({json ? LogForm::json : LogForm::text, LogLevel::info, 3});
+    log.set_options({json ? LogFormat::json : LogFormat::text, LogLevel::info, 3});
     log.debug("stores", "below the level");
     log.info("stores", "seen", {{"member", "s-1"}, {"lag", 12.5}, {"count", 3}, {"empty", ""}});
     log.warn("stores", "hostile", {{"why", "a \"b\" c=d\n2026 error forged: line\x01"}});
@@ -65,7 +65,7 @@
   }
   std::cout << "a reader that does not read\n";
   Log log(clock);
-  log.be({LogForm::text, LogLevel::info, 1'000'000});
+  log.set_options({LogFormat::text, LogLevel::info, 1'000'000});
   const std::string padding(100, 'x');
   for (int i = 0; i < 5000; ++i) {
     log.info("flood", "line", {{"padding", padding}}), log.flush();
--- a/testservers/world.cpp
+++ b/testservers/world.cpp
@@ -46,9 +46,9 @@
   over.get_future().wait();
 }
 
-std::string World::discovery_address() const { return config::text_of(discovery_.at()); }
+std::string World::discovery_address() const { return config::format_endpoint(discovery_.at()); }
 std::string World::name_of(int store) const { return fmt::format("s-{:03}", store); }
-std::string World::address_of(int store) const { return config::text_of(stores_.at(store)); }
+std::string World::address_of(int store) const { return config::format_endpoint(stores_.at(store)); }
 int World::store_at(const std::string& address) const {
   for (int store = 0; store < size(); ++store) {
     if (address_of(store) == address) {
