--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -203,7 +203,7 @@
   if (wake_ && wake_time_ <= at) {
     return;
   }
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
   wake_time_ = at;
   wake_ = timers_.set(at, [this] {
     wake_.reset();
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -118,7 +118,7 @@
 void Client::stop() {
   poller_.note(Stopped{});
   settle();
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
 }
 
 void Client::settle() {
@@ -128,7 +128,7 @@
 }
 
 void Client::carry_out(const RequestWakeup& wake) {
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
   wake_ = timers_.set(wake.at, [this] {
     wake_.reset();
     // Guards against calling a discovery silent whose bytes wait in the kernel, where the process was held
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -222,7 +222,7 @@
   // Something to wait for even while no front speaks.
   const auto turn = timers_.set(clock_.now() + span, [] {});
   io_.run_for(std::chrono::microseconds(static_cast<long long>(span * 1000)));
-  timers_.drop(turn);
+  timers_.cancel(turn);
 }
 
 Outcome FaultTest::carry_out(const Step& step) {
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -630,7 +630,7 @@
   run_for(static_cast<Millis>(day_.rest.count()));
   resting_ = true;
   run_for(kPatience + kLostAfter);
-  timers_.drop(hold);
+  timers_.cancel(hold);
 
   cost_.connections = servers_.accepted();
   cost_.probes = servers_.probes();
--- a/src/faulttest/streams.cpp
+++ b/src/faulttest/streams.cpp
@@ -238,8 +238,8 @@
   asio::error_code ignored;
   connection->opener.close(ignored);
   connection->target.close(ignored);
-  timers_.drop(connection->to.wake);
-  timers_.drop(connection->back.wake);
+  timers_.cancel(connection->to.wake);
+  timers_.cancel(connection->back.wake);
   const Millis now = clock_.now();
   for (const Endpoint& end : {connection->far, connection->near}) {
     if (ends_.erase(end) > 0) {
--- a/src/faulttest/test_clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -100,12 +100,12 @@
   next();
 }
 
-void TestClients::rest() { timers_.drop(next_); }
+void TestClients::rest() { timers_.cancel(next_); }
 
 // By a clock of its own: where the loop was late, ops that were meant for then are sent now and count from
 // then.
 void TestClients::next() {
-  timers_.drop(next_);
+  timers_.cancel(next_);
   const Millis now = clock_.now();
   while (meant_ <= now) {
     const auto op = std::make_shared<Op>();
@@ -242,7 +242,7 @@
         }
         connection->held.append(connection->bytes.data(), count);
         for (;;) {
-          const postgres::Read read = postgres::read_from_store(connection->held);
+          const postgres::ReadResult read = postgres::read_from_server(connection->held);
           const auto* message = std::get_if<postgres::Message>(&read);
           if (!message) {
             break;
@@ -342,7 +342,7 @@
 }
 
 void TestClients::end(const std::shared_ptr<Op>& op, Came came, Millis at) {
-  timers_.drop(op->limit);
+  timers_.cancel(op->limit);
   ops_.erase(op->id);
   commits_.erase(op->id);
   const Millis span = std::floor(op->meant / kTallied) * kTallied;
--- a/src/faulttest/test_discovery.cpp
+++ b/src/faulttest/test_discovery.cpp
@@ -46,7 +46,7 @@
   link->socket.async_read_some(asio::buffer(link->bytes),
                                [this, link](const asio::error_code& fault, std::size_t count) {
                                  if (fault) {
-                                   return timers_.drop(link->until);
+                                   return timers_.cancel(link->until);
                                  }
                                  link->held.append(link->bytes.data(), count);
                                  const std::size_t end = link->held.find("\r\n\r\n");
@@ -64,7 +64,7 @@
     const std::size_t at = line.find(name);
     return at == std::string::npos ? other : std::stoll(line.substr(at + std::string(name).size()));
   };
-  timers_.drop(link->until);
+  timers_.cancel(link->until);
   ++calls_;
   link->since = number("since=", -1);
   if (silent_) {
@@ -102,7 +102,7 @@
 
 void TestDiscovery::answer(const Linked& link, const std::string& body, long long revision) {
   link->since = -1;
-  timers_.drop(link->until);
+  timers_.cancel(link->until);
   link->out = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
   link->sent += link->out.size();
   if (written_) {
--- a/src/faulttest/test_stores.cpp
+++ b/src/faulttest/test_stores.cpp
@@ -37,11 +37,11 @@
                                   std::string("\0\0\0\31\377\377\377\377\377\377\0\0", 12);
   return message('T', description) +
          message('D', std::string("\0\1", 2) + big_endian(static_cast<std::uint32_t>(value.size())) + value) +
-         postgres::completed(tag);
+         postgres::command_complete(tag);
 }
 
 std::string failed(const char* code, const char* text) {
-  return postgres::error(postgres::Severity::error, code, text) + postgres::ready();
+  return postgres::error(postgres::Severity::error, code, text) + postgres::ready_for_query();
 }
 
 }  // namespace
@@ -181,8 +181,8 @@
           return;
         }
         for (;;) {
-          const postgres::Read read = connection->started ? postgres::read_from_client(connection->held)
-                                                          : postgres::read_startup(connection->held);
+          const postgres::ReadResult read = connection->started ? postgres::read_from_client(connection->held)
+                                                                : postgres::read_startup(connection->held);
           const auto* asked = std::get_if<postgres::Message>(&read);
           if (!asked) {
             break;
@@ -191,7 +191,7 @@
           const bool asks = asked->type == 'Q';
           connection->held.erase(0, asked->bytes.size());
           if (!std::exchange(connection->started, true)) {
-            answer(connection, postgres::welcome());
+            answer(connection, postgres::startup_response());
           } else if (asks) {
             take(connection, text);
           }
@@ -211,14 +211,14 @@
     return answer(connection, row(fmt::format("x0={:.6f},x1={},cpu={:.2f}", position(place.store) / 1000,
                                               place.state.primary ? 1 : 0, std::min(1.0, load)),
                                   "SHOW") +
-                                  postgres::ready());
+                                  postgres::ready_for_query());
   }
   const auto read = postgres::read_statement(text);
   const auto* statement = std::get_if<postgres::Statement>(&read);
   if (!statement) {
     // Blanks are answered and do nothing; a store closes on anything else.
     if (postgres::first_word(text).empty()) {
-      return answer(connection, postgres::empty_answer());
+      return answer(connection, postgres::empty_query_response());
     }
     asio::error_code ignored;
     connection->socket.close(ignored);
@@ -301,7 +301,8 @@
   }
   answer(connection, row("\x9f" + job.request, job.writes ? "INSERT 0 1" : "SELECT 1") +
                          parameter("rank", place.state.primary ? "source" : "copy") +
-                         parameter("as_of", fmt::format("{:.0f}", std::floor(position))) + postgres::ready());
+                         parameter("as_of", fmt::format("{:.0f}", std::floor(position))) +
+                         postgres::ready_for_query());
 }
 
 void TestStores::answer(const Connected& connection, const std::string& bytes) {
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -10,9 +10,9 @@
 namespace reedspindle::net {
 
 // A number of bytes that several owners share. Each gives back what it has taken.
-class Allowance {
+class MemoryBudget {
  public:
-  explicit Allowance(std::size_t bytes) : left_(bytes) {}
+  explicit MemoryBudget(std::size_t bytes) : left_(bytes) {}
   // False: so many bytes are not left, and none are taken.
   [[nodiscard]] bool take(std::size_t bytes) {
     if (bytes > left_) {
@@ -21,30 +21,30 @@
     left_ -= bytes;
     return true;
   }
-  void give(std::size_t bytes) { left_ += bytes; }
+  void release(std::size_t bytes) { left_ += bytes; }
 
  private:
   std::size_t left_;
 };
 
-// Grows as needed, and is compacted in place. Its size is taken from the allowance, which has to outlive it.
+// Grows as needed, and is compacted in place. Its size is taken from the budget, which has to outlive it.
 class Buffer {
  public:
-  explicit Buffer(Allowance& allowance) : allowance_(allowance) {}
-  ~Buffer() { allowance_.give(bytes_.size()); }
+  explicit Buffer(MemoryBudget& budget) : budget_(budget) {}
+  ~Buffer() { budget_.release(bytes_.size()); }
   Buffer(const Buffer&) = delete;
 
-  // The bytes that have been read and not yet consumed. Valid until the next call of room().
-  [[nodiscard]] std::string_view held() const { return {bytes_.data() + begin_, end_ - begin_}; }
+  // The bytes that have been read and not yet consumed. Valid until the next call of prepare().
+  [[nodiscard]] std::string_view data() const { return {bytes_.data() + begin_, end_ - begin_}; }
 
-  // Space for the next read: at least so many bytes, or none where the allowance is used up. Valid until the
+  // Space for the next read: at least so many bytes, or none where the budget is used up. Valid until the
   // next call. A buffer that has grown is released once it is empty.
-  std::span<char> room(std::size_t least) {
+  std::span<char> prepare(std::size_t least) {
     if (begin_ == end_) {
       begin_ = end_ = 0;
     }
     if (end_ == 0 && bytes_.size() > kUsualBytes) {
-      allowance_.give(bytes_.size());
+      budget_.release(bytes_.size());
       std::vector<char>().swap(bytes_);
     }
     if (bytes_.size() - end_ < least && begin_ > 0) {
@@ -54,7 +54,7 @@
     }
     if (bytes_.size() - end_ < least) {
       const std::size_t wanted = std::max(2 * bytes_.size(), end_ + least);
-      if (!allowance_.take(wanted - bytes_.size())) {
+      if (!budget_.take(wanted - bytes_.size())) {
         return {};
       }
       bytes_.resize(wanted);
@@ -62,13 +62,13 @@
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
   // So many bytes have been read into the space.
-  void filled(std::size_t count) { end_ += count; }
+  void commit(std::size_t count) { end_ += count; }
   // So many of the first bytes are not needed any more.
   void consume(std::size_t count) { begin_ += count; }
 
  private:
   static constexpr std::size_t kUsualBytes = 8192;  // enough for nearly every message
-  Allowance& allowance_;
+  MemoryBudget& budget_;
   std::vector<char> bytes_;
   std::size_t begin_ = 0;
   std::size_t end_ = 0;
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -15,11 +15,11 @@
 class Clock {
  public:
   // Set apart from the machine's by as much, for trials.
-  explicit Clock(Millis apart = 0) : apart_(apart) {}
+  explicit Clock(Millis offset = 0) : offset_(offset) {}
 
   [[nodiscard]] Millis now() const {
     using Fraction = std::chrono::duration<double, std::milli>;
-    return start_.unix + apart_ + Fraction(std::chrono::steady_clock::now() - start_.steady).count();
+    return start_.unix + offset_ + Fraction(std::chrono::steady_clock::now() - start_.steady).count();
   }
 
  private:
@@ -46,7 +46,7 @@
     return best;
   }
 
-  const Millis apart_;
+  const Millis offset_;
   const Start start_ = start();
 };
 
@@ -73,9 +73,9 @@
     }
     return due_.begin()->first.first;
   }
-  void drop(const Handle& handle) { due_.erase(handle); }
+  void cancel(const Handle& handle) { due_.erase(handle); }
   // The same for one that may be set; it is set no more.
-  void drop(std::optional<Handle>& handle) {
+  void cancel(std::optional<Handle>& handle) {
     if (handle) {
       due_.erase(*handle);
     }
--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -47,7 +47,7 @@
   if (type == 'X' || type == 'S' || type == 'H' || type == 'c') {
     return 4;
   }
-  return std::string_view("QPBDECdfF").find(type) != std::string_view::npos ? kLongestMessage : 0;
+  return std::string_view("QPBDECdfF").find(type) != std::string_view::npos ? kMaxMessageBytes : 0;
 }
 std::size_t longest_from_store(char type) {
   constexpr std::size_t kShort = 64;
@@ -55,7 +55,7 @@
   constexpr std::size_t kText = 8192;
   switch (type) {
     case 'D':
-      return kLongestValue + 10;
+      return kMaxValueBytes + 10;
     case 'S':
     case 'E':
     case 'N':
@@ -68,7 +68,7 @@
 }
 std::size_t longest_startup(char /*unused*/) { return 10000; }  // as PostgreSQL has it
 
-Read read(std::string_view held, std::size_t type_size, Longest longest) {
+ReadResult read(std::string_view held, std::size_t type_size, Longest longest) {
   const std::size_t head = type_size + 4;
   if (held.empty()) {
     return Partial{};
@@ -139,14 +139,14 @@
   return {item.substr(0, equals), item.substr(std::min(equals + 1, item.size()))};
 }
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double number = 0;
   return number_of(text, number) ? std::optional(number) : std::nullopt;
 }
 
-Read read_from_client(std::string_view held) { return read(held, 1, longest_from_client); }
-Read read_from_store(std::string_view held) { return read(held, 1, longest_from_store); }
-Read read_startup(std::string_view held) { return read(held, 0, longest_startup); }
+ReadResult read_from_client(std::string_view held) { return read(held, 1, longest_from_client); }
+ReadResult read_from_server(std::string_view held) { return read(held, 1, longest_from_store); }
+ReadResult read_startup(std::string_view held) { return read(held, 0, longest_startup); }
 
 Startup startup_kind(const Message& message) {
   if (message.body.size() < 4) {
@@ -204,7 +204,7 @@
       return no_form("the value does not read");
     }
     const std::string_view value = take_up_to(rest, '\'');
-    if (value.size() > 2 * kLongestValue) {
+    if (value.size() > 2 * kMaxValueBytes) {
       return Fault{"54000", "the value is too long"};
     }
     if (value.size() % 2 != 0 || !all_of(value, hex)) {
@@ -260,12 +260,12 @@
   if (!repeat.empty() && repeat != "1") {
     return wrong("r");
   }
-  statement.repeat = !repeat.empty();
-  statement.patience_place = {static_cast<std::size_t>(patience.data() - text.data()), patience.size()};
+  statement.is_retry = !repeat.empty();
+  statement.remaining_span = {static_cast<std::size_t>(patience.data() - text.data()), patience.size()};
   return statement;
 }
 
-std::string with_patience(std::string_view text, TextSpan place, double patience) {
+std::string with_remaining_time(std::string_view text, TextSpan place, double patience) {
   std::string out(text.substr(0, place.at));
   out += std::to_string(static_cast<long long>(std::max(1.0, std::ceil(patience))));
   return out.append(text.substr(place.at + place.size));
@@ -293,7 +293,7 @@
   return fields;
 }
 
-bool read_tag(std::string_view body) {
+bool is_command_tag(std::string_view body) {
   const auto text = take_text(body);
   return text && !text->empty() && body.empty() && all_of(*text, printable);
 }
@@ -342,7 +342,7 @@
 
 std::string query(std::string_view text) { return message('Q', std::string(text) + '\0'); }
 
-std::string welcome(const CancelKey& key) {
+std::string startup_response(const CancelKey& key) {
   using namespace std::string_literals;
   std::string out = message('R', "\0\0\0\0"s);
   for (const std::string& parameter : {"server_version\0"s + "15.0\0"s, "server_encoding\0UTF8\0"s,
@@ -352,14 +352,14 @@
   std::string numbers;
   put(numbers, key.process, 4);
   put(numbers, key.secret, 4);
-  return out + message('K', numbers) + ready();
+  return out + message('K', numbers) + ready_for_query();
 }
 
-std::string ready() { return message('Z', "I"); }
+std::string ready_for_query() { return message('Z', "I"); }
 
-std::string empty_answer() { return message('I', "") + ready(); }
+std::string empty_query_response() { return message('I', "") + ready_for_query(); }
 
-std::string completed(std::string_view tag) { return message('C', std::string(tag) + '\0'); }
+std::string command_complete(std::string_view tag) { return message('C', std::string(tag) + '\0'); }
 
 std::string error(Severity severity, std::string_view code, std::string_view text, std::string_view detail) {
   const std::string_view word = severity == Severity::fatal ? "FATAL" : "ERROR";
--- a/src/postgres/codec.hpp
+++ b/src/postgres/codec.hpp
@@ -14,8 +14,8 @@
 namespace reedspindle::postgres {
 
 // In bytes. A value is written as hexadecimal digits, two for each byte; the rest of a statement is short.
-constexpr std::size_t kLongestValue = 64 * 1024;
-constexpr std::size_t kLongestMessage = 2 * kLongestValue + 1024;
+constexpr std::size_t kMaxValueBytes = 64 * 1024;
+constexpr std::size_t kMaxMessageBytes = 2 * kMaxValueBytes + 1024;
 
 struct Message {
   char type = 0;           // 0: a startup message, which has no type byte
@@ -29,13 +29,13 @@
   std::string code;  // SQLSTATE
   std::string text;
 };
-using Read = std::variant<Partial, Message, Fault>;
+using ReadResult = std::variant<Partial, Message, Fault>;
 
 // The first message in the buffered bytes. What can't become a message of that sender is a fault as soon as
 // its type or its length has come.
-[[nodiscard]] Read read_from_client(std::string_view held);
-[[nodiscard]] Read read_from_store(std::string_view held);
-[[nodiscard]] Read read_startup(std::string_view held);
+[[nodiscard]] ReadResult read_from_client(std::string_view held);
+[[nodiscard]] ReadResult read_from_server(std::string_view held);
+[[nodiscard]] ReadResult read_startup(std::string_view held);
 
 // What a startup message asks for: a session, TLS or GSSAPI encryption, or to cancel a request.
 enum class Startup { session, encryption, cancel, unknown };
@@ -54,7 +54,7 @@
 [[nodiscard]] std::pair<std::string_view, std::string_view> name_and_value(std::string_view item);
 
 // The finite number that the text consists of; none: it is anything else.
-[[nodiscard]] std::optional<double> number(std::string_view text);
+[[nodiscard]] std::optional<double> parse_number(std::string_view text);
 
 // Where a part of a text is, in bytes.
 struct TextSpan {
@@ -72,14 +72,14 @@
   int group = 0;
   double position = 0;      // Unix milliseconds up to which the read has to see writes; 0: none
   std::string_view token;   // empty: none
-  bool repeat = false;      // a retry by the client
-  TextSpan patience_place;  // where the remaining time is
+  bool is_retry = false;    // a retry by the client
+  TextSpan remaining_span;  // where the remaining time is
 };
 // The first word in capitals; empty: there is nothing but blanks and semicolons.
 [[nodiscard]] std::string first_word(std::string_view text);
 [[nodiscard]] std::variant<Statement, Fault> read_statement(std::string_view text);
 // The same text with another remaining time, in milliseconds.
-[[nodiscard]] std::string with_patience(std::string_view text, TextSpan place, double patience);
+[[nodiscard]] std::string with_remaining_time(std::string_view text, TextSpan place, double patience);
 
 // The bodies of a server's messages; none or false: the body can't be read.
 struct ErrorFields {
@@ -90,15 +90,15 @@
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view body);
 bool describes_one_column(std::string_view row_description);
 std::optional<std::string_view> read_row(std::string_view data_row);  // its one value, which is not null
-bool read_tag(std::string_view body);                                 // of CommandComplete
+bool is_command_tag(std::string_view body);                           // of CommandComplete
 
 // Messages to send, as bytes.
 std::string startup(std::string_view user, std::string_view database);
 std::string query(std::string_view text);
-std::string welcome(const CancelKey& key = {});  // AuthenticationOk up to ReadyForQuery
-std::string ready();
-std::string empty_answer();
-std::string completed(std::string_view tag);
+std::string startup_response(const CancelKey& key = {});  // AuthenticationOk up to ReadyForQuery
+std::string ready_for_query();
+std::string empty_query_response();
+std::string command_complete(std::string_view tag);
 enum class Severity { error, fatal };
 std::string error(Severity severity, std::string_view code, std::string_view text,
                   std::string_view detail = "");
--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -12,7 +12,7 @@
 namespace {
 using Tcp = asio::ip::tcp;
 // How much a client may send ahead of its answers: one message of the longest kind.
-constexpr std::size_t kReadAheadBytes = postgres::kLongestMessage + 5;
+constexpr std::size_t kReadAheadBytes = postgres::kMaxMessageBytes + 5;
 constexpr std::size_t kReadBytes = 2048;  // the least that one read has space for
 // How many commands of one connection are handled at the same time: several times what a client sends within
 // one slow answer. A command that waits longer than its client does, behind answers to others, is lost.
@@ -46,7 +46,7 @@
   }
   const bool discards = !connection->accepts_commands();
   if (discards ? connection->discarded > kReadAheadBytes
-               : connection->buffer.held().size() >= kReadAheadBytes) {
+               : connection->buffer.data().size() >= kReadAheadBytes) {
     return;
   }
   connection->reading = true;
@@ -63,7 +63,7 @@
 }
 
 void ClientConnections::read_now(const ConnectionPtr& connection) {
-  const auto space = connection->buffer.room(kReadBytes);
+  const auto space = connection->buffer.prepare(kReadBytes);
   if (space.empty()) {
     log_.warn("clients", "connection ended", {{"why", "clients make the front hold too much"}});
     return abort(*connection);
@@ -80,7 +80,7 @@
     connection->discarded += count;
     return read(connection);
   }
-  connection->buffer.filled(count);
+  connection->buffer.commit(count);
   connection->last_activity = clock_.now();
   handle_commands(*connection);
   read(connection);
@@ -93,11 +93,11 @@
   if (connection.state == State::lingering || connection.state == State::closed) {
     return;
   }
-  const bool mid_message = !connection.buffer.held().empty() && connection.replies.size() < kMaxPipelined;
+  const bool mid_message = !connection.buffer.data().empty() && connection.replies.size() < kMaxPipelined;
   const bool waits_for_client =
       connection.writing || (connection.accepts_commands() && (!connection.command_seen || mid_message));
   if (!waits_for_client) {
-    timers_.drop(connection.deadline);
+    timers_.cancel(connection.deadline);
   }
   if (!waits_for_client || connection.deadline) {
     return;
@@ -124,13 +124,14 @@
 void ClientConnections::handle_commands(ClientConnection& connection) {
   using State = ClientConnection::State;
   while (connection.accepts_commands() && connection.replies.size() < kMaxPipelined) {
-    if (!connection.reading && connection.buffer.held().size() >= kReadAheadBytes &&
+    if (!connection.reading && connection.buffer.data().size() >= kReadAheadBytes &&
         has_hung_up(connection)) {
       return handle_disconnect(connection);
     }
-    const std::string_view held = connection.buffer.held();
+    const std::string_view held = connection.buffer.data();
     const bool starting = connection.state == State::starting;
-    const postgres::Read next = starting ? postgres::read_startup(held) : postgres::read_from_client(held);
+    const postgres::ReadResult next =
+        starting ? postgres::read_startup(held) : postgres::read_from_client(held);
     if (std::holds_alternative<postgres::Partial>(next)) {
       break;
     }
@@ -146,13 +147,13 @@
       return;
     }
     connection.buffer.consume(size);
-    timers_.drop(connection.deadline);
+    timers_.cancel(connection.deadline);
     if (result == CommandResult::answered && connection.writing) {
       break;
     }
   }
   const bool between_commands =
-      connection.buffer.held().empty() || rejecting_;  // half a command does not count
+      connection.buffer.data().empty() || rejecting_;  // half a command does not count
   if (connection.state == State::open && accept_stopped_ && between_commands && is_evictable(connection)) {
     return begin_close(connection);
   }
@@ -170,7 +171,7 @@
   }
   if (message.type == 'S') {
     connection.skipping_to_sync = false;
-    return reply(connection, postgres::ready());
+    return reply(connection, postgres::ready_for_query());
   }
   if (connection.skipping_to_sync) {
     return CommandResult::pending;
@@ -186,7 +187,7 @@
   // The extended protocol: skipped up to its Sync, as the protocol specifies after an error.
   connection.skipping_to_sync = message.type != 'F';
   return reply(connection, postgres::error(postgres::Severity::error, "0A000", "simple queries only") +
-                               (connection.skipping_to_sync ? "" : postgres::ready()));
+                               (connection.skipping_to_sync ? "" : postgres::ready_for_query()));
 }
 
 ClientConnections::CommandResult ClientConnections::handle_startup(ClientConnection& connection,
@@ -198,7 +199,7 @@
       connection.state = ClientConnection::State::open;
       connection.cancel_key = postgres::CancelKey{++last_connection_, std::random_device()()};
       cancel_keys_[*connection.cancel_key] = &connection;
-      return reply(connection, postgres::welcome(*connection.cancel_key));
+      return reply(connection, postgres::startup_response(*connection.cancel_key));
     case postgres::Startup::cancel:
       if (const auto key = postgres::cancel_key(message)) {
         cancel(*key);
@@ -217,14 +218,14 @@
   const std::string word = postgres::first_word(text);
   if (word.empty()) {
     if (ready_) {
-      return reply(connection, postgres::empty_answer());
+      return reply(connection, postgres::empty_query_response());
     }
     connection.replies.add_readiness();
     return CommandResult::answered;
   }
   for (const char* harmless : {"SET", "RESET", "DISCARD"}) {
     if (word == harmless) {
-      return reply(connection, postgres::completed(harmless) + postgres::ready());
+      return reply(connection, postgres::command_complete(harmless) + postgres::ready_for_query());
     }
   }
   return handle_statement(connection, text);
@@ -252,8 +253,8 @@
     close_with_error(connection, fault->code, fault->text);
     return CommandResult::answered;
   }
-  return reply(connection,
-               postgres::error(postgres::Severity::error, fault->code, fault->text) + postgres::ready());
+  return reply(connection, postgres::error(postgres::Severity::error, fault->code, fault->text) +
+                               postgres::ready_for_query());
 }
 
 void ClientConnections::answer(RequestId request, std::string bytes) {
@@ -266,8 +267,8 @@
   connection.last_activity = clock_.now();
   static const std::string kReplyTooLarge =
       postgres::error(postgres::Severity::error, "53200", "answers that wait behind others take too much") +
-      postgres::ready();
-  connection.replies.complete(request, std::move(bytes) + postgres::ready(), kReplyTooLarge);
+      postgres::ready_for_query();
+  connection.replies.complete(request, std::move(bytes) + postgres::ready_for_query(), kReplyTooLarge);
   flush(connection);
 }
 
@@ -322,7 +323,7 @@
   if (connection.state == ClientConnection::State::lingering) {
     return begin_close(connection);
   }
-  timers_.drop(connection.deadline);
+  timers_.cancel(connection.deadline);
   flush(connection);
   if (connection.state == ClientConnection::State::closing) {
     if (connection.replies.empty() && !connection.writing) {
@@ -344,8 +345,8 @@
 void ClientConnections::close_after_replies(ClientConnection& connection) {
   const ConnectionPtr held = *connection.place;
   connection.state = ClientConnection::State::closing;
-  connection.buffer.consume(connection.buffer.held().size());
-  timers_.drop(connection.deadline);
+  connection.buffer.consume(connection.buffer.data().size());
+  timers_.cancel(connection.deadline);
   flush(connection);
   if (connection.replies.empty() && !connection.writing) {
     return begin_close(connection);
@@ -362,8 +363,8 @@
   if (connection.state != ClientConnection::State::lingering) {
     connection.state = ClientConnection::State::lingering;
     ++lingering_;
-    connection.buffer.consume(connection.buffer.held().size());
-    timers_.drop(connection.deadline);
+    connection.buffer.consume(connection.buffer.data().size());
+    timers_.cancel(connection.deadline);
     connection.deadline = timers_.set(clock_.now() + kLingerTime, [this, held] {
       held->deadline.reset();
       close(*held);
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -25,8 +25,9 @@
     closed,
   };
 
-  ClientConnection(asio::ip::tcp::socket accepted, net::Allowance& buffers, net::Allowance& reply_allowance)
-      : socket(std::move(accepted)), buffer(buffers), replies(reply_allowance) {}
+  ClientConnection(asio::ip::tcp::socket accepted, net::MemoryBudget& buffers,
+                   net::MemoryBudget& reply_budget)
+      : socket(std::move(accepted)), buffer(buffers), replies(reply_budget) {}
 
   [[nodiscard]] bool accepts_commands() const { return state == State::starting || state == State::open; }
   static State state_of(const std::shared_ptr<ClientConnection>& connection) { return connection->state; }
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -40,8 +40,8 @@
       config_(config),
       owner_(owner),
       acceptor_(io),
-      allowance_(config.memory / kMemoryDivisor),
-      reply_allowance_(config.memory / kMemoryDivisor) {}
+      budget_(config.memory / kMemoryDivisor),
+      reply_budget_(config.memory / kMemoryDivisor) {}
 
 void ClientConnections::listen() {
   acceptor_.open(config_.listen.protocol());
@@ -100,7 +100,7 @@
     return;
   }
   for (const ConnectionPtr& connection : std::list(connections_)) {
-    connection->replies.complete_readiness(postgres::empty_answer());
+    connection->replies.complete_readiness(postgres::empty_query_response());
     flush(*connection);
   }
 }
@@ -128,7 +128,7 @@
   asio::error_code ignored;
   socket.set_option(Tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
-  const auto connection = std::make_shared<ClientConnection>(std::move(socket), allowance_, reply_allowance_);
+  const auto connection = std::make_shared<ClientConnection>(std::move(socket), budget_, reply_budget_);
   connection->last_activity = clock_.now();
   const bool has_capacity = active_connections() < config_.client_connections() || free_capacity();
   connection->place = connections_.insert(connections_.end(), connection);
@@ -163,7 +163,7 @@
     if (!is_evictable(*connection)) {
       continue;
     }
-    if (!connection->command_seen && connection->buffer.held().empty()) {
+    if (!connection->command_seen && connection->buffer.data().empty()) {
       if (!silent) {
         silent = connection.get();
       }
@@ -202,7 +202,7 @@
   if (connection.cancel_key) {
     cancel_keys_.erase(*connection.cancel_key);
   }
-  timers_.drop(connection.deadline);
+  timers_.cancel(connection.deadline);
   asio::error_code ignored;
   connection.socket.close(ignored);
   const ConnectionPtr last = *connection.place;
@@ -252,9 +252,9 @@
 }
 
 void ClientConnections::stop() {
-  timers_.drop(accept_timer_);
-  timers_.drop(check_timer_);
-  timers_.drop(drain_timer_);
+  timers_.cancel(accept_timer_);
+  timers_.cancel(check_timer_);
+  timers_.cancel(drain_timer_);
   asio::error_code ignored;
   acceptor_.close(ignored);
   while (!connections_.empty()) {
--- a/src/proxy/client_connections.hpp
+++ b/src/proxy/client_connections.hpp
@@ -95,8 +95,8 @@
   const config::InstanceConfig& config_;
   RequestOwner& owner_;
   asio::ip::tcp::acceptor acceptor_;
-  net::Allowance allowance_;              // bounds what all connections buffer together
-  net::Allowance reply_allowance_;        // bounds the replies that wait behind others
+  net::MemoryBudget budget_;              // bounds what all connections buffer together
+  net::MemoryBudget reply_budget_;        // bounds the replies that wait behind others
   std::list<ConnectionPtr> connections_;  // the owner of each
   std::size_t lingering_ = 0;             // how many of them are lingering
   std::map<RequestId, ClientConnection*> requests_;
--- a/src/proxy/decision_execution.cpp
+++ b/src/proxy/decision_execution.cpp
@@ -20,7 +20,7 @@
                 {"ms", clock_.now() - request.arrived}});
   }
   connection_pool_.start_attempt(decision.request, decision, last_run_, {number}, request.text,
-                                 request.patience_span);
+                                 request.remaining_span);
 }
 
 void ProxyServer::execute(const CancelAttempt& decision) {
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -98,10 +98,10 @@
   }
   for (auto* timer : {&quota_.timer, &demand_timer_, &membership_.timer, &consistency_.timer, &state_timer_,
                       &status_timer_}) {
-    timers_.drop(*timer);
+    timers_.cancel(*timer);
   }
   write_status();
-  timers_.drop(status_timer_);
+  timers_.cancel(status_timer_);
 }
 
 // What one has decided: datagrams and its next turn are alike for all of them.
@@ -113,7 +113,7 @@
           if constexpr (requires { taken.to, taken.bytes; }) {
             peers_.tell(taken.to.number, taken.bytes);
           } else if constexpr (requires { taken.at; }) {
-            timers_.drop(timed.timer);
+            timers_.cancel(timed.timer);
             timed.timer = timers_.set(taken.at, [this, &timed] { timed.timer.reset(), process(timed); });
           } else {
             carry_out(taken);
@@ -213,7 +213,7 @@
   if (status_path_.empty()) {
     return;
   }
-  timers_.drop(status_timer_);
+  timers_.cancel(status_timer_);
   status_timer_ = timers_.set(std::max(clock_.now(), status_written_at_ + kMinWriteInterval),
                               [this] { status_timer_.reset(), write_status(); });
 }
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -13,7 +13,7 @@
 int main(int count, char** words) {
   using namespace reedspindle;
   std::signal(SIGPIPE, SIG_IGN);
-  proxy::hold_signals();
+  proxy::block_signals();
   const auto run = [](const proxy::ProxyOptions& orders) {
     proxy::ProxyServer([](const char* name) { return std::getenv(name); }, orders).run();
   };
--- a/src/proxy/pending_replies.cpp
+++ b/src/proxy/pending_replies.cpp
@@ -8,7 +8,7 @@
 
 PendingReplies::~PendingReplies() {
   for (const Reply& reply : replies_) {
-    allowance_.give(reply.charged);
+    budget_.release(reply.charged);
   }
 }
 
@@ -46,7 +46,7 @@
 }
 
 void PendingReplies::charge(Reply& reply, const std::string& substitute) {
-  if (allowance_.take(reply.bytes.size())) {
+  if (budget_.take(reply.bytes.size())) {
     reply.charged = reply.bytes.size();
   } else {
     reply.bytes = substitute;
@@ -56,9 +56,9 @@
 std::string PendingReplies::take_complete() {
   std::string bytes;
   // What is taken is charged no more. Guards against holding many replies for a client that does not read.
-  while (!replies_.empty() && replies_.front().complete && bytes.size() < postgres::kLongestValue) {
+  while (!replies_.empty() && replies_.front().complete && bytes.size() < postgres::kMaxValueBytes) {
     bytes += replies_.front().bytes;
-    allowance_.give(replies_.front().charged);
+    budget_.release(replies_.front().charged);
     replies_.pop_front();
   }
   return bytes;
--- a/src/proxy/pending_replies.hpp
+++ b/src/proxy/pending_replies.hpp
@@ -13,10 +13,10 @@
 namespace reedspindle::proxy {
 
 // Commands are handled side by side; their replies leave in order. Bytes of replies that wait behind others
-// are charged to an allowance shared by all connections, so that clients can't make the front hold too much.
+// are charged to a budget shared by all connections, so that clients can't make the front hold too much.
 class PendingReplies {
  public:
-  explicit PendingReplies(net::Allowance& allowance) : allowance_(allowance) {}
+  explicit PendingReplies(net::MemoryBudget& budget) : budget_(budget) {}
   ~PendingReplies();
   PendingReplies(const PendingReplies&) = delete;
   PendingReplies& operator=(const PendingReplies&) = delete;
@@ -27,7 +27,7 @@
   void add_request(RequestId request);
   void add_readiness();
 
-  // The reply of a command that was added before. If it has to wait behind others and the allowance is used
+  // The reply of a command that was added before. If it has to wait behind others and the budget is used
   // up, the substitute is kept in its place.
   void complete(RequestId request, std::string bytes, const std::string& substitute);
   void complete_readiness(const std::string& bytes);
@@ -45,12 +45,12 @@
     std::optional<RequestId> request = std::nullopt;  // none: of readiness, or answered on the spot
     bool complete = false;
     std::string bytes = {};
-    std::size_t charged = 0;  // bytes taken from the allowance
+    std::size_t charged = 0;  // bytes taken from the budget
   };
 
   void charge(Reply& reply, const std::string& substitute);
 
-  net::Allowance& allowance_;
+  net::MemoryBudget& budget_;
   std::deque<Reply> replies_;
 };
 
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -36,7 +36,7 @@
       timers_(io_, clock_),
       signals_(io_, SIGTERM, SIGINT, SIGHUP),
       router_(make_router(config_.values, config_.seed)),
-      text_allowance_(config_.memory / kMemoryDivisor),
+      text_budget_(config_.memory / kMemoryDivisor),
       connection_pool_(
           io_, timers_, clock_, log_, config_,
           [this](AttemptCompleted completed, std::string row) {
@@ -60,7 +60,7 @@
 void ProxyServer::run() {
   client_connections_.listen();
   wait_for_signal();
-  release_signals();
+  unblock_signals();
   restore_endpoint_list();
   if (!config_.polls_endpoints) {
     discovery_client_.watch();
@@ -160,7 +160,7 @@
 void ProxyServer::run_router() {
   router_run_needed_ = false;
   turn_full_ = false;
-  timers_.drop(peer_message_timer_);
+  timers_.cancel(peer_message_timer_);
   turn_gauge_.doing("tier");
   if (fleet_) {
     fleet_->check_allocation();
@@ -224,7 +224,7 @@
   if (open_ids_.contains(statement.id)) {
     return postgres::Fault{"22023", "id is that of an open op"};
   }
-  if (requests_.size() >= config_.open_requests || !text_allowance_.take(text.size())) {
+  if (requests_.size() >= config_.open_requests || !text_budget_.take(text.size())) {
     return postgres::Fault{"53300", "too many ops are open"};
   }
   return std::nullopt;
@@ -241,13 +241,13 @@
   received.group = {statement.group};
   received.session = statement.key;
   received.remaining = statement.remaining;
-  received.is_retry = statement.repeat;
+  received.is_retry = statement.is_retry;
   // A request that waited in the kernel while the proxy was busy or suspended has that much less time left.
   const Millis arrived = arrival_bound_.earliest(clock_.now());
   queued_events_.push_back({std::move(received), arrived, statement.position});
   router_run_needed_ = true;
   requests_[request] = {std::make_shared<const std::string>(text), std::string(statement.id),
-                        statement.patience_place, 0, arrived};
+                        statement.remaining_span, 0, arrived};
   open_ids_.emplace(statement.id);
   return std::nullopt;
 }
@@ -271,7 +271,7 @@
                 {"ms", clock_.now() - found->second.arrived}});
   }
   open_ids_.erase(found->second.id);
-  text_allowance_.give(found->second.text->size());
+  text_budget_.release(found->second.text->size());
   requests_.erase(found);
   if (!answer.empty()) {
     client_connections_.answer(request, std::move(answer));
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -40,7 +40,7 @@
   struct Request {
     std::shared_ptr<const std::string> text;  // of the statement
     std::string id;                           // as the client names it
-    postgres::TextSpan patience_span;         // where the text states the client's remaining time
+    postgres::TextSpan remaining_span;        // where the text states the client's remaining time
     int attempts = 0;
     Millis arrived = 0;  // Unix time
   };
@@ -106,7 +106,7 @@
   std::map<RequestId, Request> requests_;
   std::set<std::string, std::less<>> open_ids_;  // of the open requests, as clients name them
   std::set<GroupId> groups_;                     // that discovery has named
-  net::Allowance text_allowance_;                // for the texts of the open requests
+  net::MemoryBudget text_budget_;                // for the texts of the open requests
   upstream::ConnectionPool connection_pool_;
   ClientConnections client_connections_;
   discovery::Client discovery_client_;
--- a/src/proxy/signal_mask.hpp
+++ b/src/proxy/signal_mask.hpp
@@ -5,7 +5,7 @@
 
 namespace reedspindle::proxy {
 
-inline sigset_t heard_signals() {
+inline sigset_t handled_signals() {
   sigset_t signals;
   sigemptyset(&signals);
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
@@ -15,14 +15,14 @@
 }
 
 // Guards a process that is just starting against a SIGHUP, which would end it, and against losing one.
-inline void hold_signals() {
-  const sigset_t signals = heard_signals();
+inline void block_signals() {
+  const sigset_t signals = handled_signals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
 // Those that came meanwhile are delivered now.
-inline void release_signals() {
-  const sigset_t signals = heard_signals();
+inline void unblock_signals() {
+  const sigset_t signals = handled_signals();
   pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -28,7 +28,7 @@
       config_(config),
       attempt_done_(std::move(attempt_done)),
       probe_done_(std::move(probe_done)),
-      allowance_(config.memory / kMemoryDivisor) {
+      budget_(config.memory / kMemoryDivisor) {
   close_expired_idle();
 }
 
@@ -79,7 +79,7 @@
   auto call = std::make_unique<PendingCall>();
   call->attempt = {request, number};
   call->text = std::move(text);
-  call->patience_span = patience;
+  call->remaining_span = patience;
   attempts_[{request, number}] = call.get();
   enqueue(*servers_.at(decision.server), std::move(call), decided, decision.timeout, decision.start_within);
 }
@@ -223,7 +223,7 @@
 
 // The only place that ends calls and their timers.
 void ConnectionPool::complete(CallPtr call, AttemptOutcome outcome) {
-  timers_.drop(call->timer);
+  timers_.cancel(call->timer);
   const Millis duration = clock_.now() - call->started;
   if (!call->attempt) {
     const bool answered = outcome == AttemptOutcome::acknowledged || call->response.unreadable();
@@ -247,7 +247,7 @@
     remove_from_idle(connection);
   }
   connection.state = State::closed;
-  timers_.drop(connection.timer);
+  timers_.cancel(connection.timer);
   asio::error_code ignored;
   connection.socket.close(ignored);
   CallPtr call = std::move(connection.call);
@@ -290,7 +290,7 @@
 }
 
 void ConnectionPool::stop() {
-  timers_.drop(idle_timer_);
+  timers_.cancel(idle_timer_);
   while (!connections_.empty()) {
     close(*connections_.front());
   }
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -114,7 +114,7 @@
   const config::InstanceConfig& config_;
   const AttemptDone attempt_done_;
   const ProbeDone probe_done_;
-  net::Allowance allowance_;  // bounds what all connections buffer together
+  net::MemoryBudget budget_;  // bounds what all connections buffer together
   std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
   std::list<ConnectionPtr> connections_;  // the owner of each
   std::list<ServerConnection*> idle_;     // of all servers, the one that has been idle longest first
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -26,7 +26,7 @@
   if (connections_.size() >= config_.store_connections() && !close_longest_idle()) {
     return complete(take_first_queued(server), AttemptOutcome::connect_failed);
   }
-  const auto connection = std::make_shared<ServerConnection>(io_, server, allowance_);
+  const auto connection = std::make_shared<ServerConnection>(io_, server, budget_);
   connection->place = connections_.insert(connections_.end(), connection);
   connection->opened = clock_.now();
   ++server.becoming_ready;
@@ -74,10 +74,10 @@
   const Millis now = clock_.now();
   connection.state = ServerConnection::State::busy;
   call->connection = &connection;
-  timers_.drop(call->timer);
+  timers_.cancel(call->timer);
   call->timer = timers_.set(call->deadline, [this, late = call.get()] { call_timed_out(*late); });
   connection.out = postgres::query(
-      call->attempt ? postgres::with_patience(*call->text, call->patience_span, call->deadline - now)
+      call->attempt ? postgres::with_remaining_time(*call->text, call->remaining_span, call->deadline - now)
                     : kProbeQuery);
   connection.call = std::move(call);
   asio::error_code error;
@@ -106,7 +106,7 @@
 }
 
 void ConnectionPool::read(const ConnectionPtr& connection) {
-  const auto space = connection->buffer.room(kReadBytes);
+  const auto space = connection->buffer.prepare(kReadBytes);
   if (space.empty()) {
     log_.warn("stores", "connection ended",
               {{"member", connection->server.id.address}, {"why", "stores make us hold too much"}});
@@ -124,9 +124,9 @@
   if (connection->state == ServerConnection::State::closed) {
     return;
   }
-  connection->buffer.filled(count);
+  connection->buffer.commit(count);
   for (;;) {
-    const postgres::Read next = postgres::read_from_store(connection->buffer.held());
+    const postgres::ReadResult next = postgres::read_from_server(connection->buffer.data());
     if (std::holds_alternative<postgres::Partial>(next)) {
       break;
     }
@@ -218,7 +218,7 @@
 // connections that the server has dropped silently.
 void ConnectionPool::reset(ServerConnection& connection) {
   // Half a message that was left there would be read as part of the answer.
-  if (!connection.buffer.held().empty()) {
+  if (!connection.buffer.data().empty()) {
     close(connection);
     return;
   }
@@ -247,7 +247,7 @@
 void ConnectionPool::became_ready(ServerConnection& connection) {
   ServerPool& server = connection.server;
   --server.becoming_ready;
-  timers_.drop(connection.timer);
+  timers_.cancel(connection.timer);
   drop_overdue(server);
   if (server.queue.empty() || is_stale(connection)) {
     return make_idle(connection);
--- a/src/upstream/server_connection.hpp
+++ b/src/upstream/server_connection.hpp
@@ -26,7 +26,7 @@
   std::optional<std::pair<RequestId, AttemptNumber>> attempt;  // none: a probe
   ServerPool* server = nullptr;
   std::shared_ptr<const std::string> text;  // of the statement; none for a probe
-  postgres::TextSpan patience_span;         // where the text states the client's remaining time
+  postgres::TextSpan remaining_span;        // where the text states the client's remaining time
   Millis started = 0;                       // Unix time; the reported duration counts from here
   Millis deadline = 0;                      // Unix time at which it counts as timed out
   Millis start_by = 0;                      // Unix time after which it is not sent any more
@@ -51,8 +51,8 @@
 struct ServerConnection {
   enum class State { opening, idle, busy, resetting, closed };
 
-  ServerConnection(asio::io_context& io, ServerPool& of, net::Allowance& allowance)
-      : socket(io), server(of), buffer(allowance) {}
+  ServerConnection(asio::io_context& io, ServerPool& of, net::MemoryBudget& budget)
+      : socket(io), server(of), buffer(budget) {}
 
   asio::ip::tcp::socket socket;
   ServerPool& server;
--- a/src/upstream/server_response.cpp
+++ b/src/upstream/server_response.cpp
@@ -23,7 +23,7 @@
     const std::string_view item = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), item.size() + 1));
     const auto [name, value] = postgres::name_and_value(item);
-    const auto number = postgres::number(value);
+    const auto number = postgres::parse_number(value);
     if (!number) {
       return;
     }
@@ -72,7 +72,7 @@
     sample_.role = role_of(value);
   }
   if (name == "as_of") {
-    const auto position = postgres::number(value);
+    const auto position = postgres::parse_number(value);
     if (position && is_valid_position(*position, now)) {
       sample_.position = *position;
     }
@@ -105,7 +105,7 @@
 }
 
 bool ServerResponse::read_command_complete(const postgres::Message& message) {
-  if (error_code_ || !has_row_ || complete_ || !postgres::read_tag(message.body)) {
+  if (error_code_ || !has_row_ || complete_ || !postgres::is_command_tag(message.body)) {
     return false;
   }
   complete_ = true;
--- a/tests/codecs.cpp
+++ b/tests/codecs.cpp
@@ -20,8 +20,8 @@
   const auto& at = std::get<postgres::Statement>(read);
   std::cout << "  id " << at.id << ", type " << at.request_class << ", key " << at.key << ", patience "
             << at.remaining << ", group " << at.group << ", position " << std::to_string(at.position)
-            << (at.repeat ? ", a repeat" : "") << '\n';
-  std::cout << "  " << postgres::with_patience(text, at.patience_place, 7.2) << '\n';
+            << (at.is_retry ? ", a repeat" : "") << '\n';
+  std::cout << "  " << postgres::with_remaining_time(text, at.remaining_span, 7.2) << '\n';
 }
 
 void list(const std::string& text) {
@@ -52,7 +52,7 @@
   const auto read = [&](std::string_view held) {
     return name == "startup" ? postgres::read_startup(held)
            : name == "query" ? postgres::read_from_client(held)
-                             : postgres::read_from_store(held);
+                             : postgres::read_from_server(held);
   };
   std::size_t partial = 0;
   while (partial < bytes.size() &&
--- a/tests/digests/postgres.cpp
+++ b/tests/digests/postgres.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 using namespace reedspindle;
-using reedspindle::net::Allowance;
+using reedspindle::net::MemoryBudget;
 
 constexpr int kMessages = 4000;
 constexpr int kStatements = 4000;
@@ -37,11 +37,11 @@
   void fixed() {
     digest_.add(digests::hex(postgres::startup("router", "records")));
     digest_.add(digests::hex(postgres::query("SELECT 1")));
-    digest_.add(digests::hex(postgres::welcome()));
-    digest_.add(digests::hex(postgres::welcome({7, 4000000000U})));
-    digest_.add(digests::hex(postgres::ready()));
-    digest_.add(digests::hex(postgres::empty_answer()));
-    digest_.add(digests::hex(postgres::completed("INSERT 0 1")));
+    digest_.add(digests::hex(postgres::startup_response()));
+    digest_.add(digests::hex(postgres::startup_response({7, 4000000000U})));
+    digest_.add(digests::hex(postgres::ready_for_query()));
+    digest_.add(digests::hex(postgres::empty_query_response()));
+    digest_.add(digests::hex(postgres::command_complete("INSERT 0 1")));
     digest_.add(digests::hex(postgres::error(postgres::Severity::error, "57014", "text")));
     digest_.add(digests::hex(postgres::error(postgres::Severity::fatal, "53300", "text", "detail")));
   }
@@ -63,11 +63,11 @@
       case 1:
         return postgres::query(drawn_statement());
       case 2:
-        return postgres::welcome({static_cast<std::uint32_t>(draws_.below(1000)), 5});
+        return postgres::startup_response({static_cast<std::uint32_t>(draws_.below(1000)), 5});
       case 3:
         return postgres::error(postgres::Severity::error, "40001", "text");
       case 4:
-        return postgres::completed("SELECT 1");
+        return postgres::command_complete("SELECT 1");
       case 5: {
         const std::string value = draws_.bytes(draws_.below(12));
         return framed('D', big_endian(1, 2) + big_endian(static_cast<int>(value.size()), 4) + value);
@@ -97,10 +97,10 @@
     }
     digest_.comment(digests::hex(held));
     add(postgres::read_from_client(held));
-    add(postgres::read_from_store(held));
+    add(postgres::read_from_server(held));
     add(postgres::read_startup(held));
   }
-  void add(const postgres::Read& read) {
+  void add(const postgres::ReadResult& read) {
     if (std::holds_alternative<postgres::Partial>(read)) {
       return digest_.add("more");
     }
@@ -118,7 +118,8 @@
     const auto row = postgres::read_row(message.body);
     digest_.add(fmt::format("body {} {} {} {} {}", error ? digests::hex(error->code + error->text) : "-",
                             parameter ? digests::hex(parameter->first) : "-", row ? digests::hex(*row) : "-",
-                            postgres::describes_one_column(message.body), postgres::read_tag(message.body)));
+                            postgres::describes_one_column(message.body),
+                            postgres::is_command_tag(message.body)));
   }
 
   std::string drawn_statement() {
@@ -169,21 +170,21 @@
     }
     const auto& one = std::get<postgres::Statement>(read);
     digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", one.writes, one.id, one.request_class,
-                            one.key, one.remaining, one.group, one.position, one.token, one.repeat,
-                            one.patience_place.at, one.patience_place.size));
+                            one.key, one.remaining, one.group, one.position, one.token, one.is_retry,
+                            one.remaining_span.at, one.remaining_span.size));
     const int patience = draws_.below(90000);
-    digest_.add(digests::hex(postgres::with_patience(text, one.patience_place, 0.25 * patience)));
+    digest_.add(digests::hex(postgres::with_remaining_time(text, one.remaining_span, 0.25 * patience)));
     const auto [name, value] = postgres::name_and_value(std::string_view(text).substr(text.rfind(',') + 1));
     digest_.add(fmt::format("{} / {}", digests::hex(name), digests::hex(value)));
     const int units = draws_.below(100);
     const int exponent = draws_.below(3);
     const std::string figure = draws_.mutated(fmt::format("{}.5e{}", units, exponent));
-    digest_.add(fmt::format("{:.3f}", postgres::number(figure).value_or(-1)));
+    digest_.add(fmt::format("{:.3f}", postgres::parse_number(figure).value_or(-1)));
   }
 
   void replies() {
-    Allowance allowance(3000);
-    proxy::PendingReplies pending(allowance);
+    MemoryBudget budget(3000);
+    proxy::PendingReplies pending(budget);
     std::uint64_t last = 0;
     for (int number = 0; number < kCommands; ++number) {
       const int kind = draws_.below(8);
--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -144,9 +144,9 @@
 }
 
 // The next message of the front, which says more kinds than a store does.
-postgres::Read from_front(std::string_view held) {
+postgres::ReadResult from_front(std::string_view held) {
   return held.starts_with("I") && held.size() >= 5 ? postgres::Message{'I', "", held.substr(0, 5)}
-                                                   : postgres::read_from_store(held);
+                                                   : postgres::read_from_server(held);
 }
 
 class Stage {
@@ -440,15 +440,15 @@
       if (!std::exchange(link.started, true)) {
         link.greeted = store.manner == "welcomes";
         if (link.greeted) {
-          put(link.fd, postgres::welcome());
+          put(link.fd, postgres::startup_response());
         }
         if (store.manner == "full") {
           put(link.fd, postgres::error(postgres::Severity::fatal, "53300", "too many connections"));
         }
       } else if (text.empty()) {
-        put(link.fd, postgres::empty_answer() + std::exchange(store.behind_empty, ""));
+        put(link.fd, postgres::empty_query_response() + std::exchange(store.behind_empty, ""));
       } else if (text == "SHOW vitals") {
-        put(link.fd, row_of(with_now(store.vitals, true)) + postgres::ready());
+        put(link.fd, row_of(with_now(store.vitals, true)) + postgres::ready_for_query());
       } else {
         link.asked = text;
         store.gets.push_back(text);
@@ -560,7 +560,7 @@
         put(link.fd, postgres::startup("svc", "main"));
         return void(link.started = true);
       }
-      postgres::Read read = from_front(link.held);
+      postgres::ReadResult read = from_front(link.held);
       wait_for("an answer", [&] {
         return !std::holds_alternative<postgres::Partial>(read = from_front(link.held)) || link.ended;
       });
@@ -633,7 +633,7 @@
       wait_for("a connection that hangs", [&] { return std::ranges::any_of(store.links, hangs); });
       for (Link& at : store.links) {
         if (what == "greets" && hangs(at)) {
-          put(at.fd, postgres::welcome()), at.greeted = true;
+          put(at.fd, postgres::startup_response()), at.greeted = true;
         }
       }
       return;
@@ -672,12 +672,12 @@
       while (line >> name >> value) {
         answer += message('S', name + '\0' + with_now(value) + '\0');
       }
-      put(link->fd, answer + postgres::ready());
+      put(link->fd, answer + postgres::ready_for_query());
       link->asked.clear();
     } else if (what == "says") {
       line >> text;
-      put(link->fd,
-          postgres::error(postgres::Severity::error, text, "so the store says") + postgres::ready());
+      put(link->fd, postgres::error(postgres::Severity::error, text, "so the store says") +
+                        postgres::ready_for_query());
       link->asked.clear();
     } else if (what == "sends") {
       put(link->fd, unescaped(remainder(line)));
