--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -1,9 +1,8 @@
-#include "control/service.hpp"
-
 #include <csignal>
 #include <utility>
 
 #include "control/registry_state.hpp"
+#include "control/service.hpp"
 #include "settings/settings.hpp"
 
 namespace reedspindle::control {
@@ -203,7 +202,7 @@
   if (wake_ && wake_time_ <= at) {
     return;
   }
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
   wake_time_ = at;
   wake_ = timers_.set(at, [this] {
     wake_.reset();
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -1,11 +1,10 @@
-#include "discovery/client.hpp"
-
 #include <fmt/format.h>
 #include <http_parser.h>
 
 #include <array>
 #include <utility>
 
+#include "discovery/client.hpp"
 #include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
@@ -118,7 +117,7 @@
 void Client::stop() {
   poller_.enqueue(StopPolling{});
   settle();
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
 }
 
 void Client::settle() {
@@ -128,7 +127,7 @@
 }
 
 void Client::carry_out(const RequestWakeup& wake) {
-  timers_.drop(wake_);
+  timers_.cancel(wake_);
   wake_ = timers_.set(wake.at, [this] {
     wake_.reset();
     // Guards against calling a discovery silent whose bytes wait in the kernel, where the process was held
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -1,5 +1,3 @@
-#include "faulttest/fault_test.hpp"
-
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -12,6 +10,7 @@
 #include <utility>
 
 #include "config/instance_config.hpp"
+#include "faulttest/fault_test.hpp"
 
 namespace reedspindle::faulttest {
 namespace {
@@ -222,7 +221,7 @@
   // Something to wait for even while no front speaks.
   const auto turn = timers_.set(clock_.now() + span, [] {});
   io_.run_for(std::chrono::microseconds(static_cast<long long>(span * 1000)));
-  timers_.drop(turn);
+  timers_.cancel(turn);
 }
 
 Outcome FaultTest::carry_out(const Step& step) {
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -1,5 +1,3 @@
-#include "faulttest/scale.hpp"
-
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -17,6 +15,7 @@
 
 #include "config/instance_config.hpp"
 #include "faulttest/process.hpp"
+#include "faulttest/scale.hpp"
 #include "faulttest/test_discovery.hpp"
 #include "faulttest/test_stores.hpp"
 #include "net/clock.hpp"
@@ -630,7 +629,7 @@
   run_for(static_cast<Millis>(day_.rest.count()));
   resting_ = true;
   run_for(kPatience + kLostAfter);
-  timers_.drop(hold);
+  timers_.cancel(hold);
 
   cost_.connections = servers_.accepted();
   cost_.probes = servers_.probes();
--- a/tests/digests/postgres.cpp
+++ b/tests/digests/postgres.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 using namespace reedspindle;
-using reedspindle::net::Allowance;
+using reedspindle::net::MemoryBudget;
 
 constexpr int kMessages = 4000;
 constexpr int kStatements = 4000;
@@ -38,11 +38,11 @@
   void add_fixed_messages() {
     digest_.add(digests::hex(postgres::startup("router", "records")));
     digest_.add(digests::hex(postgres::query("SELECT 1")));
-    digest_.add(digests::hex(postgres::welcome()));
-    digest_.add(digests::hex(postgres::welcome({7, 4000000000U})));
-    digest_.add(digests::hex(postgres::ready()));
-    digest_.add(digests::hex(postgres::empty_answer()));
-    digest_.add(digests::hex(postgres::completed("INSERT 0 1")));
+    digest_.add(digests::hex(postgres::startup_response()));
+    digest_.add(digests::hex(postgres::startup_response({7, 4000000000U})));
+    digest_.add(digests::hex(postgres::ready_for_query()));
+    digest_.add(digests::hex(postgres::empty_query_response()));
+    digest_.add(digests::hex(postgres::command_complete("INSERT 0 1")));
     digest_.add(digests::hex(postgres::error(postgres::Severity::error, "57014", "text")));
     digest_.add(digests::hex(postgres::error(postgres::Severity::fatal, "53300", "text", "detail")));
   }
@@ -64,11 +64,11 @@
       case 1:
         return postgres::query(random_statement());
       case 2:
-        return postgres::welcome({static_cast<std::uint32_t>(random_.below(1000)), 5});
+        return postgres::startup_response({static_cast<std::uint32_t>(random_.below(1000)), 5});
       case 3:
         return postgres::error(postgres::Severity::error, "40001", "text");
       case 4:
-        return postgres::completed("SELECT 1");
+        return postgres::command_complete("SELECT 1");
       case 5: {
         const std::string value = random_.bytes(random_.below(12));
         return message_bytes('D', big_endian(1, 2) + big_endian(static_cast<int>(value.size()), 4) + value);
@@ -98,10 +98,10 @@
     }
     digest_.comment(digests::hex(bytes));
     add(postgres::read_from_client(bytes));
-    add(postgres::read_from_store(bytes));
+    add(postgres::read_from_server(bytes));
     add(postgres::read_startup(bytes));
   }
-  void add(const postgres::Read& read) {
+  void add(const postgres::ReadResult& read) {
     if (std::holds_alternative<postgres::Partial>(read)) {
       return digest_.add("more");
     }
@@ -119,7 +119,8 @@
     const auto row = postgres::read_row(message.body);
     digest_.add(fmt::format("body {} {} {} {} {}", error ? digests::hex(error->code + error->text) : "-",
                             parameter ? digests::hex(parameter->first) : "-", row ? digests::hex(*row) : "-",
-                            postgres::describes_one_column(message.body), postgres::read_tag(message.body)));
+                            postgres::describes_one_column(message.body),
+                            postgres::is_command_tag(message.body)));
   }
 
   std::string random_statement() {
@@ -171,21 +172,22 @@
     const auto& statement = std::get<postgres::Statement>(read);
     digest_.add(fmt::format("{} {} {} {} {:.3f} {} {:.3f} {} {} {} {}", statement.writes, statement.id,
                             statement.request_class, statement.key, statement.remaining, statement.group,
-                            statement.position, statement.token, statement.repeat,
-                            statement.patience_place.at, statement.patience_place.size));
+                            statement.position, statement.token, statement.is_retry,
+                            statement.remaining_span.at, statement.remaining_span.size));
     const int remaining = random_.below(90000);
-    digest_.add(digests::hex(postgres::with_patience(text, statement.patience_place, 0.25 * remaining)));
+    digest_.add(
+        digests::hex(postgres::with_remaining_time(text, statement.remaining_span, 0.25 * remaining)));
     const auto [name, value] = postgres::name_and_value(std::string_view(text).substr(text.rfind(',') + 1));
     digest_.add(fmt::format("{} / {}", digests::hex(name), digests::hex(value)));
     const int integer = random_.below(100);
     const int exponent = random_.below(3);
     const std::string number_text = random_.mutated(fmt::format("{}.5e{}", integer, exponent));
-    digest_.add(fmt::format("{:.3f}", postgres::number(number_text).value_or(-1)));
+    digest_.add(fmt::format("{:.3f}", postgres::parse_number(number_text).value_or(-1)));
   }
 
   void check_pending_replies() {
-    Allowance allowance(3000);
-    proxy::PendingReplies pending(allowance);
+    MemoryBudget budget(3000);
+    proxy::PendingReplies pending(budget);
     std::uint64_t last_request = 0;
     for (int number = 0; number < kReplyCommands; ++number) {
       const int kind = random_.below(8);
