--- a/src/consistency/consistency_monitor.cpp
+++ b/src/consistency/consistency_monitor.cpp
@@ -380,7 +380,7 @@
 
 }  // namespace
 
-const char* word_of(ConsistencyEvent finding) {
+const char* to_string(ConsistencyEvent finding) {
   constexpr const char* words[] = {"differs from its fellows",
                                    "agrees with its fellows again",
                                    "cut off",
--- a/src/consistency/consistency_monitor.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -46,7 +46,7 @@
 
 // Decisions.
 enum class ConsistencyEvent { diverged, converged, isolated, reconnected, rejecting_writes, rejecting_reads };
-const char* word_of(ConsistencyEvent event);
+const char* to_string(ConsistencyEvent event);
 struct ConsistencyReport {
   ConsistencyEvent event = ConsistencyEvent::diverged;
   DigestKind kind = DigestKind::list;  // diverged, converged
--- a/src/consistency/message.cpp
+++ b/src/consistency/message.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-const char* word_of(DigestKind kind) {
+const char* to_string(DigestKind kind) {
   constexpr const char* words[] = {"list", "primaries", "view"};
   return words[static_cast<int>(kind)];
 }
--- a/src/consistency/message.hpp
+++ b/src/consistency/message.hpp
@@ -18,7 +18,7 @@
 // view.
 enum class DigestKind { list, primaries, view };
 constexpr int kDigestKinds = 3;
-const char* word_of(DigestKind kind);
+const char* to_string(DigestKind kind);
 
 // Digests of the state that an instance routes by now.
 struct StateDigest {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -270,12 +270,12 @@
   decisions_.emplace_back(std::in_place_type<RequestWakeup>, RequestWakeup{wakeup_});
 }
 
-const char* word_of(PeerState state) {
+const char* to_string(PeerState state) {
   constexpr const char* kWords[] = {"there", "suspected", "failed", "left"};
   return kWords[static_cast<int>(state)];
 }
 
-const char* word_of(PeerEvent event) {
+const char* to_string(PeerEvent event) {
   constexpr const char* kWords[] = {"joined", "suspected", "cleared", "failed",
                                     "left",   "back",      "moved",   "forgotten"};
   return kWords[static_cast<int>(event)];
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -39,8 +39,8 @@
 
 // Decisions.
 enum class PeerEvent { joined, suspected, cleared, failed, left, rejoined, moved, forgotten };
-const char* word_of(PeerState state);
-const char* word_of(PeerEvent event);
+const char* to_string(PeerState state);
+const char* to_string(PeerEvent event);
 // This instance's opinion of a peer has changed.
 struct PeerChanged {
   std::string name;
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -235,8 +235,8 @@
 
 void FleetCoordinator::carry_out(const quota::LeaseReport& decision) {
   const bool warns = decision.event == quota::LeaseEvent::options_mismatch;
-  (warns ? log_.warn("shares", word_of(decision.event), {{"place", decision.slot.number}})
-         : log_.info("shares", word_of(decision.event), {{"place", decision.slot.number}}));
+  (warns ? log_.warn("shares", to_string(decision.event), {{"place", decision.slot.number}})
+         : log_.info("shares", to_string(decision.event), {{"place", decision.slot.number}}));
 }
 
 void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
@@ -255,11 +255,11 @@
   using consistency::ConsistencyEvent;
   schedule_status_write();
   const long long ms = std::llround(decision.duration);
-  const char* event = word_of(decision.event);
+  const char* event = to_string(decision.event);
   switch (decision.event) {
     case ConsistencyEvent::diverged:
       return log_.warn("accord", event,
-                       {{"in", word_of(decision.kind)},
+                       {{"in", to_string(decision.kind)},
                         {"first", decision.slot.number},
                         {"ms", ms},
                         {"mine", decision.local.of(decision.kind)},
@@ -267,7 +267,7 @@
                         {"my_revision", decision.local.revision},
                         {"their_revision", decision.remote.revision}});
     case ConsistencyEvent::converged:
-      return log_.info("accord", event, {{"in", word_of(decision.kind)}, {"ms", ms}});
+      return log_.info("accord", event, {{"in", to_string(decision.kind)}, {"ms", ms}});
     case ConsistencyEvent::reconnected:
       return log_.info("accord", event, {{"ms", ms}});
     default:
@@ -300,7 +300,7 @@
 
 void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
   view_changed_ = true;
-  log_.info("fleet", word_of(decision.event),
+  log_.info("fleet", to_string(decision.event),
             {{"front", decision.name},
              {"place", decision.slot.number},
              {"incarnation", decision.incarnation.number}});
--- a/src/proxy/status_file.cpp
+++ b/src/proxy/status_file.cpp
@@ -22,7 +22,7 @@
   for (const membership::PeerView& peer : view.peers) {
     peers.push_back({{"name", peer.name},
                      {"place", peer.slot.number},
-                     {"standing", word_of(peer.state)},
+                     {"standing", to_string(peer.state)},
                      {"incarnation", peer.incarnation.number},
                      {"since", std::llround(peer.since)}});
   }
@@ -51,7 +51,7 @@
                    {"revision", endpoint_list_.revision()}};
     for (int kind = 0; kind < consistency::kDigestKinds; ++kind) {
       const consistency::Difference& difference = compared.differences[static_cast<std::size_t>(kind)];
-      consistency[word_of(static_cast<consistency::DigestKind>(kind))] = {
+      consistency[to_string(static_cast<consistency::DigestKind>(kind))] = {
           {"differ", difference.differ},
           {"compared", difference.compared},
           {"since", std::llround(difference.since)},
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -178,7 +178,7 @@
   decisions_.emplace_back(std::in_place_type<RequestWakeup>, RequestWakeup{next});
 }
 
-const char* word_of(LeaseEvent event) {
+const char* to_string(LeaseEvent event) {
   constexpr const char* words[] = {"holds the office of shares", "lost the office of shares",
                                    "its slot is whole again", "another front has other terms"};
   return words[static_cast<int>(event)];
--- a/src/quota/quota_manager.hpp
+++ b/src/quota/quota_manager.hpp
@@ -61,7 +61,7 @@
 // acquired, lost: the lease, by this instance. slot_restored: its slot is usable again after a start.
 // options_mismatch: a peer runs with other options.
 enum class LeaseEvent { acquired, lost, slot_restored, options_mismatch };
-const char* word_of(LeaseEvent event);
+const char* to_string(LeaseEvent event);
 struct LeaseReport {
   LeaseEvent event = LeaseEvent::acquired;
   SlotId slot;  // options_mismatch: of that peer
--- a/tests/consistency.cpp
+++ b/tests/consistency.cpp
@@ -39,9 +39,9 @@
 }
 void print(const RequestWakeup& /*unused*/) {}
 void print(const ConsistencyReport& found) {
-  std::cout << "  " << word_of(found.event);
+  std::cout << "  " << to_string(found.event);
   if (found.event == ConsistencyEvent::diverged || found.event == ConsistencyEvent::converged) {
-    std::cout << fmt::format(" in {}, first {}", word_of(found.kind), found.slot.number);
+    std::cout << fmt::format(" in {}, first {}", to_string(found.kind), found.slot.number);
   }
   if (found.event == ConsistencyEvent::diverged) {
     std::cout << fmt::format(", {} here, {} there", found.local.of(found.kind), found.remote.of(found.kind));
@@ -166,7 +166,7 @@
       const View view = consistency->view();
       for (int kind = 0; kind < kDigestKinds; ++kind) {
         const Difference& is = view.differences[static_cast<std::size_t>(kind)];
-        std::cout << fmt::format("  {}: {} of {} differ{}{}\n", word_of(static_cast<DigestKind>(kind)),
+        std::cout << fmt::format("  {}: {} of {} differ{}{}\n", to_string(static_cast<DigestKind>(kind)),
                                  is.differ, is.compared, is.behind ? ", behind" : "",
                                  is.since > 0 ? fmt::format(", since {}", is.since) : "");
       }
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -18,7 +18,7 @@
 using reedspindle::Millis;
 using reedspindle::faulttest::VirtualFleet;
 
-const char* word_of(SelfEvent event) {
+const char* to_string(SelfEvent event) {
   constexpr const char* words[] = {"stood still", "refuted", "contested", "yields", "claims"};
   return words[static_cast<int>(event)];
 }
@@ -44,7 +44,7 @@
       fleet_ = std::make_unique<VirtualFleet>(front, options, 7);
       fleet_->on([this](Millis at, int by, const PeerChanged& change) { seen(at, by, change); },
                  [this](Millis, int by, const SelfReport& found) {
-                   found_[{word_of(found.event), by}]++;
+                   found_[{to_string(found.event), by}]++;
                  });
       fleet_->passes = [this](int from, int to) { return !cut_.contains({from, to}); };
       fleet_->extra_delay = [this](int from, int to) { return std::max(slow_[from], slow_[to]); };
@@ -155,7 +155,7 @@
   }
 
   void seen(Millis at, int by, const PeerChanged& change) {
-    const std::pair key(fmt::format("{} {}", change.name, word_of(change.event)), change.slot.number);
+    const std::pair key(fmt::format("{} {}", change.name, to_string(change.event)), change.slot.number);
     const auto [sight, first] = sights_.try_emplace(key, Sight{at, at, by, {}});
     if (first) {
       order_.push_back(key);
