--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -42,7 +42,7 @@
       }
     }
     if (now >= next_) {
-      next_ = now + options_.pace;
+      next_ = now + options_.protocol_period;
       Message beat;
       beat.name = options_.name, beat.slot = options_.slot;
       std::size_t told = 0;
@@ -53,7 +53,7 @@
       }
     }
     for (auto& [place, peer] : peers_) {
-      if (peer.there && now - peer.heard > options_.suspicion_multiplier * options_.pace) {
+      if (peer.there && now - peer.heard > options_.suspicion_multiplier * options_.protocol_period) {
         peer.there = false;
         decisions.push_back(change(place, PeerEvent::failed));
       }
@@ -239,8 +239,8 @@
   app.add_option("--turns", turns, "deaths a size");
   app.add_option("--minutes", minutes, "virtual, of quiet");
   app.add_option("--seed", seed, "for chance");
-  app.add_option("--pace", sizes.options.pace, "ms");
-  app.add_option("--time-out", sizes.options.timeout, "ms");
+  app.add_option("--pace", sizes.options.protocol_period, "ms");
+  app.add_option("--time-out", sizes.options.ack_timeout, "ms");
   app.add_option("--patience", sizes.options.suspicion_multiplier, "paces");
   app.add_flag("--plain", sizes.plain, "the plain heartbeat instead");
   CLI11_PARSE(app, count, words);
--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -25,7 +25,7 @@
 int highest_sum(const Wish& wish, std::uint64_t seed) {
   VirtualFleet fleet(wish.fronts, membership::Options{}, seed);
   quota::Options options;
-  options.fleet = wish.fronts;
+  options.slot_count = wish.fronts;
   fleet.share(options);
   std::minstd_rand random(static_cast<unsigned>(seed * 7919 + 1));
   const auto below = [&](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
@@ -48,7 +48,7 @@
     }
   };
   for (int front = 0; front < wish.fronts; ++front) {
-    fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.drift);
+    fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
     fleet.start(front);
     want(front);
   }
@@ -139,7 +139,7 @@
 
   VirtualFleet fleet(wish.fronts, membership::Options{}, static_cast<std::uint64_t>(wish.seed));
   quota::Options options;
-  options.fleet = wish.fronts;
+  options.slot_count = wish.fronts;
   fleet.share(options);
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.start(front);
--- a/src/consistency/consistency_monitor.cpp
+++ b/src/consistency/consistency_monitor.cpp
@@ -17,11 +17,11 @@
 // Questions whose answers count; a pace apart, so an answer may take some paces.
 constexpr std::size_t kMaxPending = 8;
 // Datagrams of one slot in a pace: it asks once and answers once, and whoever differs is asked again.
-constexpr int kMaxDatagramsPerPace = 8;
+constexpr int kMaxDatagramsPerInterval = 8;
 // The shortest time that a peer's word is held, in paces, and the longest by the bound on how many are.
-constexpr double kMinDigestAgePaces = 4;
+constexpr double kMinDigestAgeIntervals = 4;
 // For how long a peer's word that a member leaves holds: some rounds over 120 members, 40 a pace.
-constexpr double kSuspectPaces = 10;
+constexpr double kSuspectIntervals = 10;
 
 class ConsistencyMonitorImpl final : public ConsistencyMonitor {
  public:
@@ -37,7 +37,7 @@
     }
     now_ = std::max(now_, now);
     if (now_ >= next_rate_window_) {
-      datagrams_from_.clear(), next_rate_window_ = now_ + options_.pace;
+      datagrams_from_.clear(), next_rate_window_ = now_ + options_.poll_interval;
     }
     for (Event& event : std::exchange(events_, {})) {
       std::visit([this](const auto& happened) { on(happened); }, event);
@@ -80,7 +80,7 @@
   void on(const DatagramReceived& datagram) {
     const auto message = decode(datagram.bytes);
     if (!message || message->slot != datagram.from || datagram.from == options_.slot ||
-        ++datagrams_from_[datagram.from] > kMaxDatagramsPerPace) {
+        ++datagrams_from_[datagram.from] > kMaxDatagramsPerInterval) {
       return void(++dropped_);
     }
     if (message->kind == Kind::poll) {
@@ -113,7 +113,7 @@
     }
     for (const std::uint32_t mark : message->marks) {
       if (ready_.contains(mark)) {
-        suspect_servers_[mark] = now_ + options_.pace * kSuspectPaces;
+        suspect_servers_[mark] = now_ + options_.poll_interval * kSuspectIntervals;
       }
     }
   }
@@ -144,7 +144,7 @@
 
   // discovery has not spoken to this instance itself for longer than news may take.
   [[nodiscard]] bool is_discovery_silent() const {
-    return now_ - std::max(own_discovery_at_, started_) > options_.grace;
+    return now_ - std::max(own_discovery_at_, started_) > options_.grace_period;
   }
 
   // What removes is taken from a peer at once, for it can only make this instance more careful: while
@@ -153,7 +153,7 @@
   void check_removed_servers() {
     std::erase_if(suspect_servers_, [this](const auto& item) { return now_ >= item.second; });
     if (now_ >= next_check_) {
-      next_check_ = now_ + options_.pace;
+      next_check_ = now_ + options_.poll_interval;
       std::vector<SlotId> ahead;
       for (const auto& [slot, peer] : peer_digests_) {
         if (peer.digest.revision > digest_.revision) {
@@ -191,10 +191,10 @@
   }
 
   void expire_digests() {
-    const double paces = std::clamp(2.0 * static_cast<double>(alive_.size()), kMinDigestAgePaces,
+    const double paces = std::clamp(2.0 * static_cast<double>(alive_.size()), kMinDigestAgeIntervals,
                                     static_cast<double>(kMaxPeerDigests));
     std::erase_if(peer_digests_, [&](const auto& item) {
-      return !alive_.contains(item.first) || now_ - item.second.at > options_.pace * paces;
+      return !alive_.contains(item.first) || now_ - item.second.at > options_.poll_interval * paces;
     });
     while (peer_digests_.size() > kMaxPeerDigests) {
       peer_digests_.erase(
@@ -229,7 +229,7 @@
       is.since = now_, is.first = *one;
       divergence.local = digest_, divergence.remote = peer_digests_.at(*one).digest;
     }
-    if (is.since > 0 && !divergence.reported && now_ - is.since >= options_.grace) {
+    if (is.since > 0 && !divergence.reported && now_ - is.since >= options_.grace_period) {
       divergence.reported = true;
       report(
           {ConsistencyEvent::diverged, kind, is.first, divergence.local, divergence.remote, now_ - is.since});
@@ -250,7 +250,7 @@
     if (now_ < next_poll_) {
       return;
     }
-    next_poll_ = now_ + options_.pace * (0.9 + 0.2 * random_fraction());
+    next_poll_ = now_ + options_.poll_interval * (0.9 + 0.2 * random_fraction());
     std::vector<SlotId> differing;
     for (const auto& [slot, peer] : peer_digests_) {
       for (int kind = 0; kind < kDigestKinds; ++kind) {
@@ -297,7 +297,7 @@
 
   void update_admission() {
     const Millis without = now_ - last_contact();
-    if (const bool isolated = without > options_.silence; isolated != isolated_) {
+    if (const bool isolated = without > options_.isolation_timeout; isolated != isolated_) {
       isolated_ = isolated;
       report({isolated ? ConsistencyEvent::isolated : ConsistencyEvent::reconnected,
               {},
@@ -309,7 +309,7 @@
     if (!isolated_) {
       contact_lost_at_ = last_contact();
     }
-    const Admission admission{without <= options_.writes_for, without <= options_.reads_for};
+    const Admission admission{without <= options_.admit_writes_for, without <= options_.admit_reads_for};
     if (admission == admission_) {
       return;
     }
@@ -332,14 +332,15 @@
 
   void schedule_wakeup() {
     Millis next = std::min(next_poll_, next_check_);
-    for (const Millis at : {options_.silence, options_.writes_for, options_.reads_for}) {
+    for (const Millis at :
+         {options_.isolation_timeout, options_.admit_writes_for, options_.admit_reads_for}) {
       if (at != kForever && last_contact() + at + 1 > now_) {
         next = std::min(next, last_contact() + at + 1);
       }
     }
     for (const Divergence& divergence : divergences_) {
       if (divergence.is.since > 0 && !divergence.reported) {
-        next = std::min(next, divergence.is.since + options_.grace);
+        next = std::min(next, divergence.is.since + options_.grace_period);
       }
     }
     decisions_.push_back(RequestWakeup{std::max(next, now_ + 1)});
--- a/src/consistency/consistency_monitor.hpp
+++ b/src/consistency/consistency_monitor.hpp
@@ -20,12 +20,13 @@
 
 struct Options {
   SlotId slot;
-  Millis pace = 1000;      // between two polls of peers
-  Millis grace = 3000;     // that a difference may last before it is reported; updates take time to spread
-  Millis silence = 10000;  // without contact, after which this instance is isolated
+  Millis poll_interval = 1000;  // between two polls of peers
+  Millis grace_period =
+      3000;  // that a difference may last before it is reported; updates take time to spread
+  Millis isolation_timeout = 10000;  // without contact, after which this instance is isolated
   // For how long after the last contact requests that need the primary, and reads, are still admitted.
-  Millis writes_for = std::numeric_limits<Millis>::infinity();
-  Millis reads_for = std::numeric_limits<Millis>::infinity();
+  Millis admit_writes_for = std::numeric_limits<Millis>::infinity();
+  Millis admit_reads_for = std::numeric_limits<Millis>::infinity();
 };
 
 // Events.
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -109,8 +109,9 @@
       fmt::format(
           "(reedspindle (log (form json) (lines-of-a-kind {}))\n (clock (offset {}ms))\n"
           " (fleet (place {}) (pace {}ms) (time-out {}ms) (patience {}) (forget {}ms) (status \"{}\"){}))\n",
-          kLinesOfAKind, step.clock, front, fleet.pace, fleet.timeout, fleet.suspicion_multiplier,
-          fleet.forget, process(front).status_path(), quota + plan_.consistency + plan_.resends));
+          kLinesOfAKind, step.clock, front, fleet.protocol_period, fleet.ack_timeout,
+          fleet.suspicion_multiplier, fleet.forget_after, process(front).status_path(),
+          quota + plan_.consistency + plan_.resends));
 }
 
 std::string FaultTest::placement_of(int front) const {
--- a/src/faulttest/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -99,8 +99,8 @@
   Plan plan;
   plan.fronts = file.values["fronts"], plan.seed = file.values["seed"], plan.longest = file.values["longest"];
   const nlohmann::json& fleet = file.values["fleet"];
-  plan.fleet.pace = fleet["pace"], plan.fleet.timeout = fleet["time-out"];
-  plan.fleet.suspicion_multiplier = fleet["patience"], plan.fleet.forget = fleet["forget"];
+  plan.fleet.protocol_period = fleet["pace"], plan.fleet.ack_timeout = fleet["time-out"];
+  plan.fleet.suspicion_multiplier = fleet["patience"], plan.fleet.forget_after = fleet["forget"];
   if (fleet.contains("shares")) {
     const nlohmann::json& told = fleet["shares"];
     plan.quota = {told["connections"], told["lease"], told["evidence"], told["notice"], told["kept"]};
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -6,7 +6,7 @@
 
 void MembershipImpl::start_anti_entropy() {
   if (now_ >= next_anti_entropy_) {
-    next_anti_entropy_ = now_ + options_.pace * kAntiEntropyPaces;
+    next_anti_entropy_ = now_ + options_.protocol_period * kAntiEntropyPeriods;
     if (const auto with = random_members(1, slot_); !with.empty()) {
       send_digest(with.front(), {});
     }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -5,7 +5,7 @@
 
 void MembershipImpl::detect_pause(Millis now) {
   const Millis gap = now - wakeup_;
-  if (gap <= options_.pace) {
+  if (gap <= options_.protocol_period) {
     return;
   }
   report(SelfEvent::paused, {}, gap);
@@ -39,7 +39,7 @@
 }
 
 void MembershipImpl::probe() {
-  if (probe_ && !probe_->indirect_sent && now_ >= probe_->sent + scaled_by_health(options_.timeout)) {
+  if (probe_ && !probe_->indirect_sent && now_ >= probe_->sent + scaled_by_health(options_.ack_timeout)) {
     probe_->indirect_sent = true;
     for (const SlotId helper : random_members(kIndirectProbers, probe_->slot)) {
       ++probe_->helpers;
@@ -53,7 +53,7 @@
   if (probe_) {
     handle_probe_timeout(*std::exchange(probe_, std::nullopt));
   }
-  next_probe_ = now_ + scaled_by_health(options_.pace);
+  next_probe_ = now_ + scaled_by_health(options_.protocol_period);
   const Peer* next = next_probe_target();
   if (!next) {
     return;
@@ -128,7 +128,7 @@
     return;
   }
   indirect_probes_.push_back({message.slot, message.target, message.sequence, ++sequence_,
-                              now_ + options_.timeout * kNackTimeoutShare});
+                              now_ + options_.ack_timeout * kNackTimeoutShare});
   send(message.target, Kind::ping, sequence_);
 }
 
@@ -147,7 +147,7 @@
     return;
   }
   const bool alone = peers_.member_count() == 0;
-  next_empty_slot_ping_ = now_ + options_.pace * (alone ? 1 : kEmptySlotPingPaces);
+  next_empty_slot_ping_ = now_ + options_.protocol_period * (alone ? 1 : kEmptySlotPingPeriods);
   int asks = alone ? kIndirectProbers : 1;
   const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, options_.slots)));
   for (int step = 0; step < options_.slots && asks > 0; ++step) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,8 +11,8 @@
   now_ = std::max(now_, now);
   if (now_ >= next_rate_window_) {
     std::ranges::fill(datagrams_from_, 0);
-    anti_entropy_budget_ = kAntiEntropyBudget, next_rate_window_ = now_ + options_.pace;
-    for (const GossipUpdate& update : peers_.forget(now_ - options_.forget)) {
+    anti_entropy_budget_ = kAntiEntropyBudget, next_rate_window_ = now_ + options_.protocol_period;
+    for (const GossipUpdate& update : peers_.forget(now_ - options_.forget_after)) {
       report_change(update, PeerEvent::forgotten);
     }
   }
@@ -44,8 +44,8 @@
   started_at_ = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(now));
   incarnation_ = {started_at_};
   now_ = wakeup_ = next_empty_slot_ping_ = now;
-  next_probe_ = now + options_.pace * random_fraction();
-  next_anti_entropy_ = now + options_.pace * kAntiEntropyPaces * random_fraction();
+  next_probe_ = now + options_.protocol_period * random_fraction();
+  next_anti_entropy_ = now + options_.protocol_period * kAntiEntropyPeriods * random_fraction();
   disseminate(self());
 }
 
@@ -72,7 +72,7 @@
     return void(++dropped_.unexpected_sender);
   }
   // Guards against a flood from one address: beyond this its datagrams are not even read.
-  if (++datagrams_from_[from] > kMaxDatagramsPerPace) {
+  if (++datagrams_from_[from] > kMaxDatagramsPerPeriod) {
     return void(++dropped_.rate_limited);
   }
   const auto message = decode(datagram.bytes);
@@ -255,7 +255,7 @@
     if (!yielded_) {
       at(next_probe_), at(next_empty_slot_ping_), at(next_anti_entropy_);
       if (probe_ && !probe_->indirect_sent) {
-        at(probe_->sent + scaled_by_health(options_.timeout));
+        at(probe_->sent + scaled_by_health(options_.ack_timeout));
       }
       for (const IndirectProbe& indirect : indirect_probes_) {
         at(indirect.until);
@@ -266,7 +266,7 @@
     at(suspicion_deadline(*peers_.find(name)));
   }
   // Alone with its farewell it still minds its clock, so that a gap can be told from quiet.
-  wakeup_ = std::max(now_, std::min(next, now_ + options_.pace));
+  wakeup_ = std::max(now_, std::min(next, now_ + options_.protocol_period));
   decisions_.emplace_back(std::in_place_type<RequestWakeup>, RequestWakeup{wakeup_});
 }
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -21,11 +21,11 @@
   std::string name;
   SlotId slot;                      // of this instance
   int slots = 0;                    // length of the list of peers
-  Millis pace = 500;                // protocol period: the time between two probes
-  Millis timeout = 200;             // for an ack, until other members are asked for indirect probes
+  Millis protocol_period = 500;     // protocol period: the time between two probes
+  Millis ack_timeout = 200;         // for an ack, until other members are asked for indirect probes
   double suspicion_multiplier = 4;  // the shortest suspicion, in paces times log10 of the number of members
-  Millis forget = 300000;           // until a failed or left peer is removed from the view
-  int most = 4096;                  // peers that are stored
+  Millis forget_after = 300000;     // until a failed or left peer is removed from the view
+  int max_peers = 4096;             // peers that are stored
 };
 
 // Events.
--- a/src/membership/membership_impl.hpp
+++ b/src/membership/membership_impl.hpp
@@ -30,17 +30,17 @@
 inline constexpr double kRetransmitFactor = 4;  // transmissions of an update, times log10 of the fleet's size
 inline constexpr double kNackTimeoutShare = 0.8;  // of the probe timeout, until a nack is sent
 
-// Values of this implementation. A pace is the protocol period, Options::pace.
+// Values of this implementation. A pace is the protocol period, Options::protocol_period.
 inline constexpr int kLeaveRecipients = 8;          // members notified directly of a graceful shutdown
 inline constexpr int kMaxUpdatesOfRange = 8;        // in one anti-entropy datagram, for names of 8 bytes
-inline constexpr double kEmptySlotPingPaces = 2;    // between two pings of empty slots
-inline constexpr double kAntiEntropyPaces = 10;     // between two anti-entropy exchanges
+inline constexpr double kEmptySlotPingPeriods = 2;  // between two pings of empty slots
+inline constexpr double kAntiEntropyPeriods = 10;   // between two anti-entropy exchanges
 inline constexpr int kAntiEntropyBudget = 16;       // anti-entropy datagrams sent in one pace at most
 inline constexpr int kMaxIndirectProbes = 64;       // run for other members at a time
-inline constexpr int kMaxDatagramsPerPace = 64;     // accepted from one slot; the protocol needs under ten
+inline constexpr int kMaxDatagramsPerPeriod = 64;   // accepted from one slot; the protocol needs under ten
 inline constexpr int kNameConflictTries = 3;        // pings of the other process until it counts as gone
 inline constexpr Millis kMaxClockAhead = 86400000;  // one day: incarnations further ahead are rejected
-inline constexpr double kNameConflictRetryPaces =
+inline constexpr double kNameConflictRetryPeriods =
     20;  // after yielding, until the other process is pinged again
 
 class MembershipImpl final : public Membership {
@@ -48,7 +48,7 @@
   MembershipImpl(const Options& options, std::uint64_t seed)
       : options_(options),
         random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
-        peers_(options.most),
+        peers_(options.max_peers),
         datagrams_from_(static_cast<std::size_t>(options.slots)) {}
 
   void enqueue(Event event) override { events_.push_back(std::move(event)); }
--- a/src/membership/name_conflict.cpp
+++ b/src/membership/name_conflict.cpp
@@ -20,8 +20,8 @@
     if (!std::exchange(yielded_, true)) {
       report(SelfEvent::name_yielded, message.slot);
     }
-    name_conflict_ =
-        NameConflict{message.slot, message.incarnation, 0, now_ + kNameConflictRetryPaces * options_.pace};
+    name_conflict_ = NameConflict{message.slot, message.incarnation, 0,
+                                  now_ + kNameConflictRetryPeriods * options_.protocol_period};
     return;
   }
   name_conflict_.reset();
@@ -38,7 +38,7 @@
     return;
   }
   if (name_conflict_->tries++ < kNameConflictTries) {
-    name_conflict_->next = now_ + options_.pace;
+    name_conflict_->next = now_ + options_.protocol_period;
     return send(name_conflict_->slot, Kind::ping, ++sequence_);
   }
   // Nobody is there any more under this name: it has moved here.
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -58,7 +58,8 @@
 }
 
 Millis MembershipImpl::min_suspicion() const {
-  return options_.suspicion_multiplier * std::max(1.0, std::log10(peers_.member_count() + 1)) * options_.pace;
+  return options_.suspicion_multiplier * std::max(1.0, std::log10(peers_.member_count() + 1)) *
+         options_.protocol_period;
 }
 
 Millis MembershipImpl::suspicion_deadline(const Peer& peer) const {
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -30,7 +30,7 @@
       membership_{membership::make_membership(membership_options_, config.seed), {}},
       quota_options_(fleet.quota),
       connections_(fleet.connections),
-      state_interval_(fleet.consistency ? fleet.consistency->pace : 0),
+      state_interval_(fleet.consistency ? fleet.consistency->poll_interval : 0),
       on_fleet_view_(std::move(on_fleet_view)),
       on_endpoint_list_(std::move(on_endpoint_list)),
       server_views_(std::move(server_views)),
@@ -198,7 +198,7 @@
     view.alive_peers.insert(slot.number);
   }
   if (quota_.core) {
-    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
+    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->slot_count;
   }
   const consistency::Admission admission = consistency_.core->view().admission;
   view.primary_only_allowed = admission.writes, view.reads_allowed = admission.reads;
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -17,10 +17,10 @@
   }
   const nlohmann::json& told = file.values["fleet"];
   FleetOptions fleet;
-  fleet.options.pace = told["pace"], fleet.options.timeout = told["time-out"];
-  fleet.options.suspicion_multiplier = told["patience"], fleet.options.forget = told["forget"];
-  fleet.options.most = told["most"];
-  if (fleet.options.timeout >= fleet.options.pace) {
+  fleet.options.protocol_period = told["pace"], fleet.options.ack_timeout = told["time-out"];
+  fleet.options.suspicion_multiplier = told["patience"], fleet.options.forget_after = told["forget"];
+  fleet.options.max_peers = told["most"];
+  if (fleet.options.ack_timeout >= fleet.options.protocol_period) {
     const auto line = file.lines.find("fleet.time-out");
     throw operators::InvalidFile({fmt::format("{}:{}: fleet.time-out: less than fleet.pace was expected",
                                               path, line == file.lines.end() ? 1 : line->second)});
@@ -28,8 +28,8 @@
   if (told.contains("shares")) {
     const nlohmann::json& of = told["shares"];
     quota::Options& options = fleet.quota.emplace();
-    options.fleet = of["fleet"], options.lease = of["lease"], options.evidence = of["evidence"];
-    options.notice = of["notice"], options.drift = of["drift"];
+    options.slot_count = of["fleet"], options.lease = of["lease"], options.evidence_lifetime = of["evidence"];
+    options.end_notice = of["notice"], options.max_drift = of["drift"];
     options.reserved = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
     fleet.connections = of["connections"];
     const auto faulty = [&](const char* key, const char* expected) {
@@ -37,7 +37,7 @@
       throw operators::InvalidFile({fmt::format("{}:{}: fleet.shares.{}: {} was expected", path,
                                                 line == file.lines.end() ? 1 : line->second, key, expected)});
     };
-    if (options.notice * 2 > options.lease) {
+    if (options.end_notice * 2 > options.lease) {
       faulty("notice", "at most half of fleet.shares.lease");
     }
     // A front that has just started would have none.
@@ -48,9 +48,10 @@
   if (told.contains("accord")) {
     const nlohmann::json& of = told["accord"];
     consistency::Options& options = fleet.consistency.emplace();
-    options.pace = of["pace"], options.grace = of["grace"], options.silence = of["silence"];
-    options.writes_for = of.value("writes-for", options.writes_for);
-    options.reads_for = of.value("reads-for", options.reads_for);
+    options.poll_interval = of["pace"], options.grace_period = of["grace"],
+    options.isolation_timeout = of["silence"];
+    options.admit_writes_for = of.value("writes-for", options.admit_writes_for);
+    options.admit_reads_for = of.value("reads-for", options.admit_reads_for);
   }
   if (told.contains("resends")) {
     orders.values["resends.share"] = told["resends"]["share"].get<double>();
--- a/src/quota/allocation_client.cpp
+++ b/src/quota/allocation_client.cpp
@@ -7,16 +7,16 @@
   if (left_) {
     return {};
   }
-  const bool counts = options_.slot.number < options_.fleet;
+  const bool counts = options_.slot.number < options_.slot_count;
   Allocation allocation;
-  allocation.sharing_instances = options_.fleet - (holds_lease()               ? vacant_slots()
-                                                   : now < vacant_slots_until_ ? vacant_slots_
-                                                                               : 0);
+  allocation.sharing_instances = options_.slot_count - (holds_lease()               ? vacant_slots()
+                                                        : now < vacant_slots_until_ ? vacant_slots_
+                                                                                    : 0);
   const auto add = [&](int amount, Millis until) {
     if (now < until) {
       allocation.hold += amount;
     }
-    if (now < until - options_.notice) {
+    if (now < until - options_.end_notice) {
       allocation.open += amount;
     }
   };
--- a/src/quota/allocation_ledger.cpp
+++ b/src/quota/allocation_ledger.cpp
@@ -7,8 +7,8 @@
   if (!holds_lease() || now_ < next_query_) {
     return;
   }
-  next_query_ = now_ + options_.evidence / kQueriesPerEvidence;
-  for (int slot = 0; slot < options_.fleet; ++slot) {
+  next_query_ = now_ + options_.evidence_lifetime / kQueriesPerEvidence;
+  for (int slot = 0; slot < options_.slot_count; ++slot) {
     if (slot == options_.slot.number || alive_.contains({slot})) {
       continue;
     }
@@ -21,7 +21,7 @@
 
 bool QuotaManagerImpl::is_vacant(SlotId slot) const {
   const auto empty = vacant_at_.find(slot);
-  if (empty == vacant_at_.end() || now_ >= empty->second + options_.evidence) {
+  if (empty == vacant_at_.end() || now_ >= empty->second + options_.evidence_lifetime) {
     return false;
   }
   // Guards against something between that sends questions back: who is heard since is there.
@@ -31,14 +31,14 @@
 
 int QuotaManagerImpl::vacant_slots() const {
   return static_cast<int>(std::ranges::count_if(vacant_at_, [this](const auto& item) {
-    return item.first.number < options_.fleet && is_vacant(item.first);
+    return item.first.number < options_.slot_count && is_vacant(item.first);
   }));
 }
 
 int QuotaManagerImpl::pool(SlotId before) const {
   int pool = 0;
   for (const auto& [slot, at] : vacant_at_) {
-    if (slot.number < options_.fleet && is_vacant(slot)) {
+    if (slot.number < options_.slot_count && is_vacant(slot)) {
       pool += kSlot - options_.reserved;
     }
   }
--- a/src/quota/lease_election.cpp
+++ b/src/quota/lease_election.cpp
@@ -15,7 +15,7 @@
     voted_until_ = kNever;
   }
   const bool bound = now_ < voted_until_ && (voted_for_ != candidate || voted_incarnation_ != incarnation);
-  if (bound || candidate.number >= options_.fleet || options_.slot.number >= options_.fleet) {
+  if (bound || candidate.number >= options_.slot_count || options_.slot.number >= options_.slot_count) {
     return false;
   }
   voted_for_ = candidate, voted_incarnation_ = incarnation, voted_until_ = now_ + at_least(options_.lease);
@@ -27,11 +27,11 @@
 
 void QuotaManagerImpl::count_vote(std::uint32_t request, SlotId voter) {
   const auto found = lease_requests_.find(request);
-  if (found == lease_requests_.end() || voter.number >= options_.fleet) {
+  if (found == lease_requests_.end() || voter.number >= options_.slot_count) {
     return;
   }
   found->second.second.insert(voter);
-  if (std::ssize(found->second.second) <= options_.fleet / 2) {
+  if (std::ssize(found->second.second) <= options_.slot_count / 2) {
     return;
   }
   // It counts from when it was asked for, by our clock; the voters count from later, and longer.
@@ -58,7 +58,7 @@
   if (!holds_lease() && holder_.number >= 0 && now_ > holder_seen_at_ + at_least(options_.lease)) {
     holder_ = {};
   }
-  if (options_.slot.number >= options_.fleet) {
+  if (options_.slot.number >= options_.slot_count) {
     return;
   }
   // Who stands first in the list of those that are there tries first, the others each a little later.
@@ -88,7 +88,7 @@
   const bool held = holds_lease();
   const std::uint32_t request = ++number_;
   lease_requests_[request] = {now_, {}};
-  for (int slot = 0; slot < options_.fleet; ++slot) {
+  for (int slot = 0; slot < options_.slot_count; ++slot) {
     if (slot != options_.slot.number) {
       send({slot}, Kind::lease_request, [&](Message& message) {
         message.number = request, message.is_holder = held, message.amount = held ? vacant_slots() : 0;
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -36,7 +36,7 @@
   started_ = now_ = now;
   // Whatever was given of this slot to others has ended by then: on the strength of evidence from before
   // the start, or of what a former life lent; then one lease, by clocks that may be slower than ours.
-  warm_at_ = now + at_least(std::max(options_.evidence, options_.lease) + options_.lease);
+  warm_at_ = now + at_least(std::max(options_.evidence_lifetime, options_.lease) + options_.lease);
   // A vote of a former life has come to its end by then.
   may_vote_at_ = now + at_least(options_.lease);
   holder_seen_at_ = now;
@@ -45,8 +45,9 @@
     options_hash_ = (options_hash_ ^ static_cast<std::uint32_t>(std::llround(value * 1000))) * 16777619U;
   };
   options_hash_ = 2166136261U;
-  for (const double value : {static_cast<double>(options_.fleet), options_.lease, options_.evidence,
-                             options_.drift, static_cast<double>(options_.reserved)}) {
+  for (const double value :
+       {static_cast<double>(options_.slot_count), options_.lease, options_.evidence_lifetime,
+        options_.max_drift, static_cast<double>(options_.reserved)}) {
     mix(value);
   }
 }
@@ -81,7 +82,7 @@
     case Kind::lease_request:
       if (message->is_holder) {
         holder_seen_at_ = now_, holder_ = datagram.from;
-        vacant_slots_ = std::min(message->amount, options_.fleet / 2),
+        vacant_slots_ = std::min(message->amount, options_.slot_count / 2),
         vacant_slots_until_ = now_ + at_most(options_.lease);
       }
       return send(datagram.from, Kind::vote, [&](Message& vote) {
@@ -162,13 +163,13 @@
     }
   };
   for (const Millis until : {granted_until_, slot_restored_until_}) {
-    at(until), at(until - options_.notice);
+    at(until), at(until - options_.end_notice);
   }
   at(vacant_slots_until_);
   for (const auto& [until, amount] : lent_) {
     at(until);
   }
-  at(warm_at_), at(warm_at_ + options_.notice);
+  at(warm_at_), at(warm_at_ + options_.end_notice);
   if (!left_) {
     at(lease_request_at_), at(next_request_);
     if (holds_lease()) {
--- a/src/quota/quota_manager.hpp
+++ b/src/quota/quota_manager.hpp
@@ -20,13 +20,13 @@
 // All but the slot has to be equal in the whole fleet; instances with other options are ignored.
 struct Options {
   SlotId slot;
-  int fleet = 1;           // number of slots that share the capacity
-  Millis lease = 2000;     // duration of the lease, and the longest duration of a grant
-  Millis evidence = 1000;  // for how long a returned query counts as evidence of a vacant slot
-  double drift = 0.01;     // the most by which the rates of two monotonic clocks differ, as a share
+  int slot_count = 1;               // number of slots that share the capacity
+  Millis lease = 2000;              // duration of the lease, and the longest duration of a grant
+  Millis evidence_lifetime = 1000;  // for how long a returned query counts as evidence of a vacant slot
+  double max_drift = 0.01;          // the most by which the rates of two monotonic clocks differ, as a share
   int reserved =
       250;  // thousandths of its slot that are never granted to others: usable at once after a start
-  Millis notice = 500;  // before a grant ends, from when on no new use of it begins
+  Millis end_notice = 500;  // before a grant ends, from when on no new use of it begins
 };
 
 // Events.
--- a/src/quota/quota_manager_impl.hpp
+++ b/src/quota/quota_manager_impl.hpp
@@ -82,8 +82,8 @@
   void start(Millis now);
 
   // The time on this clock after which every clock has gone on by the duration at least, or at most.
-  [[nodiscard]] Millis at_least(Millis duration) const { return duration * (1 + 3 * options_.drift); }
-  [[nodiscard]] Millis at_most(Millis duration) const { return duration / (1 + 3 * options_.drift); }
+  [[nodiscard]] Millis at_least(Millis duration) const { return duration * (1 + 3 * options_.max_drift); }
+  [[nodiscard]] Millis at_most(Millis duration) const { return duration / (1 + 3 * options_.max_drift); }
 
   bool is_accepted(const Message& message, SlotId from);
 
--- a/src/quota/usage.cpp
+++ b/src/quota/usage.cpp
@@ -16,7 +16,7 @@
 Connections connections_of(const Allocation& allocation, const Options& options, int connections) {
   const auto of = [&](int thousandths) {
     return static_cast<std::size_t>(static_cast<long long>(thousandths) * connections /
-                                    (static_cast<long long>(kSlot) * options.fleet));
+                                    (static_cast<long long>(kSlot) * options.slot_count));
   };
   return {of(allocation.open), of(allocation.hold)};
 }
@@ -26,7 +26,7 @@
   if (needs_.size() > kNeedSamples) {
     needs_.pop_front();
   }
-  const double each = static_cast<double>(connections_) / options_.fleet;  // connections of a slot
+  const double each = static_cast<double>(connections_) / options_.slot_count;  // connections of a slot
   const std::size_t most = *std::ranges::max_element(needs_);
   const double slots = static_cast<double>(most + kSpareConnections) / each;
   Demand demand;
--- a/tests/consistency.cpp
+++ b/tests/consistency.cpp
@@ -99,9 +99,9 @@
     if (word == "given") {
       Millis value = 0;
       line >> word >> value;
-      (word == "writes-for"  ? options.writes_for
-       : word == "reads-for" ? options.reads_for
-                             : options.silence) = value;
+      (word == "writes-for"  ? options.admit_writes_for
+       : word == "reads-for" ? options.admit_reads_for
+                             : options.isolation_timeout) = value;
       continue;
     }
     if (!consistency) {
--- a/tests/consistency_properties.cpp
+++ b/tests/consistency_properties.cpp
@@ -31,7 +31,8 @@
 struct World {
   World(int fronts, std::uint64_t seed)
       : fleet(fronts, brisk(), seed), held(static_cast<std::size_t>(fronts)) {
-    options.pace = 200, options.grace = 600, options.silence = 1500, options.writes_for = 2500;
+    options.poll_interval = 200, options.grace_period = 600, options.isolation_timeout = 1500,
+    options.admit_writes_for = 2500;
     fleet.compare(options);
     fleet.passes = [this](int from, int to) { return !cut.contains({from, to}); };
     for (int front = 0; front < fronts; ++front) {
@@ -40,7 +41,7 @@
   }
   static membership::Options brisk() {
     membership::Options options;
-    options.pace = 200, options.timeout = 80;
+    options.protocol_period = 200, options.ack_timeout = 80;
     return options;
   }
   void start(int front) {
@@ -88,7 +89,7 @@
         RC_ASSERT(gone);
       }
       if (!view.admission.writes) {
-        RC_ASSERT(fleet.now() - spoke[front] > options.writes_for);
+        RC_ASSERT(fleet.now() - spoke[front] > options.admit_writes_for);
       }
     }
   }
@@ -179,7 +180,7 @@
         const auto mark = static_cast<std::uint32_t>(*rc::gen::inRange(1, 9));
         world.change(false, mark);
         // In a round of questions it has met one who has the later list, and asked what that one has no more.
-        world.run(world.options.pace * (fronts + 4));
+        world.run(world.options.poll_interval * (fronts + 4));
         RC_ASSERT(world.fleet.consistency(deaf)->view().suspect_servers == std::set<std::uint32_t>{mark});
         RC_ASSERT(world.fleet.consistency(deaf)->view().admission.writes);
         world.mute.clear();
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -33,9 +33,9 @@
   std::unique_ptr<ConsistencyMonitor> make(int front) override {
     Options options;
     options.slot = {front};
-    options.silence = odd_ ? 3000 : 10000;
-    options.writes_for = odd_ ? 8000 : 20000;
-    options.reads_for = odd_ ? 12000 : 40000;
+    options.isolation_timeout = odd_ ? 3000 : 10000;
+    options.admit_writes_for = odd_ ? 8000 : 20000;
+    options.admit_reads_for = odd_ ? 12000 : 40000;
     lists_[static_cast<std::size_t>(front)] = EndpointListState();
     return make_consistency_monitor(options, static_cast<std::uint64_t>(draws.below(1000000)));
   }
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -23,9 +23,9 @@
     }
     options.slot = {front};
     options.slots = kFronts + (odd_ ? 2 : 0);
-    options.forget = odd_ ? 20000 : 60000;
+    options.forget_after = odd_ ? 20000 : 60000;
     if (odd_) {
-      options.pace = 300;
+      options.protocol_period = 300;
     }
     return make_membership(options, static_cast<std::uint64_t>(draws.below(1000000)));
   }
--- a/tests/digests/quota.cpp
+++ b/tests/digests/quota.cpp
@@ -20,7 +20,7 @@
   Options quota_options(int front) {
     Options options;
     options.slot = {front};
-    options.fleet = kFronts;
+    options.slot_count = kFronts;
     if (odd_) {
       options.lease = 1200;
     }
@@ -32,7 +32,7 @@
   std::unique_ptr<QuotaManager> make(int front) override {
     Options options = quota_options(front);
     if (draws.one_in(15)) {
-      options.drift = 0.02;
+      options.max_drift = 0.02;
     }
     usages_[static_cast<std::size_t>(front)] = std::make_unique<Usage>(quota_options(front), kConnections);
     return make_quota_manager(options, static_cast<std::uint64_t>(draws.below(1000000)));
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -39,7 +39,7 @@
       words >> front;
       Options options;
       for (std::string key; words >> key;) {
-        key == "forget" ? void(words >> options.forget) : give_up(text);
+        key == "forget" ? void(words >> options.forget_after) : give_up(text);
       }
       fleet_ = std::make_unique<VirtualFleet>(front, options, 7);
       fleet_->on([this](Millis at, int by, const PeerChanged& change) { seen(at, by, change); },
--- a/tests/quota_properties.cpp
+++ b/tests/quota_properties.cpp
@@ -29,7 +29,7 @@
 
 membership::Options brisk() {
   membership::Options options;
-  options.pace = 200, options.timeout = 80;
+  options.protocol_period = 200, options.ack_timeout = 80;
   return options;
 }
 
@@ -41,7 +41,7 @@
     const auto struck = *rc::gen::container<std::vector<Fault>>(faults(fronts));
     VirtualFleet fleet(fronts, brisk(), static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
     quota::Options share;
-    share.fleet = fronts;
+    share.slot_count = fronts;
     fleet.share(share);
     std::set<std::pair<int, int>> cut;
     std::set<int> slow;
@@ -58,7 +58,7 @@
     };
     // Steady clocks as far apart in their rates as the charge allows, wall clocks anywhere.
     for (int front = 0; front < fronts; ++front) {
-      fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * share.drift);
+      fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * share.max_drift);
       fleet.clock(front, 60000.0 * (front % 3 - 1));
       fleet.start(front);
       fleet.want(front, {quota::kSlot * fronts, 0});
@@ -115,7 +115,7 @@
     const int dead = *rc::gen::inRange(1, (fronts + 1) / 2);
     VirtualFleet fleet(fronts, brisk(), static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
     quota::Options share;
-    share.fleet = fronts;
+    share.slot_count = fronts;
     fleet.share(share);
     for (int front = 0; front < fronts; ++front) {
       fleet.start(front);
@@ -154,7 +154,7 @@
     VirtualFleet fleet(fronts, membership::Options{},
                        static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
     quota::Options share;
-    share.fleet = fronts;
+    share.slot_count = fronts;
     fleet.share(share);
     for (int front = 0; front < fronts; ++front) {
       fleet.start(front);
@@ -170,7 +170,7 @@
     for (int front = 0; front + 1 < fronts; ++front) {
       fleet.want(front, {0, 0});
     }
-    fleet.run(2 * share.lease * (1 + 3 * share.drift) + 1);
+    fleet.run(2 * share.lease * (1 + 3 * share.max_drift) + 1);
     for (int front = 0; front < fronts; ++front) {
       RC_ASSERT(fleet.allocation(front).hold >= quota::kSlot);
     }
