--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -1,5 +1,3 @@
-#include "proxy/fleet_coordinator.hpp"
-
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -7,6 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "proxy/fleet_coordinator.hpp"
+
 namespace reedspindle::proxy {
 namespace {
 
@@ -30,7 +30,7 @@
       membership_{membership::make_membership(membership_options_, config.seed), {}},
       quota_options_(fleet.quota),
       connections_(fleet.connections),
-      state_interval_(fleet.consistency ? fleet.consistency->pace : 0),
+      state_interval_(fleet.consistency ? fleet.consistency->poll_interval : 0),
       on_fleet_view_(std::move(on_fleet_view)),
       on_endpoint_list_(std::move(on_endpoint_list)),
       server_views_(std::move(server_views)),
@@ -198,7 +198,7 @@
     view.alive_peers.insert(slot.number);
   }
   if (quota_.core) {
-    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
+    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->slot_count;
   }
   const consistency::Admission admission = consistency_.core->view().admission;
   view.primary_only_allowed = admission.writes, view.reads_allowed = admission.reads;
@@ -235,8 +235,8 @@
 
 void FleetCoordinator::carry_out(const quota::LeaseReport& decision) {
   const bool warns = decision.event == quota::LeaseEvent::options_mismatch;
-  (warns ? log_.warn("shares", word_of(decision.event), {{"place", decision.slot.number}})
-         : log_.info("shares", word_of(decision.event), {{"place", decision.slot.number}}));
+  (warns ? log_.warn("shares", to_string(decision.event), {{"place", decision.slot.number}})
+         : log_.info("shares", to_string(decision.event), {{"place", decision.slot.number}}));
 }
 
 void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
@@ -255,11 +255,11 @@
   using consistency::ConsistencyEvent;
   schedule_status_write();
   const long long ms = std::llround(decision.duration);
-  const char* event = word_of(decision.event);
+  const char* event = to_string(decision.event);
   switch (decision.event) {
     case ConsistencyEvent::diverged:
       return log_.warn("accord", event,
-                       {{"in", word_of(decision.kind)},
+                       {{"in", to_string(decision.kind)},
                         {"first", decision.slot.number},
                         {"ms", ms},
                         {"mine", decision.local.of(decision.kind)},
@@ -267,7 +267,7 @@
                         {"my_revision", decision.local.revision},
                         {"their_revision", decision.remote.revision}});
     case ConsistencyEvent::converged:
-      return log_.info("accord", event, {{"in", word_of(decision.kind)}, {"ms", ms}});
+      return log_.info("accord", event, {{"in", to_string(decision.kind)}, {"ms", ms}});
     case ConsistencyEvent::reconnected:
       return log_.info("accord", event, {{"ms", ms}});
     default:
@@ -300,7 +300,7 @@
 
 void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
   view_changed_ = true;
-  log_.info("fleet", word_of(decision.event),
+  log_.info("fleet", to_string(decision.event),
             {{"front", decision.name},
              {"place", decision.slot.number},
              {"incarnation", decision.incarnation.number}});
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -34,9 +34,9 @@
   std::unique_ptr<ConsistencyMonitor> make_core(int slot) override {
     Options options;
     options.slot = {slot};
-    options.silence = odd_seed_ ? 3000 : 10000;
-    options.writes_for = odd_seed_ ? 8000 : 20000;
-    options.reads_for = odd_seed_ ? 12000 : 40000;
+    options.isolation_timeout = odd_seed_ ? 3000 : 10000;
+    options.admit_writes_for = odd_seed_ ? 8000 : 20000;
+    options.admit_reads_for = odd_seed_ ? 12000 : 40000;
     list_states_[static_cast<std::size_t>(slot)] = EndpointListState();
     return make_consistency_monitor(options, static_cast<std::uint64_t>(random.below(1000000)));
   }
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -1,9 +1,8 @@
 // Runs the membership protocol of five instances in a simulated network with faults, and prints a digest of
 // all decisions and views.
-#include "membership/membership.hpp"
-
 #include <variant>
 
+#include "membership/membership.hpp"
 #include "network.hpp"
 
 namespace {
@@ -24,9 +23,9 @@
     }
     options.slot = {slot};
     options.slots = kInstances + (odd_seed_ ? 2 : 0);
-    options.forget = odd_seed_ ? 20000 : 60000;
+    options.forget_after = odd_seed_ ? 20000 : 60000;
     if (odd_seed_) {
-      options.pace = 300;
+      options.protocol_period = 300;
     }
     return make_membership(options, static_cast<std::uint64_t>(random.below(1000000)));
   }
--- a/tests/digests/quota.cpp
+++ b/tests/digests/quota.cpp
@@ -21,7 +21,7 @@
   Options quota_options(int slot) {
     Options options;
     options.slot = {slot};
-    options.fleet = kInstances;
+    options.slot_count = kInstances;
     if (odd_seed_) {
       options.lease = 1200;
     }
@@ -33,7 +33,7 @@
   std::unique_ptr<QuotaManager> make_core(int slot) override {
     Options options = quota_options(slot);
     if (random.one_in(15)) {
-      options.drift = 0.02;
+      options.max_drift = 0.02;
     }
     usages_[static_cast<std::size_t>(slot)] = std::make_unique<Usage>(quota_options(slot), kConnections);
     return make_quota_manager(options, static_cast<std::uint64_t>(random.below(1000000)));
