--- a/src/consistency/state_digest.cpp
+++ b/src/consistency/state_digest.cpp
@@ -44,7 +44,7 @@
   std::map<std::uint32_t, ServerEntry> ready;
   for (const auto& [member, entry] : servers_) {
     if (entry.state == ServerState::ready) {
-      ready[static_cast<std::uint32_t>(mark_of(member))] = entry;
+      ready[static_cast<std::uint32_t>(hash_address(member))] = entry;
     }
   }
   return ready;
--- a/src/control/registry_state.cpp
+++ b/src/control/registry_state.cpp
@@ -21,7 +21,7 @@
                        {"group", m.group.number},
                        {"kind", m.kind},
                        {"draining", m.state == ServerState::draining},
-                       {"size", m.size},
+                       {"size", m.relative_capacity},
                        {"up_since", m.started_at}});
   }
   return Json{{"form", kForm}, {"revision", state.revision}, {"members", std::move(members)}}.dump(
@@ -45,7 +45,7 @@
       entry.listed.group = {row.at("group").get<int>()};
       entry.listed.kind = row.at("kind").get<int>();
       entry.listed.state = row.at("draining").get<bool>() ? ServerState::draining : ServerState::ready;
-      entry.listed.size = row.at("size").get<double>();
+      entry.listed.relative_capacity = row.at("size").get<double>();
       entry.listed.started_at = row.at("up_since").get<double>();
       state.members.push_back(std::move(entry));
     }
--- a/src/control/resource_snapshot.cpp
+++ b/src/control/resource_snapshot.cpp
@@ -175,7 +175,8 @@
   // The weight follows the least capacity that the server has during slow start, so that one that is warming
   // up is never busier than warm ones; in steps of a tenth, so that slow start causes ten responses at most.
   const double fraction = is_warm(view) ? 1 : std::max(0.1, std::floor(view.slow_start_fraction * 10) / 10);
-  endpoint.weight = static_cast<std::uint32_t>(std::clamp(100 * fraction * view.entry.size, 1.0, 1e6));
+  endpoint.weight =
+      static_cast<std::uint32_t>(std::clamp(100 * fraction * view.entry.relative_capacity, 1.0, 1e6));
   return endpoint;
 }
 
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -78,8 +78,8 @@
   int kind = 0;
   GroupId group;
   ServerState state = ServerState::ready;
-  double size = 1;        // capacity relative to the other servers'
-  Millis started_at = 0;  // 0: long ago
+  double relative_capacity = 1;  // capacity relative to the other servers'
+  Millis started_at = 0;         // 0: long ago
   bool primary = false;
   bool operator==(const ServerEntry&) const = default;
 };
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -118,7 +118,7 @@
   server.zone = text_or_none(row, "az");
   server.entry.zone = named(server.zone, names.zones);
   server.entry.kind = named(text_or_none(row, "model"), names.kinds);
-  server.entry.size = number(row, "capacity_hint", 1);
+  server.entry.relative_capacity = number(row, "capacity_hint", 1);
   server.entry.started_at = number(row, "boot_ms", 0);
   server.entry.primary = text_or_none(row, "rank") == "source";
   return server;
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -500,7 +500,8 @@
       }
       const Role role =
           servers_.state(server).primary ? reedspindle::Role::primary : reedspindle::Role::replica;
-      samples.push_back({mark_of({fmt::format("s-{:08x}", server)}), {role, servers_.position(server), 0.3}});
+      samples.push_back(
+          {hash_address({fmt::format("s-{:08x}", server)}), {role, servers_.position(server), 0.3}});
     };
     for (int server = group; server < day_.servers; server += groups_) {
       tell(server);
@@ -508,7 +509,7 @@
         tell(server + day_.servers / 2);
       }
     }
-    const std::string text = text_of(clock_.now(), samples);
+    const std::string text = encode_samples(clock_.now(), samples);
     asio::error_code ignored;
     if (!samples.empty()) {
       peer_.send_to(asio::buffer(text), to, 0, ignored);
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -198,7 +198,7 @@
     view.alive_peers.insert(slot.number);
   }
   if (quota_.core) {
-    view.fleet_share = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
+    view.live_fraction = static_cast<double>(allocation_.sharing_instances) / quota_options_->fleet;
   }
   const consistency::Admission admission = consistency_.core->view().admission;
   view.primary_only_allowed = admission.writes, view.reads_allowed = admission.reads;
--- a/src/routing/mark_index.hpp
+++ b/src/routing/address_hash_index.hpp
@@ -9,24 +9,24 @@
 namespace reedspindle::routing {
 
 template <typename Replica>
-class MarkIndex {
+class AddressHashIndex {
  public:
-  void add(long mark, Replica& replica) { entries_.emplace_back(mark, &replica); }
+  void add(long address_hash, Replica& replica) { entries_.emplace_back(address_hash, &replica); }
 
-  void remove(long mark, Replica& replica) {
+  void remove(long address_hash, Replica& replica) {
     sort();
-    const auto at = std::ranges::lower_bound(entries_, Entry(mark, &replica));
-    if (at == entries_.end() || *at != Entry(mark, &replica)) {
+    const auto at = std::ranges::lower_bound(entries_, Entry(address_hash, &replica));
+    if (at == entries_.end() || *at != Entry(address_hash, &replica)) {
       return;
     }
     entries_.erase(at);
     --sorted_;
   }
 
-  // None where no replica has that mark, or more than one.
-  Replica* find(long mark) {
+  // None where no replica has that address hash, or more than one.
+  Replica* find(long address_hash) {
     sort();
-    const auto found = std::ranges::equal_range(entries_, mark, {}, &Entry::first);
+    const auto found = std::ranges::equal_range(entries_, address_hash, {}, &Entry::first);
     return found.size() == 1 ? found.front().second : nullptr;
   }
 
--- a/src/routing/endpoint_list.cpp
+++ b/src/routing/endpoint_list.cpp
@@ -72,9 +72,9 @@
 void EndpointLists::add(Server& server) {
   const ServerId& id = server.entry.id;
   server.listed_at = context_.now;
-  server.mark = mark_of(id);
+  server.address_hash = hash_address(id);
   std::erase(forgotten_, id);
-  registry_.index_mark(server);
+  registry_.index_address_hash(server);
   insert_into_group(server);
   server.concurrency_limit = limits_.initial_limit();
   slow_start_.add(server, context_.draw());
--- a/src/routing/probe_leader.cpp
+++ b/src/routing/probe_leader.cpp
@@ -26,7 +26,7 @@
   return std::pair(weight(group, first), first) > std::pair(weight(group, second), second);
 }
 
-int turn_of(GroupId group, int instance, const std::set<int>& others, int most) {
+int leadership_rank(GroupId group, int instance, const std::set<int>& others, int most) {
   int turn = 0;
   for (const int candidate : others) {
     if (candidate != instance && precedes(group, candidate, instance) && ++turn == most) {
--- a/src/routing/probe_leader.hpp
+++ b/src/routing/probe_leader.hpp
@@ -14,6 +14,6 @@
 // Whether the first of two instances comes before the second for a group; the same wherever it is asked.
 [[nodiscard]] bool precedes(GroupId group, int first, int second);
 // How many of the others come before an instance, up to `most`: 0 leads the group, 1 takes over from it.
-[[nodiscard]] int turn_of(GroupId group, int instance, const std::set<int>& others, int most);
+[[nodiscard]] int leadership_rank(GroupId group, int instance, const std::set<int>& others, int most);
 
 }  // namespace reedspindle::consistency
--- a/src/routing/probe_leadership.cpp
+++ b/src/routing/probe_leadership.cpp
@@ -60,8 +60,8 @@
 void ProbeLeadership::update(Group& group) {
   const bool settled = context_.now - fleet_grown_at_ > kViewSettles;
   if (context_.fleet_view && group.leader_rank < 0 && settled) {
-    group.leader_rank = consistency::turn_of(group.id, context_.options.rank,
-                                             context_.fleet_view->alive_peers, kRankedInstances);
+    group.leader_rank = consistency::leadership_rank(group.id, context_.options.rank,
+                                                     context_.fleet_view->alive_peers, kRankedInstances);
     if (group.leader_rank == 0) {
       ++groups_led_;
     }
--- a/src/routing/replica_samples.cpp
+++ b/src/routing/replica_samples.cpp
@@ -9,15 +9,16 @@
 namespace reedspindle {
 namespace {
 
-// "r1", the sender's clock (5 digits, ms), then by member: mark (4), lag in kLagUnit (2), and in one digit
-// its role (0: it did not answer) and load: role + 4 * (0: not known, else 1 + 14ths of its processors).
+// "r1", the sender's clock (5 digits, ms), then by member: address hash (4), lag in kLagUnit (2), and in one
+// digit its role (0: it did not answer) and load: role + 4 * (0: not known, else 1 + 14ths of its
+// processors).
 constexpr std::string_view kDigits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_",
                            kForm = "r1";
 constexpr std::size_t kHeader = 7, kEntry = 7, kLongest = 256;
 constexpr long kClock = 1L << 30, kLags = 1L << 12, kLagUnit = 4;  // two digits of lag span 16 s
 // By which the sender's clock may be ahead of ours: half the age up to which samples count.
 constexpr Millis kAhead = 500;
-static_assert(kMostSamples == (kLongest - kHeader) / kEntry);
+static_assert(kMaxSamplesPerMessage == (kLongest - kHeader) / kEntry);
 
 std::string digits(long number, int count) {
   return count == 0 ? "" : digits(number / 64, count - 1) + kDigits[static_cast<std::size_t>(number % 64)];
@@ -47,7 +48,7 @@
 
 }  // namespace
 
-long mark_of(const ServerId& member) {  // FNV-1a
+long hash_address(const ServerId& member) {  // FNV-1a
   std::uint32_t hash = 2166136261U;
   for (const char letter : member.address) {
     hash = (hash ^ static_cast<unsigned char>(letter)) * 16777619U;
@@ -55,16 +56,16 @@
   return static_cast<long>((hash ^ hash >> 24) & 0xffffff);
 }
 
-std::string text_of(Millis now, const std::vector<GossipedSample>& samples) {
+std::string encode_samples(Millis now, const std::vector<GossipedSample>& samples) {
   const double clock = std::floor(now);
   std::string text = std::string(kForm) + digits(static_cast<long>(clock) % kClock, 5);
-  for (std::size_t at = 0; at < std::min(samples.size(), kMostSamples); ++at) {
-    const auto& [mark, seen] = samples[at];
+  for (std::size_t at = 0; at < std::min(samples.size(), kMaxSamplesPerMessage); ++at) {
+    const auto& [address_hash, seen] = samples[at];
     const double lag = seen.position < 0
                            ? kLags - 1
                            : std::clamp(std::ceil((clock - seen.position) / kLagUnit), 0.0, kLags - 1.0);
     const long busy = seen.utilization >= 0 ? 1 + std::lround(14 * std::min(1.0, seen.utilization)) : 0;
-    text += digits(mark, 4) + digits(static_cast<long>(lag), 2);
+    text += digits(address_hash, 4) + digits(static_cast<long>(lag), 2);
     text += digits(static_cast<long>(seen.role) + 4 * busy, 1);
   }
   return text;
@@ -89,17 +90,18 @@
   const Millis sent = now - age - 1;  // by the sender's clock
   SampleGossip told{std::min(sent, now), {}};
   for (std::size_t at = kHeader; at < text.size(); at += kEntry) {
-    const long mark = number_in(text.substr(at, 4));
+    const long address_hash = number_in(text.substr(at, 4));
     const long lag = number_in(text.substr(at + 4, 2));
     const long last = number_in(text.substr(at + 6, 1));
     const long role = last % 4;
     const long busy = last / 4;
-    if (mark < 0 || lag < 0 || last < 0 || role > 2) {
+    if (address_hash < 0 || lag < 0 || last < 0 || role > 2) {
       continue;
     }
     const Millis position = lag < kLags - 1 ? sent - static_cast<double>(lag * kLagUnit) : -1;
     told.samples.push_back(
-        {mark, {static_cast<Role>(role), position, busy > 0 ? static_cast<double>(busy - 1) / 14.0 : -1}});
+        {address_hash,
+         {static_cast<Role>(role), position, busy > 0 ? static_cast<double>(busy - 1) / 14.0 : -1}});
   }
   return told;
 }
--- a/src/routing/replica_state.cpp
+++ b/src/routing/replica_state.cpp
@@ -55,7 +55,7 @@
 
 void insert_into_group(Server& server) {
   const auto before = [](const Server* one, const Server* other) {
-    return std::tie(one->mark, one->entry.id) < std::tie(other->mark, other->entry.id);
+    return std::tie(one->address_hash, one->entry.id) < std::tie(other->address_hash, other->entry.id);
   };
   std::vector<Server*>& servers = server.group->servers;
   servers.insert(std::ranges::upper_bound(servers, &server, before), &server);
--- a/src/routing/replica_state.hpp
+++ b/src/routing/replica_state.hpp
@@ -34,7 +34,7 @@
   std::deque<Millis> recent_latencies;  // of the last answers that were not long-running
 
   // Listing.
-  long mark = 0;               // the short number by which instances name it to one another
+  long address_hash = 0;       // the short number by which instances name it to one another
   Millis listed_at = kNever;   // when it was listed first
   Millis gone_since = kNever;  // when a list left it out; set only where such servers are forgotten
   bool draining = false;       // stands until it is listed as ready again
@@ -83,7 +83,7 @@
 // The state of one replica group.
 struct Group {
   GroupId id;
-  std::vector<Server*> servers;  // ascending by mark, then id: the same order at every instance
+  std::vector<Server*> servers;  // ascending by address hash, then id: the same order at every instance
   bool changed = false;          // its probes are to be decided anew in this batch
   bool sample_wanted = false;    // a request waits for a sample
   bool leads_probing = false;    // this instance probes it for all others
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -251,7 +251,7 @@
 void RouterImpl::handle_fleet_view(const FleetViewChanged& event) {
   leadership_.handle_fleet_view(event);
   context_.fleet_view = event;
-  context_.instances = std::max(1.0, context_.options.instances * event.fleet_share);
+  context_.instances = std::max(1.0, context_.options.instances * event.live_fraction);
 }
 
 std::vector<Decision> RouterImpl::take_decisions() {
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -64,7 +64,7 @@
 // `instances` and the messages that arrive decide.
 struct FleetViewChanged {
   std::set<int> alive_peers;  // the others that are alive, by their numbers as peers
-  double fleet_share = 1;     // of all instances, those that share what is for all: others are known dead
+  double live_fraction = 1;   // of all instances, those that share what is for all: others are known dead
   bool primary_only_allowed = true;  // false: cut off for too long to send what only a primary may answer
   bool reads_allowed = true;         // false: or anything else
   bool operator==(const FleetViewChanged&) const = default;
--- a/src/routing/sample_exchange.cpp
+++ b/src/routing/sample_exchange.cpp
@@ -19,20 +19,20 @@
 }  // namespace
 
 // Messages that are over a second late or from the future are dropped, and samples of servers that are
-// unknown here or share their mark with another.
+// unknown here or share their address hash with another.
 void SampleExchange::handle_peer_message(const PeerMessageReceived& message) {
   const auto gossip = decode_samples(message.text, context_.now);
-  if (!gossip || context_.now - gossip->then > kMaxSampleAge) {
+  if (!gossip || context_.now - gossip->sent_at > kMaxSampleAge) {
     return;
   }
   leadership_.record_peer_message();
   for (const GossipedSample& gossiped : gossip->samples) {
-    handle_sample(gossiped, gossip->then, message.peer);
+    handle_sample(gossiped, gossip->sent_at, message.peer);
   }
 }
 
 void SampleExchange::handle_sample(const GossipedSample& gossiped, Millis sent_at, int peer) {
-  Server* const found = registry_.find_by_mark(gossiped.mark);
+  Server* const found = registry_.find_by_address_hash(gossiped.address_hash);
   if (!found) {
     return;
   }
@@ -91,7 +91,7 @@
       server->gossiped_at = now;
     }
     samples.push_back(describe(*server));
-    if (samples.size() == kMostSamples) {
+    if (samples.size() == kMaxSamplesPerMessage) {
       break;  // the others are told with their next probe
     }
   }
@@ -99,7 +99,7 @@
     return std::nullopt;
   }
   told_at_ = now;
-  return BroadcastToPeers{text_of(now, samples)};
+  return BroadcastToPeers{encode_samples(now, samples)};
 }
 
 GossipedSample SampleExchange::describe(const Server& server) const {
@@ -108,7 +108,7 @@
     role = Role::unknown;
   }
   const bool utilization_recent = context_.now - server.utilization_seen_at < kMaxSampleAge;
-  return {server.mark, {role, server.applied_position, utilization_recent ? server.utilization : -1}};
+  return {server.address_hash, {role, server.applied_position, utilization_recent ? server.utilization : -1}};
 }
 
 Millis SampleExchange::next_at() const { return queued_.empty() ? kForever : queued_since_ + kGatherTime; }
--- a/src/routing/server_registry.cpp
+++ b/src/routing/server_registry.cpp
@@ -6,7 +6,7 @@
 
 void ServerRegistry::remove(Server& server) {
   std::erase(server.group->servers, &server);
-  servers_by_mark_.remove(server.mark, server);
+  servers_by_address_hash_.remove(server.address_hash, server);
   const ServerId id = server.entry.id;
   servers_.erase(id);
 }
--- a/src/routing/server_registry.hpp
+++ b/src/routing/server_registry.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/types.hpp"
-#include "routing/mark_index.hpp"
+#include "routing/address_hash_index.hpp"
 #include "routing/replica_state.hpp"
 
 namespace reedspindle::routing {
@@ -19,11 +19,13 @@
   [[nodiscard]] std::map<GroupId, Group>& groups() { return groups_; }
   [[nodiscard]] const std::map<GroupId, Group>& groups() const { return groups_; }
 
-  // Null where no server, or more than one, has the mark.
-  [[nodiscard]] Server* find_by_mark(long mark) { return servers_by_mark_.find(mark); }
+  // Null where no server, or more than one, has the address hash.
+  [[nodiscard]] Server* find_by_address_hash(long address_hash) {
+    return servers_by_address_hash_.find(address_hash);
+  }
 
-  // Of a newly listed server, once its mark is set.
-  void index_mark(Server& server) { servers_by_mark_.add(server.mark, server); }
+  // Of a newly listed server, once its address hash is set.
+  void index_address_hash(Server& server) { servers_by_address_hash_.add(server.address_hash, server); }
 
   // The server is destroyed; nothing may refer to it any more.
   void remove(Server& server);
@@ -43,7 +45,7 @@
  private:
   std::map<ServerId, Server> servers_;
   std::map<GroupId, Group> groups_;
-  MarkIndex<Server> servers_by_mark_;
+  AddressHashIndex<Server> servers_by_address_hash_;
   std::vector<Group*> changed_;
   long selections_ = 0;
 };
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -93,7 +93,7 @@
 
 void SlowStart::update_capacity(Server& server) {
   const WarmCapacity::Condition condition{
-      .size = server.entry.size,
+      .size = server.entry.relative_capacity,
       .cold_since = server.cold_since,
       .sendable = health_.is_in_service(server),
       .failed_by_requests = server.request_failed_at > server.last_answer_at,
@@ -117,7 +117,8 @@
     return 0;
   }
   return fraction(server) * context_.options.slow_start_multiple *
-         static_cast<double>(acknowledged_at_.size()) / kThroughputWindow * server.entry.size / warm;
+         static_cast<double>(acknowledged_at_.size()) / kThroughputWindow * server.entry.relative_capacity /
+         warm;
 }
 
 }  // namespace reedspindle::routing
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -53,7 +53,7 @@
   } else {
     throw InvalidInput("unknown state " + state);
   }
-  member.size = number_or(field(row, 5), 1);
+  member.relative_capacity = number_or(field(row, 5), 1);
   member.started_at = ms(row, 6);
   member.primary = number_or(field(row, 7), 0) > 0;
   return member;
--- a/tests/codecs.cpp
+++ b/tests/codecs.cpp
@@ -35,7 +35,7 @@
       std::cout << "  " << entry.id.address << " at " << endpoint.address().to_string() << ':'
                 << endpoint.port() << ", zone " << zone << ' ' << entry.zone.number << ", kind " << entry.kind
                 << ", group " << entry.group.number << ", " << states[static_cast<int>(entry.state)]
-                << ", size " << entry.size << ", up since " << entry.started_at
+                << ", size " << entry.relative_capacity << ", up since " << entry.started_at
                 << (entry.primary ? ", primary" : "") << '\n';
     }
   } catch (const std::exception& fault) {
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -76,7 +76,7 @@
       ServerEntry& entry = members_.emplace_back();
       entry.id = {fmt::format("m{}", number)};
       entry.group = {number % kGroups};
-      entry.size = 0.5 + 0.5 * (number % 3);
+      entry.relative_capacity = 0.5 + 0.5 * (number % 3);
     }
   }
 
@@ -168,10 +168,11 @@
     const int group = draw(kGroups);
     for (const ServerEntry& one : members_) {
       if (one.group.number == group) {
-        samples.push_back({mark_of(one.id), {chance(0.1) ? Role::unknown : role(one), now_ - lag(one), 0.4}});
+        samples.push_back(
+            {hash_address(one.id), {chance(0.1) ? Role::unknown : role(one), now_ - lag(one), 0.4}});
       }
     }
-    router_->enqueue(PeerMessageReceived{draw(12), text_of(now_ - draw(40), samples)});
+    router_->enqueue(PeerMessageReceived{draw(12), encode_samples(now_ - draw(40), samples)});
   }
   static Role role(const ServerEntry& one) {
     return one.id.address.size() == 2 && one.id.address[1] < '6' ? Role::primary : Role::replica;
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -175,13 +175,13 @@
     const int count = draws_.below(45);
     for (int sample = 0; sample < count; ++sample) {
       GossipedSample one;
-      one.mark = mark_of({fmt::format("m{}", draws_.below(1000))});
+      one.address_hash = hash_address({fmt::format("m{}", draws_.below(1000))});
       one.sample.role = static_cast<Role>(draws_.below(3));
       one.sample.position = draws_.one_in(5) ? -1 : now - draws_.below(9000);
       one.sample.utilization = draws_.one_in(5) ? -1 : 0.01 * draws_.below(101);
       told.push_back(one);
     }
-    const std::string text = text_of(now, told);
+    const std::string text = encode_samples(now, told);
     digest_.add(text);
     add(decode_samples(text, now + draws_.below(100)));
     const std::string mutated = draws_.mutated(text);
@@ -191,9 +191,9 @@
     if (!read) {
       return digest_.add("no samples");
     }
-    digest_.add(fmt::format("samples of {:.3f}", read->then));
+    digest_.add(fmt::format("samples of {:.3f}", read->sent_at));
     for (const GossipedSample& one : read->samples) {
-      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.sample.role),
+      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.address_hash, static_cast<int>(one.sample.role),
                               one.sample.position, one.sample.utilization));
     }
   }
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -24,7 +24,7 @@
         }
       }
       digest.add(fmt::format("group {} {} {} {} {}", group, front, other, precedes({group}, front, other),
-                             turn_of({group}, front, others, 2)));
+                             leadership_rank({group}, front, others, 2)));
     }
     return Network::play(30000);
   }
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -138,7 +138,7 @@
     const ServerEntry& entry = one.entry;
     return fmt::format("{} {} {} {} {} {:.3f} {:.3f} {} {} {}", digests::hex(entry.id.address),
                        entry.zone.number, entry.kind, entry.group.number, static_cast<int>(entry.state),
-                       entry.size, entry.started_at, entry.primary, digests::hex(one.zone),
+                       entry.relative_capacity, entry.started_at, entry.primary, digests::hex(one.zone),
                        config::text_of(one.endpoint));
   }
   void read(const std::string& text) {
--- a/tests/digests/drawn_members.hpp
+++ b/tests/digests/drawn_members.hpp
@@ -57,8 +57,8 @@
     digest_.add(fmt::format("read {} {}", static_cast<int>(read.kind), read.servers.size()));
     for (const ServerEntry& one : read.servers)
       digest_.add(fmt::format("{} {} {} {} {} {:.3f} {:.3f} {}", one.id.address, one.zone.number, one.kind,
-                              one.group.number, static_cast<int>(one.state), one.size, one.started_at,
-                              one.primary));
+                              one.group.number, static_cast<int>(one.state), one.relative_capacity,
+                              one.started_at, one.primary));
   }
 
   std::vector<ServerView> views(Millis now) {
@@ -73,7 +73,7 @@
     entry.listed.zone = {number % 3};
     entry.listed.group = {number % kGroups};
     entry.listed.kind = number % 2;
-    entry.listed.size = 0.5 * draws_.between(1, 3);
+    entry.listed.relative_capacity = 0.5 * draws_.between(1, 3);
     const int state = draws_.below(12);
     entry.listed.state = static_cast<ServerState>(state < 9 ? 0 : state == 9 ? 2 : 1);
     if (draws_.one_in(5)) entry.listed.started_at = now - draws_.below(20000);
--- a/tests/discovery_properties.cpp
+++ b/tests/discovery_properties.cpp
@@ -131,14 +131,14 @@
   ListedEndpoint one;
   one.entry.id = {fmt::format("s{}", number)};
   one.entry.state = state;
-  one.entry.size = size;
+  one.entry.relative_capacity = size;
   return one;
 }
 
 using View = std::map<std::string, std::pair<ServerState, double>>;
 
 void apply(View& view, const ListedEndpoint& row) {
-  view[row.entry.id.address] = {row.entry.state, row.entry.size};
+  view[row.entry.id.address] = {row.entry.state, row.entry.relative_capacity};
   if (row.entry.state == ServerState::gone) {
     view.erase(row.entry.id.address);
   }
--- a/tests/routing.cpp
+++ b/tests/routing.cpp
@@ -173,7 +173,7 @@
   }
   if (word == "among") {
     FleetViewChanged among;
-    line >> text >> rest >> among.fleet_share;
+    line >> text >> rest >> among.live_fraction;
     std::istringstream peers(text);
     for (std::string peer; std::getline(peers, peer, ',');) {
       if (peer != "none") {
--- a/tests/routing_properties.cpp
+++ b/tests/routing_properties.cpp
@@ -8,12 +8,12 @@
 #include <optional>
 #include <vector>
 
+#include "routing/address_hash_index.hpp"
 #include "routing/due_times.hpp"
-#include "routing/mark_index.hpp"
 #include "routing/warm_capacity.hpp"
 
 using namespace reedspindle;
-using routing::DueTimes, routing::MarkIndex, routing::WarmCapacity;
+using routing::DueTimes, routing::AddressHashIndex, routing::WarmCapacity;
 
 namespace {
 
@@ -62,7 +62,7 @@
   return rc::check("a mark finds its replica where just one has it", [] {
     std::array<int, 12> replicas{};
     std::map<std::size_t, long> marks;
-    MarkIndex<int> index;
+    AddressHashIndex<int> index;
     const int steps = *rc::gen::inRange(1, 80);
     for (int step = 0; step < steps; ++step) {
       const auto which = *rc::gen::inRange<std::size_t>(0, replicas.size());
--- a/tests/routing_units/replica_state.cpp
+++ b/tests/routing_units/replica_state.cpp
@@ -50,9 +50,9 @@
   Server low;
   Server high;
   Server same;
-  low.mark = 1;
-  high.mark = 2;
-  same.mark = 2;
+  low.address_hash = 1;
+  high.address_hash = 2;
+  same.address_hash = 2;
   high.entry.id = {"a"};
   same.entry.id = {"b"};
   for (Server* const server : {&same, &high, &low}) {
--- a/tests/stored_forms.cpp
+++ b/tests/stored_forms.cpp
@@ -46,7 +46,7 @@
     entry.listed.kind = number % 2;
     entry.listed.group = {number / 3};
     entry.listed.state = number == 4 ? ServerState::draining : ServerState::ready;
-    entry.listed.size = 0.5 + 0.25 * number;
+    entry.listed.relative_capacity = 0.5 + 0.25 * number;
     entry.listed.started_at = number == 2 ? 1767225600125.5 : 0;
     entry.endpoint = number == 5 ? "[2001:db8::5]:6432" : fmt::format("10.1.0.{}:6432", number);
     entry.zone = number == 3 ? "zone \"\xc3\xa9\"" : fmt::format("zone-{}", number % 3);
@@ -81,7 +81,7 @@
     std::cout << fmt::format("{} {} {} zone {} group {} kind {} state {} size {:.3f} up since {:.3f}\n",
                              one.listed.id.address, one.endpoint, one.zone, one.listed.zone.number,
                              one.listed.group.number, one.listed.kind, static_cast<int>(one.listed.state),
-                             one.listed.size, one.listed.started_at);
+                             one.listed.relative_capacity, one.listed.started_at);
   }
   std::cout << fmt::format("the same text: {}\n", control::text_of(kept) == *loaded.state);
   std::cout << fmt::format("the text of the state: {}\n", control::text_of(state()) == *loaded.state);
