--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,10 +1,10 @@
-#include "simulator/wire.hpp"
-
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <utility>
 
+#include "simulator/wire.hpp"
+
 namespace reedspindle::simulator {
 namespace {
 
@@ -55,7 +55,7 @@
   } else {
     throw InvalidInput("unknown state " + state);
   }
-  member.size = number_or_default(element_or_null(row, 5), 1);
+  member.relative_capacity = number_or_default(element_or_null(row, 5), 1);
   member.started_at = ms(row, 6);
   member.primary = number_or_default(element_or_null(row, 7), 0) > 0;
   return member;
--- a/tests/decisions.cpp
+++ b/tests/decisions.cpp
@@ -77,7 +77,7 @@
       ServerEntry& entry = servers_.emplace_back();
       entry.id = {fmt::format("m{}", number)};
       entry.group = {number % kGroups};
-      entry.size = 0.5 + 0.5 * (number % 3);
+      entry.relative_capacity = 0.5 + 0.5 * (number % 3);
     }
   }
 
@@ -171,11 +171,11 @@
     for (const ServerEntry& server : servers_) {
       if (server.group.number == group) {
         samples.push_back(
-            {mark_of(server.id),
+            {hash_address(server.id),
              {with_probability(0.1) ? Role::unknown : role_of(server), now_ - random_lag(server), 0.4}});
       }
     }
-    router_->enqueue(PeerMessageReceived{random_below(12), text_of(now_ - random_below(40), samples)});
+    router_->enqueue(PeerMessageReceived{random_below(12), encode_samples(now_ - random_below(40), samples)});
   }
   // The servers m0 to m5, one of each group, are the primaries.
   static Role role_of(const ServerEntry& server) {
--- a/tests/digests/codecs.cpp
+++ b/tests/digests/codecs.cpp
@@ -178,13 +178,13 @@
     const int count = random_.below(45);
     for (int sample = 0; sample < count; ++sample) {
       GossipedSample one;
-      one.mark = mark_of({fmt::format("m{}", random_.below(1000))});
+      one.address_hash = hash_address({fmt::format("m{}", random_.below(1000))});
       one.sample.role = static_cast<Role>(random_.below(3));
       one.sample.position = random_.one_in(5) ? -1 : now - random_.below(9000);
       one.sample.utilization = random_.one_in(5) ? -1 : 0.01 * random_.below(101);
       samples.push_back(one);
     }
-    const std::string text = text_of(now, samples);
+    const std::string text = encode_samples(now, samples);
     digest_.add(text);
     add(decode_samples(text, now + random_.below(100)));
     const std::string mutated = random_.mutated(text);
@@ -194,9 +194,9 @@
     if (!gossip) {
       return digest_.add("no samples");
     }
-    digest_.add(fmt::format("samples of {:.3f}", gossip->then));
+    digest_.add(fmt::format("samples of {:.3f}", gossip->sent_at));
     for (const GossipedSample& one : gossip->samples) {
-      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.mark, static_cast<int>(one.sample.role),
+      digest_.add(fmt::format("{} {} {:.3f} {:.3f}", one.address_hash, static_cast<int>(one.sample.role),
                               one.sample.position, one.sample.utilization));
     }
   }
--- a/tests/digests/consistency.cpp
+++ b/tests/digests/consistency.cpp
@@ -25,7 +25,7 @@
         }
       }
       digest.add(fmt::format("group {} {} {} {} {}", group, slot, other, precedes({group}, slot, other),
-                             turn_of({group}, slot, others, 2)));
+                             leadership_rank({group}, slot, others, 2)));
     }
     return Network::play(30000);
   }
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -139,7 +139,7 @@
     const ServerEntry& entry = listed.entry;
     return fmt::format("{} {} {} {} {} {:.3f} {:.3f} {} {} {}", digests::hex(entry.id.address),
                        entry.zone.number, entry.kind, entry.group.number, static_cast<int>(entry.state),
-                       entry.size, entry.started_at, entry.primary, digests::hex(listed.zone),
+                       entry.relative_capacity, entry.started_at, entry.primary, digests::hex(listed.zone),
                        config::format_endpoint(listed.endpoint));
   }
   // Reads a list in random chunks, adds its rows and what the table hands out for it, and reads it again as a
--- a/tests/digests/random_registry.hpp
+++ b/tests/digests/random_registry.hpp
@@ -63,8 +63,8 @@
     digest_.add(fmt::format("read {} {}", static_cast<int>(list.kind), list.servers.size()));
     for (const ServerEntry& member : list.servers)
       digest_.add(fmt::format("{} {} {} {} {} {:.3f} {:.3f} {}", member.id.address, member.zone.number,
-                              member.kind, member.group.number, static_cast<int>(member.state), member.size,
-                              member.started_at, member.primary));
+                              member.kind, member.group.number, static_cast<int>(member.state),
+                              member.relative_capacity, member.started_at, member.primary));
   }
 
   // Returns the last views, or new random ones.
@@ -80,7 +80,7 @@
     entry.listed.zone = {number % 3};
     entry.listed.group = {number % kGroups};
     entry.listed.kind = number % 2;
-    entry.listed.size = 0.5 * random_.between(1, 3);
+    entry.listed.relative_capacity = 0.5 * random_.between(1, 3);
     const int state = random_.below(12);
     entry.listed.state = static_cast<ServerState>(state < 9 ? 0 : state == 9 ? 2 : 1);
     if (random_.one_in(5)) entry.listed.started_at = now - random_.below(20000);
--- a/tests/routing.cpp
+++ b/tests/routing.cpp
@@ -186,7 +186,7 @@
   }
   if (word == "fleet-view") {
     FleetViewChanged view;
-    line >> text >> rest >> view.fleet_share;
+    line >> text >> rest >> view.live_fraction;
     std::istringstream peers(text);
     for (std::string peer; std::getline(peers, peer, ',');) {
       if (peer != "none") {
--- a/tests/routing_units/replica_state.cpp
+++ b/tests/routing_units/replica_state.cpp
@@ -1,8 +1,7 @@
 // Tests how samples are recorded, and how the primary is determined from the roles that servers report.
-#include "routing/replica_state.hpp"
-
 #include <vector>
 
+#include "routing/replica_state.hpp"
 #include "routing_units/builders.hpp"
 
 namespace reedspindle::routing::tests {
@@ -50,9 +49,9 @@
   Server low_mark;
   Server high_mark;
   Server same_mark;
-  low_mark.mark = 1;
-  high_mark.mark = 2;
-  same_mark.mark = 2;
+  low_mark.address_hash = 1;
+  high_mark.address_hash = 2;
+  same_mark.address_hash = 2;
   high_mark.entry.id = {"a"};
   same_mark.entry.id = {"b"};
   for (Server* const server : {&same_mark, &high_mark, &low_mark}) {
