--- a/src/consistency/consistency_monitor.cpp
+++ b/src/consistency/consistency_monitor.cpp
@@ -14,13 +14,17 @@
 
 constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
 constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
-// Questions whose answers count; a pace apart, so an answer may take some paces.
+// Outstanding requests whose replies are accepted. Requests are one poll interval apart, so a reply may take
+// several intervals.
 constexpr std::size_t kMaxPending = 8;
-// Datagrams of one slot in a pace: it asks once and answers once, and whoever differs is asked again.
+// Datagrams accepted from one slot per poll interval. A peer usually sends one poll and one reply; a peer
+// that differs is polled more often.
 constexpr int kMaxDatagramsPerInterval = 8;
-// The shortest time that a peer's word is held, in paces, and the longest by the bound on how many are.
+// Minimum age, in poll intervals, at which the digest of a peer expires. The maximum is kMaxPeerDigests
+// intervals.
 constexpr double kMinDigestAgeIntervals = 4;
-// For how long a peer's word that a member leaves holds: some rounds over 120 members, 40 a pace.
+// How long, in poll intervals, a peer's report that a server was removed stays valid. Several rounds over 120
+// servers fit into it, at 40 servers checked per interval.
 constexpr double kSuspectIntervals = 10;
 
 class ConsistencyMonitorImpl final : public ConsistencyMonitor {
@@ -40,7 +44,7 @@
       datagrams_from_.clear(), next_rate_window_ = now_ + options_.poll_interval;
     }
     for (Event& event : std::exchange(events_, {})) {
-      std::visit([this](const auto& happened) { on(happened); }, event);
+      std::visit([this](const auto& received) { on(received); }, event);
     }
     if (2 * (alive_.size() + 1) > static_cast<std::size_t>(std::max(1, fleet_size_))) {
       majority_at_ = now_;
@@ -59,7 +63,7 @@
   [[nodiscard]] View view() const override {
     View view{{}, last_contact(), isolated_, admission_, reported_suspects_, dropped_};
     for (std::size_t kind = 0; kind < kDigestKinds; ++kind) {
-      view.differences[kind] = divergences_[kind].is;
+      view.differences[kind] = divergences_[kind].difference;
     }
     return view;
   }
@@ -67,11 +71,11 @@
  private:
   struct PeerDigest {
     StateDigest digest;
-    Millis at = 0;  // it was so at this time or later
+    Millis at = 0;  // the peer had this digest at this time or later
   };
-  // A time in which some peer differed all along.
+  // A period during which at least one peer differed, for one kind of digest.
   struct Divergence {
-    Difference is;
+    Difference difference;
     StateDigest local;
     StateDigest remote;
     bool reported = false;
@@ -88,26 +92,27 @@
       return send(datagram.from, Kind::poll_reply, message->number);
     }
     if (message->kind == Kind::check) {
-      // Only a list that is later than the other's says more of who leaves.
+      // Only a later list than the sender's can show which servers were removed.
       if (message->digest.revision >= digest_.revision) {
         return;
       }
-      std::vector<std::uint32_t> leave;
-      std::ranges::copy_if(message->marks, std::back_inserter(leave),
+      std::vector<std::uint32_t> removed;
+      std::ranges::copy_if(message->marks, std::back_inserter(removed),
                            [this](std::uint32_t mark) { return !ready_.contains(mark); });
-      return send(datagram.from, Kind::removed, message->number, std::move(leave));
+      return send(datagram.from, Kind::removed, message->number, std::move(removed));
     }
-    // Guards against a word that took long: it is dated by when it was asked for, not by when it came.
-    const auto asked = std::ranges::find(pending_, std::tuple(message->number, datagram.from, message->kind),
-                                         &PendingRequest::id);
-    if (asked == pending_.end()) {
+    // A reply is dated by the time of its request, not of its arrival, so that a delayed reply does not pass
+    // for recent state.
+    const auto request = std::ranges::find(
+        pending_, std::tuple(message->number, datagram.from, message->kind), &PendingRequest::id);
+    if (request == pending_.end()) {
       return void(++dropped_);
     }
-    store_digest(datagram.from, message->digest, asked->at);
+    store_digest(datagram.from, message->digest, request->at);
     if (message->discovery_age >= 0) {
-      fleet_discovery_at_ = std::max(fleet_discovery_at_, asked->at - message->discovery_age);
+      fleet_discovery_at_ = std::max(fleet_discovery_at_, request->at - message->discovery_age);
     }
-    pending_.erase(asked);
+    pending_.erase(request);
     if (message->kind != Kind::removed || !is_discovery_silent()) {
       return;
     }
@@ -118,13 +123,14 @@
     }
   }
 
-  // Who is there anew is asked next: two halves that meet would else each end their rounds among themselves.
+  // Polls newly alive peers next. Otherwise, after a network partition heals, each half would first finish
+  // its polling round among its own members.
   void on(const PeersChanged& peers) {
-    std::vector<SlotId> anew;
-    std::ranges::set_difference(peers.alive, alive_, std::back_inserter(anew));
-    std::erase_if(poll_order_, [&anew](SlotId slot) { return std::ranges::binary_search(anew, slot); });
-    std::shuffle(anew.begin(), anew.end(), random_);
-    poll_order_.insert(poll_order_.end(), anew.begin(), anew.end());
+    std::vector<SlotId> joined;
+    std::ranges::set_difference(peers.alive, alive_, std::back_inserter(joined));
+    std::erase_if(poll_order_, [&joined](SlotId slot) { return std::ranges::binary_search(joined, slot); });
+    std::shuffle(joined.begin(), joined.end(), random_);
+    poll_order_.insert(poll_order_.end(), joined.begin(), joined.end());
     alive_ = peers.alive, fleet_size_ = peers.fleet_size;
   }
 
@@ -142,14 +148,14 @@
     suspect_servers_.clear();
   }
 
-  // discovery has not spoken to this instance itself for longer than news may take.
+  // Returns whether discovery has not answered this instance for longer than an update takes to spread.
   [[nodiscard]] bool is_discovery_silent() const {
     return now_ - std::max(own_discovery_at_, started_) > options_.grace_period;
   }
 
-  // What removes is taken from a peer at once, for it can only make this instance more careful: while
-  // discovery is silent here, whoever has a later list is asked which of the members held ready it does not
-  // hold so, a part of them each pace. What adds waits for discovery.
+  // While discovery does not answer this instance, asks peers with a later endpoint list which of the servers
+  // that are ready here are not ready there, up to kMaxMarks servers per poll interval. Removals are accepted
+  // from peers at once because they can only make this instance more cautious; additions wait for discovery.
   void check_removed_servers() {
     std::erase_if(suspect_servers_, [this](const auto& item) { return now_ >= item.second; });
     if (now_ >= next_check_) {
@@ -163,7 +169,7 @@
       if (is_discovery_silent() && !ahead.empty() && !ready_.empty()) {
         std::vector<std::uint32_t> marks;
         auto next = ready_.upper_bound(last_checked_mark_);
-        for (std::size_t turn = 0; turn < std::min(kMaxMarks, ready_.size()); ++turn, ++next) {
+        for (std::size_t count = 0; count < std::min(kMaxMarks, ready_.size()); ++count, ++next) {
           if (next == ready_.end()) {
             next = ready_.begin();
           }
@@ -191,10 +197,10 @@
   }
 
   void expire_digests() {
-    const double paces = std::clamp(2.0 * static_cast<double>(alive_.size()), kMinDigestAgeIntervals,
-                                    static_cast<double>(kMaxPeerDigests));
+    const double intervals = std::clamp(2.0 * static_cast<double>(alive_.size()), kMinDigestAgeIntervals,
+                                        static_cast<double>(kMaxPeerDigests));
     std::erase_if(peer_digests_, [&](const auto& item) {
-      return !alive_.contains(item.first) || now_ - item.second.at > options_.poll_interval * paces;
+      return !alive_.contains(item.first) || now_ - item.second.at > options_.poll_interval * intervals;
     });
     while (peer_digests_.size() > kMaxPeerDigests) {
       peer_digests_.erase(
@@ -202,7 +208,8 @@
     }
   }
 
-  // What a peer said before this instance's own last change says nothing: both may have changed.
+  // A digest from before the last change of this instance's own state is not comparable: both sides may have
+  // changed since.
   [[nodiscard]] bool is_comparable(const PeerDigest& peer, DigestKind kind) const {
     return peer.at > changed_at_[static_cast<std::size_t>(kind)];
   }
@@ -212,40 +219,41 @@
 
   void update_divergence(DigestKind kind) {
     Divergence& divergence = divergences_[static_cast<std::size_t>(kind)];
-    Difference& is = divergence.is;
-    is.differ = is.compared = 0, is.behind = false;
+    Difference& difference = divergence.difference;
+    difference.differ = difference.compared = 0, difference.behind = false;
     std::optional<SlotId> one;
     for (const auto& [slot, peer] : peer_digests_) {
-      is.compared += is_comparable(peer, kind);
+      difference.compared += is_comparable(peer, kind);
       if (!differs(peer, kind)) {
         continue;
       }
-      if (++is.differ == 1) {
+      if (++difference.differ == 1) {
         one = slot;
       }
-      is.behind = is.behind || (kind == DigestKind::list && peer.digest.revision > digest_.revision);
+      difference.behind =
+          difference.behind || (kind == DigestKind::list && peer.digest.revision > digest_.revision);
     }
-    if (one && is.since == 0) {
-      is.since = now_, is.first = *one;
+    if (one && difference.since == 0) {
+      difference.since = now_, difference.first = *one;
       divergence.local = digest_, divergence.remote = peer_digests_.at(*one).digest;
     }
-    if (is.since > 0 && !divergence.reported && now_ - is.since >= options_.grace_period) {
+    if (difference.since > 0 && !divergence.reported && now_ - difference.since >= options_.grace_period) {
       divergence.reported = true;
-      report(
-          {ConsistencyEvent::diverged, kind, is.first, divergence.local, divergence.remote, now_ - is.since});
+      report({ConsistencyEvent::diverged, kind, difference.first, divergence.local, divergence.remote,
+              now_ - difference.since});
     }
-    // While nobody's word compares, nothing says that it is over.
-    if (one || is.since == 0 || is.compared == 0) {
+    // Without any comparable digest nothing shows that the difference has ended.
+    if (one || difference.since == 0 || difference.compared == 0) {
       return;
     }
     if (divergence.reported) {
-      report({ConsistencyEvent::converged, kind, is.first, {}, {}, now_ - is.since});
+      report({ConsistencyEvent::converged, kind, difference.first, {}, {}, now_ - difference.since});
     }
-    divergence = {Difference{0, is.compared, 0, {}, false}, {}, {}, false};
+    divergence = {Difference{0, difference.compared, 0, {}, false}, {}, {}, false};
   }
 
-  // Who differs is asked every other time, so that a difference that is over is soon seen to be; else each in
-  // its turn, in an order drawn anew each time round.
+  // Sends every other poll to a peer that differs, if any, so that the end of a difference is detected soon.
+  // All other polls go to the peers in turn, in an order that is shuffled each round.
   void poll_next_peer() {
     if (now_ < next_poll_) {
       return;
@@ -288,16 +296,17 @@
     }
   }
 
-  // Contact is what would tell this instance if it were wrong: discovery, here or at a peer that hears it, or
-  // the greater part of the fleet. A fleet that has all lost discovery goes on; one who has lost both may be
-  // on the wrong side of a cut.
+  // Returns when this instance last had contact with a source that could correct its state: discovery,
+  // directly or through a peer that it answers, or a majority of the fleet. A fleet in which every instance
+  // has lost discovery keeps working; an instance that has lost both may be on the minority side of a
+  // partition.
   [[nodiscard]] Millis last_contact() const {
     return std::max({started_, fleet_discovery_at_, majority_at_});
   }
 
   void update_admission() {
-    const Millis without = now_ - last_contact();
-    if (const bool isolated = without > options_.isolation_timeout; isolated != isolated_) {
+    const Millis elapsed = now_ - last_contact();
+    if (const bool isolated = elapsed > options_.isolation_timeout; isolated != isolated_) {
       isolated_ = isolated;
       report({isolated ? ConsistencyEvent::isolated : ConsistencyEvent::reconnected,
               {},
@@ -309,20 +318,20 @@
     if (!isolated_) {
       contact_lost_at_ = last_contact();
     }
-    const Admission admission{without <= options_.admit_writes_for, without <= options_.admit_reads_for};
+    const Admission admission{elapsed <= options_.admit_writes_for, elapsed <= options_.admit_reads_for};
     if (admission == admission_) {
       return;
     }
     if (admission_.writes && !admission.writes) {
-      report({ConsistencyEvent::rejecting_writes, {}, {}, {}, {}, without});
+      report({ConsistencyEvent::rejecting_writes, {}, {}, {}, {}, elapsed});
     }
     if (admission_.reads && !admission.reads) {
-      report({ConsistencyEvent::rejecting_reads, {}, {}, {}, {}, without});
+      report({ConsistencyEvent::rejecting_reads, {}, {}, {}, {}, elapsed});
     }
     decisions_.push_back(admission_ = admission);
   }
 
-  void report(ConsistencyReport finding) { decisions_.push_back(std::move(finding)); }
+  void report(ConsistencyReport event) { decisions_.push_back(std::move(event)); }
 
   void send(SlotId to, Kind kind, std::uint32_t number, std::vector<std::uint32_t> marks = {}) {
     const Millis age = fleet_discovery_at_ == kNever ? -1 : now_ - fleet_discovery_at_;
@@ -339,8 +348,8 @@
       }
     }
     for (const Divergence& divergence : divergences_) {
-      if (divergence.is.since > 0 && !divergence.reported) {
-        next = std::min(next, divergence.is.since + options_.grace_period);
+      if (divergence.difference.since > 0 && !divergence.reported) {
+        next = std::min(next, divergence.difference.since + options_.grace_period);
       }
     }
     decisions_.push_back(RequestWakeup{std::max(next, now_ + 1)});
@@ -349,7 +358,7 @@
   double random_fraction() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
   struct PendingRequest {
-    std::tuple<std::uint32_t, SlotId, Kind> id;  // the kind of its answer
+    std::tuple<std::uint32_t, SlotId, Kind> id;  // number, receiver, and kind of the reply
     Millis at = 0;
   };
   const Options options_;
@@ -371,24 +380,21 @@
   Millis fleet_discovery_at_ = kNever, majority_at_ = kNever, contact_lost_at_ = kNever;
   bool isolated_ = false;
   Admission admission_;
-  // Of a list that is behind.
+  // For check_removed_servers().
   std::set<std::uint32_t> ready_, reported_suspects_;
-  std::map<std::uint32_t, Millis> suspect_servers_;  // until when
-  std::uint32_t last_checked_mark_ = 0;              // the last mark that was asked of
+  std::map<std::uint32_t, Millis> suspect_servers_;  // until when each is suspect
+  std::uint32_t last_checked_mark_ = 0;              // where the next check continues
   Millis next_check_ = 0, own_discovery_at_ = kNever;
   std::uint64_t dropped_ = 0;
 };
 
 }  // namespace
 
-const char* to_string(ConsistencyEvent finding) {
-  constexpr const char* words[] = {"differs from its fellows",
-                                   "agrees with its fellows again",
-                                   "cut off",
-                                   "in touch again",
-                                   "turns writes away",
-                                   "turns reads away"};
-  return words[static_cast<int>(finding)];
+const char* to_string(ConsistencyEvent event) {
+  constexpr const char* texts[] = {"state differs from peers", "state agrees with peers again",
+                                   "isolated from fleet",      "contact with fleet restored",
+                                   "rejecting writes",         "rejecting reads"};
+  return texts[static_cast<int>(event)];
 }
 
 std::unique_ptr<ConsistencyMonitor> make_consistency_monitor(const Options& options, std::uint64_t seed) {
--- a/src/consistency/message.cpp
+++ b/src/consistency/message.cpp
@@ -11,11 +11,11 @@
 
 using Json = nlohmann::json;
 
-constexpr char kLetter = 'A';
-constexpr int kForm = 1;
-constexpr std::size_t kElements = 10;
-constexpr std::uint64_t kMark = (1 << 24) - 1;
-constexpr Millis kOldest = 86400000;  // a day; what is older is not known
+constexpr char kProtocolLetter = 'A';
+constexpr int kFormatVersion = 1;
+constexpr std::size_t kElementCount = 10;
+constexpr std::uint64_t kMaxMark = (1 << 24) - 1;
+constexpr Millis kMaxDiscoveryAge = 86400000;  // one day in ms; an older age is sent as unknown
 
 }  // namespace
 
@@ -26,8 +26,8 @@
 
 std::string encode(const Message& m) {
   const auto& sums = m.digest.sums;
-  const double age = m.discovery_age <= kOldest ? m.discovery_age : -1;
-  const Json json = {kForm,
+  const double age = m.discovery_age <= kMaxDiscoveryAge ? m.discovery_age : -1;
+  const Json json = {kFormatVersion,
                      static_cast<int>(m.kind),
                      m.number,
                      m.slot.number,
@@ -37,12 +37,12 @@
                      sums[2],
                      age,
                      m.marks};
-  return encode_datagram(kLetter, json);
+  return encode_datagram(kProtocolLetter, json);
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
-  if (!array || (*array)[0] != kForm || !(*array)[8].is_number()) {
+  const std::optional<Json> array = decode_datagram(kProtocolLetter, bytes, kElementCount);
+  if (!array || (*array)[0] != kFormatVersion || !(*array)[8].is_number()) {
     return std::nullopt;
   }
   const Json& json = *array;
@@ -65,15 +65,15 @@
   if (!json[9].is_array() || json[9].size() > kMaxMarks) {
     return std::nullopt;
   }
-  for (const Json& told : json[9]) {
-    const auto mark = decode_unsigned(told, kMark);
+  for (const Json& element : json[9]) {
+    const auto mark = decode_unsigned(element, kMaxMark);
     if (!mark) {
       return std::nullopt;
     }
     m.marks.push_back(static_cast<std::uint32_t>(*mark));
   }
   m.discovery_age = json[8].get<double>();
-  if (!std::isfinite(m.discovery_age) || m.discovery_age > kOldest ||
+  if (!std::isfinite(m.discovery_age) || m.discovery_age > kMaxDiscoveryAge ||
       (m.discovery_age < 0 && m.discovery_age != -1)) {
     return std::nullopt;
   }
@@ -82,6 +82,6 @@
   return m;
 }
 
-bool is_consistency_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
+bool is_consistency_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kProtocolLetter; }
 
 }  // namespace reedspindle::consistency
