--- a/src/quota/allocation_client.cpp
+++ b/src/quota/allocation_client.cpp
@@ -1,4 +1,5 @@
-// The client side of allocations: what this instance may use, requests to the lease holder, and its grants.
+// The client side of allocations: computes what this instance may use, requests allocations from the lease
+// holder and applies its grants.
 #include "quota/quota_manager_impl.hpp"
 
 namespace reedspindle::quota {
@@ -7,7 +8,7 @@
   if (left_) {
     return {};
   }
-  const bool counts = options_.slot.number < options_.slot_count;
+  const bool has_slot = options_.slot.number < options_.slot_count;
   Allocation allocation;
   allocation.sharing_instances = options_.slot_count - (holds_lease()               ? vacant_slots()
                                                         : now < vacant_slots_until_ ? vacant_slots_
@@ -20,10 +21,10 @@
       allocation.open += amount;
     }
   };
-  if (counts) {
+  if (has_slot) {
     add(options_.reserved, kForever);
   }
-  if (counts) {
+  if (has_slot) {
     add(kSlot - options_.reserved, now >= warm_at_ ? kForever : slot_restored_until_);
   }
   add(granted_, granted_until_);
@@ -38,25 +39,25 @@
   return allocation;
 }
 
-void QuotaManagerImpl::take_grant(const Message& allocate) {
-  const Millis asked = requests_sent_.at(allocate.in_reply_to, allocate.slot);
-  // Only to the last asks, and never to an earlier one than the last that was answered.
-  if (asked == kNever || asked <= answered_request_at_) {
+void QuotaManagerImpl::handle_grant(const Message& grant) {
+  const Millis requested_at = requests_sent_.at(grant.in_reply_to, grant.slot);
+  // Accepts only replies to recent requests that are newer than the last request that was answered.
+  if (requested_at == kNever || requested_at <= answered_request_at_) {
     return;
   }
-  answered_request_at_ = asked, last_grant_ = allocate.number;
-  holder_seen_at_ = now_, holder_ = allocate.slot;
-  shortage_ = allocate.shortage;
+  answered_request_at_ = requested_at, last_grant_ = grant.number;
+  holder_seen_at_ = now_, holder_ = grant.slot;
+  shortage_ = grant.shortage;
   if (shortage_ && demand_.lent > 0) {
     next_request_ = std::min(next_request_, now_ + options_.lease / kRequestsPerLease);
   }
-  const Millis until = asked + std::min(allocate.valid_for, options_.lease);
-  granted_ = allocate.amount, granted_until_ = until;
-  if (allocate.restores_slot && slot_restored_until_ == kNever) {
+  const Millis until = requested_at + std::min(grant.valid_for, options_.lease);
+  granted_ = grant.amount, granted_until_ = until;
+  if (grant.restores_slot && slot_restored_until_ == kNever) {
     decisions_.emplace_back(std::in_place_type<LeaseReport>,
                             LeaseReport{LeaseEvent::slot_restored, options_.slot});
   }
-  if (allocate.restores_slot) {
+  if (grant.restores_slot) {
     slot_restored_until_ = until;
   }
 }
@@ -66,7 +67,8 @@
     return;
   }
   const bool warming_up = now_ < warm_at_;
-  // Lent is what nobody has to ask for again at once: of a settled slot, and while others are short of it.
+  // Lends only when this instance has finished warming up and the holder reports a shortage. What is lent
+  // cannot be taken back at once.
   const int lent = !warming_up && shortage_ ? std::clamp(demand_.lent, 0, kSlot - options_.reserved) : 0;
   const bool active = warming_up || demand_.wanted > 0 || lent > 0;
   next_request_ = now_ + options_.lease * (active ? 1 / kRequestsPerLease : kIdleLeases) *
@@ -81,7 +83,7 @@
   if (holder_.number < 0) {
     return;
   }
-  std::erase_if(lent_, [this](const auto& one) { return now_ >= one.first; });
+  std::erase_if(lent_, [this](const auto& entry) { return now_ >= entry.first; });
   if (lent > 0 && last_grant_ > 0) {
     message.lent = lent;
     lent_.emplace_back(now_ + 2 * at_least(options_.lease), lent);
--- a/src/quota/allocation_ledger.cpp
+++ b/src/quota/allocation_ledger.cpp
@@ -1,4 +1,4 @@
-// The ledger of the lease holder: which slots are vacant, what is lent, and what is granted to whom.
+// The ledger of the lease holder: tracks vacant slots, what clients lend and what is granted to each client.
 #include "quota/quota_manager_impl.hpp"
 
 namespace reedspindle::quota {
@@ -24,7 +24,8 @@
   if (empty == vacant_at_.end() || now_ >= empty->second + options_.evidence_lifetime) {
     return false;
   }
-  // Guards against something between that sends questions back: who is heard since is there.
+  // Guards against a device on the path that returns queries: a slot that has been heard from after the query
+  // was sent is not vacant.
   const auto seen = seen_at_.find(slot);
   return seen == seen_at_.end() || seen->second < empty->second;
 }
@@ -62,7 +63,7 @@
 
 int QuotaManagerImpl::largest_grant(const Client& client) const {
   int most = 0;
-  for (const Grant& grant : client.out) {
+  for (const Grant& grant : client.outstanding) {
     if (now_ < grant.until) {
       most = std::max(most, grant.amount);
     }
@@ -71,17 +72,17 @@
 }
 
 int QuotaManagerImpl::fair_share(SlotId of) const {
-  std::vector<std::pair<int, SlotId>> wants;
+  std::vector<std::pair<int, SlotId>> demands;
   for (const auto& [slot, client] : clients_) {
-    if (client.wanted > 0 && now_ - client.asked < options_.lease) {
-      wants.emplace_back(client.wanted, slot);
+    if (client.wanted > 0 && now_ - client.requested_at < options_.lease) {
+      demands.emplace_back(client.wanted, slot);
     }
   }
-  std::ranges::sort(wants);
+  std::ranges::sort(demands);
   int left = pool();
-  for (std::size_t at = 0; at < wants.size(); ++at) {
-    const int allocation = std::min(wants[at].first, left / static_cast<int>(wants.size() - at));
-    if (wants[at].second == of) {
+  for (std::size_t at = 0; at < demands.size(); ++at) {
+    const int allocation = std::min(demands[at].first, left / static_cast<int>(demands.size() - at));
+    if (demands[at].second == of) {
       return allocation;
     }
     left -= allocation;
@@ -93,50 +94,52 @@
   return at_most(std::min(options_.lease, lease_until_ - now_));
 }
 
-void QuotaManagerImpl::allocate(const Message& asks) {
+void QuotaManagerImpl::allocate(const Message& request) {
   if (!holds_lease()) {
     return;
   }
-  Client& client = clients_[asks.slot];
-  if (client.incarnation != asks.incarnation) {
-    client = {asks.incarnation, kNever, 0, client.out, 0, kNever};
+  Client& client = clients_[request.slot];
+  if (client.incarnation != request.incarnation) {
+    client = {request.incarnation, kNever, 0, client.outstanding, 0, kNever};
   }
-  client.asked = now_, client.wanted = asks.wanted;
-  // What it lends it has not used since it had the answer that it names, and will not for two leases.
-  if (const Millis known = grants_sent_.at(asks.in_reply_to, asks.slot); asks.lent > 0 && known != kNever) {
-    client.lent = asks.lent, client.lent_until = known + options_.lease;
+  client.requested_at = now_, client.wanted = request.wanted;
+  // The client has not used what it lends since it received the grant to which it refers, and will not use it
+  // for two leases.
+  if (const Millis known = grants_sent_.at(request.in_reply_to, request.slot);
+      request.lent > 0 && known != kNever) {
+    client.lent = request.lent, client.lent_until = known + options_.lease;
   } else if (now_ >= client.lent_until) {
     client.lent = 0;
   }
-  std::erase_if(client.out, [this](const Grant& grant) { return now_ >= grant.until; });
-  const int available = pool() - allocated(asks.slot);
-  // Its own slot is its own again when nothing that was handed out needs it any more.
-  const bool restores_slot = asks.warming_up && available >= largest_grant(client);
-  const int amount = std::max(0, std::min(fair_share(asks.slot), available));
+  std::erase_if(client.outstanding, [this](const Grant& grant) { return now_ >= grant.until; });
+  const int available = pool() - allocated(request.slot);
+  // The client gets its own slot back when no outstanding grant depends on it.
+  const bool restores_slot = request.warming_up && available >= largest_grant(client);
+  const int amount = std::max(0, std::min(fair_share(request.slot), available));
   int wanted = 0;
-  for (const auto& [slot, one] : clients_) {
-    if (now_ - one.asked < options_.lease) {
-      wanted += one.wanted;
+  for (const auto& [slot, other] : clients_) {
+    if (now_ - other.requested_at < options_.lease) {
+      wanted += other.wanted;
     }
   }
   const Millis left = grant_duration();
   if (amount > 0) {
-    client.out.push_back({amount, now_ + at_least(left)});
+    client.outstanding.push_back({amount, now_ + at_least(left)});
   }
-  if (asks.slot == options_.slot) {
+  if (request.slot == options_.slot) {
     granted_ = amount, granted_until_ = now_ + left;
     if (restores_slot) {
       slot_restored_until_ = now_ + left;
     }
     return;
   }
-  send(asks.slot, Kind::grant, [&](Message& message) {
-    message.number = ++number_, message.in_reply_to = asks.number;
+  send(request.slot, Kind::grant, [&](Message& message) {
+    message.number = ++number_, message.in_reply_to = request.number;
     message.amount = amount, message.valid_for = left, message.restores_slot = restores_slot;
-    // Who lends goes on as long as those before it don't lend enough; else all would stop, and start, at
-    // once.
-    message.shortage = wanted > pool(asks.slot);
-    grants_sent_.put(message.number, asks.slot, now_);
+    // Only clients in lower slots count, so that a client goes on lending until those before it lend enough.
+    // Otherwise all lenders would stop and start at the same time.
+    message.shortage = wanted > pool(request.slot);
+    grants_sent_.put(message.number, request.slot, now_);
   });
 }
 
--- a/src/quota/lease_election.cpp
+++ b/src/quota/lease_election.cpp
@@ -1,5 +1,5 @@
-// The election of the lease holder. The holder has, for the length of one lease, the votes of a majority of
-// the fleet, and each instance votes for one candidate at a time; so there is at most one holder.
+// The election of the lease holder. The holder has the votes of a majority of the fleet for the duration of
+// one lease, and each instance votes for one candidate at a time, so there is at most one holder.
 #include "quota/quota_manager_impl.hpp"
 
 namespace reedspindle::quota {
@@ -8,8 +8,8 @@
   if (now_ < may_vote_at_) {
     return false;
   }
-  // Two who stand at once would bind each other's voters for a lease: the one further back gives up, for
-  // what it has asked for so far, and is free.
+  // Two simultaneous candidates would block each other's voters for one lease. The one in the higher slot
+  // abandons its candidacy, so that its own vote is free again.
   if (voted_for_ == options_.slot && !holds_lease() && candidate < options_.slot) {
     lease_requests_.clear();
     voted_until_ = kNever;
@@ -34,7 +34,8 @@
   if (std::ssize(found->second.second) <= options_.slot_count / 2) {
     return;
   }
-  // It counts from when it was asked for, by our clock; the voters count from later, and longer.
+  // The lease runs from when this instance sent the request, by its own clock. Voters count from a later time
+  // and for longer.
   const Millis until = found->second.first + options_.lease;
   lease_requests_.erase(found);
   if (until <= now_) {
@@ -43,7 +44,7 @@
   if (!holds_lease()) {
     decisions_.emplace_back(std::in_place_type<LeaseReport>,
                             LeaseReport{LeaseEvent::acquired, options_.slot});
-    next_lease_request_ = now_;  // by which all hear of it
+    next_lease_request_ = now_;  // announces the new holder
   }
   lease_until_ = std::max(lease_until_, until), holder_ = options_.slot, holder_seen_at_ = now_;
   was_holder_ = true;
@@ -61,15 +62,16 @@
   if (options_.slot.number >= options_.slot_count) {
     return;
   }
-  // Who stands first in the list of those that are there tries first, the others each a little later.
+  // The alive instance with the lowest slot tries first, each following one a quarter of a lease later, by at
+  // most two leases.
   Millis at = next_lease_request_;
   if (!holds_lease()) {
-    const auto before = std::distance(alive_.begin(), alive_.lower_bound(options_.slot));
+    const auto preceding = std::distance(alive_.begin(), alive_.lower_bound(options_.slot));
     at = std::max(at, holder_seen_at_ + at_least(options_.lease) +
-                          std::min<double>(static_cast<double>(before), 8) * options_.lease / 4);
+                          std::min<double>(static_cast<double>(preceding), 8) * options_.lease / 4);
     if (first_campaign_) {
       at = std::max(may_vote_at_,
-                    started_ + std::min<double>(static_cast<double>(before), 8) * options_.lease / 4);
+                    started_ + std::min<double>(static_cast<double>(preceding), 8) * options_.lease / 4);
     }
   }
   lease_request_at_ = at;
@@ -77,8 +79,8 @@
     return;
   }
   first_campaign_ = false;
-  // A vote that is bound to another, or lost, is tried again after a time of chance, so that two don't go
-  // on taking each other's.
+  // After a failed attempt (votes bound to another candidate, or lost datagrams) the next one follows after a
+  // random delay, so that two candidates do not keep taking each other's votes.
   next_lease_request_ = lease_request_at_ =
       now_ +
       (holds_lease() ? options_.lease / kRenewalsPerLease : options_.lease * (0.5 + random_fraction()));
--- a/src/quota/message.cpp
+++ b/src/quota/message.cpp
@@ -11,11 +11,11 @@
 
 using Json = nlohmann::json;
 
-constexpr char kLetter = 'S';
-constexpr int kForm = 1;
-constexpr std::size_t kElements = 12;
+constexpr char kProtocolLetter = 'S';
+constexpr int kFormatVersion = 1;
+constexpr std::size_t kElementCount = 12;
 constexpr std::uint64_t kMaxAmount = kMaxSlots * kSlot;
-constexpr Millis kLongestLeft = 3600000;
+constexpr Millis kMaxValidFor = 3600000;
 
 enum Flag { kIsHolder = 1, kGranted = 2, kWarmingUp = 4, kRestoresSlot = 8, kShortage = 16 };
 
@@ -24,17 +24,17 @@
 std::string encode(const Message& m) {
   const int flags = m.is_holder * kIsHolder | m.granted * kGranted | m.warming_up * kWarmingUp |
                     m.restores_slot * kRestoresSlot | m.shortage * kShortage;
-  // The number stands first: of a datagram that comes back only the beginning is sure to.
-  const Json json = {m.number,       kForm,         static_cast<int>(m.kind),
-                     m.in_reply_to,  m.slot.number, m.incarnation.number,
-                     m.options_hash, flags,         m.wanted,
-                     m.lent,         m.amount,      m.valid_for};
-  return encode_datagram(kLetter, json);
+  // The number comes first because a returned datagram is only guaranteed to contain its beginning.
+  const Json json = {m.number,       kFormatVersion, static_cast<int>(m.kind),
+                     m.in_reply_to,  m.slot.number,  m.incarnation.number,
+                     m.options_hash, flags,          m.wanted,
+                     m.lent,         m.amount,       m.valid_for};
+  return encode_datagram(kProtocolLetter, json);
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
-  if (!array || (*array)[1] != kForm) {
+  const std::optional<Json> array = decode_datagram(kProtocolLetter, bytes, kElementCount);
+  if (!array || (*array)[1] != kFormatVersion) {
     return std::nullopt;
   }
   const Json& json = *array;
@@ -57,7 +57,7 @@
     return std::nullopt;
   }
   const auto valid_for = json[11].get<double>();
-  if (!std::isfinite(valid_for) || valid_for < 0 || valid_for > kLongestLeft) {
+  if (!std::isfinite(valid_for) || valid_for < 0 || valid_for > kMaxValidFor) {
     return std::nullopt;
   }
   Message m;
@@ -75,7 +75,7 @@
 }
 
 std::optional<std::uint32_t> decode_liveness_query(std::string_view bytes) {
-  // An array of twelve, then its number, as CBOR writes them.
+  // The CBOR head of an array of twelve elements, followed by the number.
   if (!is_quota_message(bytes) || bytes.size() < 2 || static_cast<unsigned char>(bytes[1]) != 0x8c) {
     return std::nullopt;
   }
@@ -84,19 +84,19 @@
     return std::nullopt;
   }
   const auto head = static_cast<unsigned char>(bytes[0]);
-  const std::size_t more = head < 24 ? 0 : head == 24 ? 1 : head == 25 ? 2 : head == 26 ? 4 : 99;
-  if (more + 3 > bytes.size()) {
+  const std::size_t extra_bytes = head < 24 ? 0 : head == 24 ? 1 : head == 25 ? 2 : head == 26 ? 4 : 99;
+  if (extra_bytes + 3 > bytes.size()) {
     return std::nullopt;
   }
-  std::uint32_t number = more == 0 ? head : 0;
-  for (std::size_t at = 1; at <= more; ++at) {
+  std::uint32_t number = extra_bytes == 0 ? head : 0;
+  for (std::size_t at = 1; at <= extra_bytes; ++at) {
     number = number << 8 | static_cast<unsigned char>(bytes[at]);
   }
-  const bool question =
-      bytes[more + 1] == kForm && bytes[more + 2] == static_cast<char>(Kind::liveness_query);
-  return question ? std::optional(number) : std::nullopt;
+  const bool is_query = bytes[extra_bytes + 1] == kFormatVersion &&
+                        bytes[extra_bytes + 2] == static_cast<char>(Kind::liveness_query);
+  return is_query ? std::optional(number) : std::nullopt;
 }
 
-bool is_quota_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kLetter; }
+bool is_quota_message(std::string_view bytes) { return !bytes.empty() && bytes[0] == kProtocolLetter; }
 
 }  // namespace reedspindle::quota
--- a/src/quota/message.hpp
+++ b/src/quota/message.hpp
@@ -1,5 +1,5 @@
 // The messages of the quota protocol and their encoding as datagrams (see membership/datagram_codec.hpp). A
-// datagram that does not decode completely is no message.
+// datagram that does not decode completely is rejected.
 #pragma once
 
 #include <cstdint>
@@ -18,6 +18,8 @@
   auto operator<=>(const Incarnation&) const = default;
 };
 
+// lease_request and vote elect the lease holder; allocation_request, grant and released manage allocations;
+// liveness_query and liveness_reply find vacant slots.
 enum class Kind { lease_request, vote, allocation_request, grant, liveness_query, liveness_reply, released };
 
 // Amounts are in thousandths of a slot; one slot is the base allocation of one instance.
@@ -33,23 +35,25 @@
   Incarnation incarnation;         // of the sender
   std::uint32_t options_hash = 0;  // over the options that have to be equal in the whole fleet
   bool is_holder = false;          // lease_request: the sender holds the lease and renews it
-  bool granted = false;            // vote: it is for the candidate
+  bool granted = false;            // vote: the vote is for the sender of the lease_request
   bool warming_up = false;         // allocation_request: parts of its slot may still be granted to others
-  bool restores_slot = false;      // grant: the receiver may use its own slot while the grant is valid
-  bool shortage = false;           // grant: more is wanted than can be granted
-  int wanted = 0;                  // allocation_request: beyond the sender's slot
-  int lent = 0;                    // allocation_request: of the sender's slot, for two leases from now
-  // grant: beyond the receiver's slot. lease_request of the holder: the number of vacant slots.
+  bool restores_slot = false;      // grant: the receiver may use its whole slot while the grant is valid
+  bool shortage = false;           // grant: demand exceeds what can be granted
+  int wanted = 0;                  // allocation_request: demand beyond the sender's slot
+  int lent = 0;  // allocation_request: part of the sender's slot lent for two leases from now
+  // grant: allocation beyond the receiver's slot. lease_request of the holder: number of vacant slots.
   int amount = 0;
-  Millis valid_for = 0;  // grant: counted from when the request was sent
+  Millis valid_for = 0;  // grant: in ms, counted from when the request was sent
 };
 
+// Encodes a message as one datagram.
 std::string encode(const Message& message);
-// Nothing where the bytes are not exactly one message. Does not throw.
+// Returns nullopt unless the bytes are exactly one valid message. Does not throw.
 std::optional<Message> decode(std::string_view bytes);
-// The number of a liveness query that was returned as undeliverable; its end may be cut off.
+// Returns the number of a liveness query that was returned as undeliverable, possibly truncated at its end;
+// nullopt for anything else.
 std::optional<std::uint32_t> decode_liveness_query(std::string_view bytes);
-// Whether a datagram is addressed to the quota manager, by its first byte.
+// Returns whether the first byte of a datagram is that of the quota protocol.
 bool is_quota_message(std::string_view bytes);
 
 }  // namespace reedspindle::quota
--- a/src/quota/quota_manager.cpp
+++ b/src/quota/quota_manager.cpp
@@ -12,7 +12,7 @@
     datagrams_from_.clear(), next_rate_window_ = now_ + options_.lease / kRequestsPerLease;
   }
   for (Event& event : std::exchange(events_, {})) {
-    std::visit([this](const auto& happened) { on(happened); }, event);
+    std::visit([this](const auto& received) { on(received); }, event);
   }
   if (!left_) {
     campaign();
@@ -34,21 +34,22 @@
 void QuotaManagerImpl::start(Millis now) {
   incarnation_ = {static_cast<std::uint64_t>(std::max(1.0, now * 1000))};
   started_ = now_ = now;
-  // Whatever was given of this slot to others has ended by then: on the strength of evidence from before
-  // the start, or of what a former life lent; then one lease, by clocks that may be slower than ours.
+  // Until then parts of this slot may still be granted to others, based on evidence from before the start or
+  // on what the previous process at this slot lent. Such grants last up to one lease more, by clocks that may
+  // be slower than this one.
   warm_at_ = now + at_least(std::max(options_.evidence_lifetime, options_.lease) + options_.lease);
-  // A vote of a former life has come to its end by then.
+  // A vote by the previous process at this slot has expired by then.
   may_vote_at_ = now + at_least(options_.lease);
   holder_seen_at_ = now;
   next_lease_request_ = may_vote_at_;
-  const auto mix = [this](double value) {
+  const auto add_to_hash = [this](double value) {
     options_hash_ = (options_hash_ ^ static_cast<std::uint32_t>(std::llround(value * 1000))) * 16777619U;
   };
   options_hash_ = 2166136261U;
   for (const double value :
        {static_cast<double>(options_.slot_count), options_.lease, options_.evidence_lifetime,
         options_.max_drift, static_cast<double>(options_.reserved)}) {
-    mix(value);
+    add_to_hash(value);
   }
 }
 
@@ -74,7 +75,7 @@
     return void(++dropped_);
   }
   mismatched_peers_.erase(datagram.from);
-  // A farewell is no sign of life.
+  // A released message announces a shutdown and is not evidence that the sender is alive.
   if (message->kind != Kind::released) {
     seen_at_[datagram.from] = now_;
   }
@@ -96,14 +97,15 @@
     case Kind::allocation_request:
       return allocate(*message);
     case Kind::grant:
-      return take_grant(*message);
+      return handle_grant(*message);
     case Kind::liveness_query:
       return send(datagram.from, Kind::liveness_reply,
-                  [&](Message& here) { here.in_reply_to = message->number; });
+                  [&](Message& reply) { reply.in_reply_to = message->number; });
     case Kind::liveness_reply:
       return;
     case Kind::released:
-      // It says so of the time after the last answer it had; that one was sent when it was there.
+      // The vacancy is dated by when the grant to which the message refers was sent. The sender was alive
+      // then, while the message itself may have been delayed beyond the start of a new process at the slot.
       if (const Millis at = grants_sent_.at(message->in_reply_to, datagram.from); at != kNever) {
         vacant_at_[datagram.from] = std::max(vacant_at_[datagram.from], at), seen_at_[datagram.from] = kNever;
       }
@@ -118,14 +120,14 @@
   if (at == kNever) {
     return;
   }
-  const auto known = vacant_at_.try_emplace(returned.at, kNever).first;
-  known->second = std::max(known->second, at);
+  const auto vacant = vacant_at_.try_emplace(returned.at, kNever).first;
+  vacant->second = std::max(vacant->second, at);
 }
 
 void QuotaManagerImpl::on(const Demand& demand) {
-  const bool more = demand.wanted > demand_.wanted;
+  const bool increased = demand.wanted > demand_.wanted;
   demand_ = demand;
-  if (more) {
+  if (increased) {
     next_request_ = std::min(next_request_, now_);
   }
 }
@@ -135,7 +137,7 @@
     return;
   }
   if (holder_.number >= 0 && holder_ != options_.slot && last_grant_ > 0) {
-    send(holder_, Kind::released, [this](Message& gone) { gone.in_reply_to = last_grant_; });
+    send(holder_, Kind::released, [this](Message& released) { released.in_reply_to = last_grant_; });
   }
 }
 
@@ -180,9 +182,9 @@
 }
 
 const char* to_string(LeaseEvent event) {
-  constexpr const char* words[] = {"holds the office of shares", "lost the office of shares",
-                                   "its slot is whole again", "another front has other terms"};
-  return words[static_cast<int>(event)];
+  constexpr const char* texts[] = {"quota lease acquired", "quota lease lost", "own quota slot restored",
+                                   "peer has different quota options"};
+  return texts[static_cast<int>(event)];
 }
 
 std::unique_ptr<QuotaManager> make_quota_manager(const Options& options, std::uint64_t seed) {
--- a/src/quota/quota_manager_impl.hpp
+++ b/src/quota/quota_manager_impl.hpp
@@ -1,5 +1,5 @@
-// The implementation of QuotaManager: its state and the declarations of its parts. Each part is defined in a
-// file of its own; all of them run on the thread that calls process().
+// The implementation of QuotaManager: its state and member functions. They are defined in several files by
+// subject; all of them run on the thread that calls process().
 #pragma once
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 
 inline constexpr Millis kNever = -std::numeric_limits<Millis>::infinity();
 inline constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
-inline constexpr double kRenewalsPerLease = 3;      // of the holder: two may be lost
-inline constexpr double kRequestsPerLease = 6;      // of an instance that wants, lends or warms up
-inline constexpr double kIdleLeases = 2;            // between two requests of an instance that needs nothing
-inline constexpr double kQueriesPerEvidence = 3;    // to each empty slot
-inline constexpr std::size_t kMaxSendTimes = 4096;  // stored send times: some leases of 300 instances
-inline constexpr int kMaxDatagramsPerWindow =
-    64;  // accepted from one slot in a sixth of a lease; under ten needed
-
-// The times at which the last kMaxSendTimes messages were sent, by number.
+inline constexpr double kRenewalsPerLease = 3;      // lease requests by the holder; two in a row may be lost
+inline constexpr double kRequestsPerLease = 6;      // by an instance that wants or lends capacity or warms up
+inline constexpr double kIdleLeases = 2;            // between two requests of an instance without demand
+inline constexpr double kQueriesPerEvidence = 3;    // liveness queries to each slot without an alive peer
+inline constexpr std::size_t kMaxSendTimes = 4096;  // stored send times: several leases of a fleet of 300
+// Datagrams accepted from one slot within a sixth of a lease. The protocol needs fewer than ten.
+inline constexpr int kMaxDatagramsPerWindow = 64;
+
+// Stores the send times of the last kMaxSendTimes messages by message number.
 class SendTimes {
  public:
   void put(std::uint32_t number, SlotId to, Millis at) {
@@ -41,6 +41,7 @@
     by_number_.erase(order_.front());
     order_.pop_front();
   }
+  // Returns when the message was sent to the slot; kNever if that is not stored.
   [[nodiscard]] Millis at(std::uint32_t number, SlotId to) const {
     const auto found = by_number_.find(number);
     return found == by_number_.end() || found->second.first != to ? kNever : found->second.second;
@@ -69,68 +70,76 @@
     int amount = 0;
     Millis until = 0;
   };
-  // An instance that requests allocations from this one as the holder.
+  // An instance that requests allocations from this one while it holds the lease.
   struct Client {
     Incarnation incarnation;
-    Millis asked = kNever;
+    Millis requested_at = kNever;  // when its last request arrived
     int wanted = 0;
-    std::vector<Grant> out;  // what it may still be using, by this clock
+    std::vector<Grant> outstanding;  // grants that it may still be using, by the clock of this instance
     int lent = 0;
-    Millis lent_until = kNever;  // up to when something may be given on the strength of it
+    Millis lent_until = kNever;  // until when grants may rely on what it lends
   };
 
   void start(Millis now);
 
-  // The time on this clock after which every clock has gone on by the duration at least, or at most.
+  // Returns the time on this clock after which every clock of the fleet has advanced by at least, or at most,
+  // the duration.
   [[nodiscard]] Millis at_least(Millis duration) const { return duration * (1 + 3 * options_.max_drift); }
   [[nodiscard]] Millis at_most(Millis duration) const { return duration / (1 + 3 * options_.max_drift); }
 
+  // Returns whether a message passes the checks of sender, rate and options.
   bool is_accepted(const Message& message, SlotId from);
 
   void on(const DatagramReceived& datagram);
 
-  // Guards against a message that took long: it is dated by when the question was asked, not by when it came
-  // back, for somebody may have started meanwhile.
+  // Dates the vacancy of a slot by the time at which the returned query was sent, not by the time of its
+  // return: a process may have started at the slot in between.
   void on(const DatagramReturned& returned);
 
   void on(const PeersChanged& peers) { alive_ = peers.alive; }
   void on(const Demand& demand);
   void on(const Leaving& /*unused*/);
 
+  // Votes for a candidate if this instance is free to. Returns whether it voted.
   bool vote_for(SlotId candidate, Incarnation incarnation);
 
+  // Counts a vote for this instance and acquires or extends the lease when a majority has voted.
   void count_vote(std::uint32_t request, SlotId voter);
 
   [[nodiscard]] bool holds_lease() const { return now_ < lease_until_; }
 
+  // Requests the lease, or its renewal, when that is due.
   void campaign();
 
-  // Who holds the lease asks at slots where nobody seems to be. That the question comes back is the word of
-  // the machine there, the only sign by which one who is dead can be told from one who is cut off.
+  // As the lease holder, queries the slots without an alive peer. A query that is returned as undeliverable
+  // comes from the operating system of that machine. It is the only evidence that distinguishes a process
+  // that has ended from one that is unreachable.
   void query_empty_slots();
 
   [[nodiscard]] bool is_vacant(SlotId slot) const;
 
   [[nodiscard]] int vacant_slots() const;
 
-  // What is known not to be used by whom it belongs to.
+  // Returns the capacity that its owners do not use: of vacant slots, and lent by clients. With an
+  // argument, only what clients in lower slots lend counts.
   [[nodiscard]] int pool(SlotId before = {kMaxSlots}) const;
 
-  // What may be in use of what was handed out, but by one: of several grants the largest, for the last may
-  // have been lost.
+  // Returns the granted capacity that may be in use by clients other than the given one. Of several grants to
+  // a client the largest counts, because the last one may have been lost.
   [[nodiscard]] int allocated(SlotId without) const;
   [[nodiscard]] int largest_grant(const Client& client) const;
 
-  // An equal part of the pool for each who wants one, none more than it wants; what some leave the others
-  // get.
+  // Returns the max-min fair share of a client in the pool: equal parts, at most what each client wants, and
+  // the rest divided among the others.
   [[nodiscard]] int fair_share(SlotId of) const;
 
-  // For how long something may be handed out now: nothing outlasts the lease.
+  // Returns the duration of a grant that is made now. No grant outlasts the lease.
   [[nodiscard]] Millis grant_duration() const;
 
-  void allocate(const Message& asks);
+  // As the lease holder, answers an allocation request.
+  void allocate(const Message& request);
 
-  void take_grant(const Message& allocate);
+  void handle_grant(const Message& grant);
 
   void request_allocation();
 
@@ -154,26 +163,26 @@
   Millis next_rate_window_ = 0;
   std::uint64_t dropped_ = 0;
   bool left_ = false;
-  // What this instance may use.
+  // Allocation of this instance.
   Millis warm_at_ = 0, slot_restored_until_ = kNever, granted_until_ = kNever;
   int granted_ = 0;
-  std::vector<std::pair<Millis, int>> lent_;  // until when, how much
+  std::vector<std::pair<Millis, int>> lent_;  // until when, amount
   Demand demand_;
   Allocation reported_{-1, -1};
-  // As one who asks.
+  // Client of the lease holder.
   SendTimes requests_sent_;
   Millis next_request_ = 0, answered_request_at_ = kNever;
-  std::uint32_t last_grant_ = 0;  // of the lease's, its number
+  std::uint32_t last_grant_ = 0;  // number of the last grant received
   bool shortage_ = false;
   SlotId holder_;
   Millis holder_seen_at_ = 0;
-  int vacant_slots_ = 0;  // instances, by the lease's word
+  int vacant_slots_ = 0;  // number of vacant slots, as announced by the holder
   Millis vacant_slots_until_ = kNever;
-  // As one who votes.
+  // Voter.
   Millis may_vote_at_ = 0, voted_until_ = kNever;
   SlotId voted_for_;
   Incarnation voted_incarnation_;
-  // As one who stands for the lease, or holds it.
+  // Candidate or lease holder.
   std::map<std::uint32_t, std::pair<Millis, std::set<SlotId>>> lease_requests_;
   Millis next_lease_request_ = 0, lease_request_at_ = 0, next_query_ = 0, lease_until_ = kNever;
   bool was_holder_ = false, first_campaign_ = true;
--- a/src/quota/usage.cpp
+++ b/src/quota/usage.cpp
@@ -6,10 +6,10 @@
 namespace reedspindle::quota {
 
 namespace {
-// Looks at the need: what is lent comes back two leases later, so nothing is lent that was needed in the last
-// one.
+// Number of recent samples that are considered, one lease in total. Lent capacity comes back after two
+// leases, so nothing is lent that was needed during the last one.
 constexpr std::size_t kNeedSamples = 6;
-// Connections beyond the need: the next op should find one.
+// Connections requested beyond the need, so that the next request finds a free one.
 constexpr std::size_t kSpareConnections = 1;
 }  // namespace
 
@@ -26,9 +26,10 @@
   if (needs_.size() > kNeedSamples) {
     needs_.pop_front();
   }
-  const double each = static_cast<double>(connections_) / options_.slot_count;  // connections of a slot
-  const std::size_t most = *std::ranges::max_element(needs_);
-  const double slots = static_cast<double>(most + kSpareConnections) / each;
+  const double connections_per_slot =
+      static_cast<double>(connections_) / options_.slot_count;  // connections per slot
+  const std::size_t max_need = *std::ranges::max_element(needs_);
+  const double slots = static_cast<double>(max_need + kSpareConnections) / connections_per_slot;
   Demand demand;
   if (slots > 1) {
     demand.wanted = static_cast<int>(std::ceil((slots - 1) * kSlot));
