--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -1,5 +1,5 @@
-// Anti-entropy: two instances compare digests of all they know, then of the ranges whose digests differ, down
-// to the updates themselves (the hash tree of Dynamo, DeCandia et al. 2007).
+// Anti-entropy: two instances compare digests of their whole peer tables, then of the ranges whose digests
+// differ, down to the updates themselves (the hash tree of Dynamo, DeCandia et al. 2007).
 #include "membership/membership_impl.hpp"
 
 namespace reedspindle::membership {
@@ -7,12 +7,12 @@
 void MembershipImpl::start_anti_entropy() {
   if (now_ >= next_anti_entropy_) {
     next_anti_entropy_ = now_ + options_.protocol_period * kAntiEntropyPeriods;
-    if (const auto with = random_members(1, slot_); !with.empty()) {
-      send_digest(with.front(), {});
+    if (const auto targets = random_members(1, slot_); !targets.empty()) {
+      send_digest(targets.front(), {});
     }
   }
-  if (const auto with = std::exchange(sync_with_, std::nullopt)) {
-    send_digest(*with, {});
+  if (const auto target = std::exchange(sync_with_, std::nullopt)) {
+    send_digest(*target, {});
   }
 }
 
@@ -25,14 +25,14 @@
 
 void MembershipImpl::handle_digest(const Message& message) {
   const std::vector<std::uint32_t> digests = peers_.digests(message.range, self());
-  const unsigned first = random_() % kDigestFanOut;
+  const unsigned offset = random_() % kDigestFanOut;
   for (unsigned step = 0; step < kDigestFanOut && anti_entropy_budget_ > 0; ++step) {
-    const unsigned part = (first + step) % kDigestFanOut;
-    if (digests[part] == message.digests[part]) {
+    const unsigned child = (offset + step) % kDigestFanOut;
+    if (digests[child] == message.digests[child]) {
       continue;
     }
     --anti_entropy_budget_;
-    send_range(message.slot, {message.range.depth + 1, message.range.prefix << 4 | part}, false);
+    send_range(message.slot, {message.range.depth + 1, message.range.prefix << 4 | child}, false);
   }
 }
 
--- a/src/membership/datagram_codec.cpp
+++ b/src/membership/datagram_codec.cpp
@@ -22,8 +22,8 @@
   }
   return array;
 } catch (const Json::exception&) {
-  // Without exceptions allowed, from_cbor still throws out_of_range 408 where a head claims more elements
-  // than a container can hold.
+  // Even with allow_exceptions = false, from_cbor throws out_of_range 408 if a CBOR head claims more elements
+  // than a container can have.
   return std::nullopt;
 }
 
--- a/src/membership/datagram_codec.hpp
+++ b/src/membership/datagram_codec.hpp
@@ -1,5 +1,5 @@
-// The encoding that all datagrams between instances share: one letter that names the package, then one CBOR
-// array. A datagram that is not exactly that is no message.
+// The encoding shared by all datagrams between instances: one letter that identifies the protocol, followed
+// by one CBOR array. Anything else is rejected.
 #pragma once
 
 #include <cstddef>
@@ -12,16 +12,16 @@
 namespace reedspindle {
 
 constexpr std::size_t kMaxDatagramBytes = 256;
-constexpr std::uint64_t kMaxSlots = 1 << 16;  // slot numbers in datagrams are below it
+constexpr std::uint64_t kMaxSlots = 1 << 16;  // exclusive upper bound of slot numbers in datagrams
 
-// The letter, then the array as CBOR. Does not check the size.
+// Returns the letter followed by the array as CBOR. Does not check the size.
 std::string encode_datagram(char letter, const nlohmann::json& array);
 
-// The array of a datagram that begins with the letter, holds one CBOR array of that many elements and is at
-// most kMaxDatagramBytes long; nothing for all others. Does not throw on any input.
+// Returns the array of a datagram that begins with the letter, contains exactly one CBOR array with the given
+// number of elements and has at most kMaxDatagramBytes; nullopt for any other datagram. Does not throw.
 std::optional<nlohmann::json> decode_datagram(char letter, std::string_view bytes, std::size_t elements);
 
-// An unsigned integer from 0 to max; nothing for any other value.
+// Returns an unsigned integer from 0 to max; nullopt for any other value.
 std::optional<std::uint64_t> decode_unsigned(const nlohmann::json& json, std::uint64_t max);
 
 }  // namespace reedspindle
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -1,4 +1,4 @@
-// Failure detection: SWIM probes, indirect probes through other members, and pings of empty slots.
+// Failure detection: SWIM probes, indirect probes through other members, and pings of slots without a member.
 #include "membership/membership_impl.hpp"
 
 namespace reedspindle::membership {
@@ -31,9 +31,9 @@
     }
     return;
   }
-  if (const Peer* there = peers_.find(message.name)) {
+  if (const Peer* peer = peers_.find(message.name)) {
     send(indirect->requester, Kind::indirect_ack, indirect->requester_sequence,
-         [&](Message& vouch) { vouch.updates.push_back(there->update); });
+         [&](Message& indirect_ack) { indirect_ack.updates.push_back(peer->update); });
   }
   indirect_probes_.erase(indirect);
 }
@@ -73,9 +73,9 @@
 }
 
 void MembershipImpl::handle_probe_timeout(const Probe& probe) {
-  // Helpers that said nothing either speak against ourselves.
-  const int silent = probe.helpers > 0 ? probe.helpers - probe.nacks : 1;
-  health_ = std::clamp(health_ + silent, 0, kMaxHealthScore);
+  // Helpers that sent no nack suggest that this instance is the unhealthy one (Lifeguard).
+  const int missing_nacks = probe.helpers > 0 ? probe.helpers - probe.nacks : 1;
+  health_ = std::clamp(health_ + missing_nacks, 0, kMaxHealthScore);
   const Peer* peer = peers_.find(probe.name);
   if (!peer || !is_member(peer->update.state)) {
     return;
@@ -113,10 +113,10 @@
 std::vector<SlotId> MembershipImpl::random_members(int count, SlotId without) {
   std::vector<SlotId> slots;
   for (int tries = 0; tries < 4 * count && !ring_.empty() && std::ssize(slots) < count; ++tries) {
-    const Peer* drawn = peers_.find(ring_[random_() % ring_.size()]);
-    if (drawn && is_member(drawn->update.state) && drawn->update.slot != without &&
-        !std::ranges::count(slots, drawn->update.slot)) {
-      slots.push_back(drawn->update.slot);
+    const Peer* candidate = peers_.find(ring_[random_() % ring_.size()]);
+    if (candidate && is_member(candidate->update.state) && candidate->update.slot != without &&
+        !std::ranges::count(slots, candidate->update.slot)) {
+      slots.push_back(candidate->update.slot);
     }
   }
   return slots;
@@ -146,16 +146,16 @@
   if (now_ < next_empty_slot_ping_) {
     return;
   }
-  const bool alone = peers_.member_count() == 0;
-  next_empty_slot_ping_ = now_ + options_.protocol_period * (alone ? 1 : kEmptySlotPingPeriods);
-  int asks = alone ? kIndirectProbers : 1;
+  const bool has_no_members = peers_.member_count() == 0;
+  next_empty_slot_ping_ = now_ + options_.protocol_period * (has_no_members ? 1 : kEmptySlotPingPeriods);
+  int remaining = has_no_members ? kIndirectProbers : 1;
   const int first = static_cast<int>(random_() % static_cast<unsigned>(std::max(1, options_.slots)));
-  for (int step = 0; step < options_.slots && asks > 0; ++step) {
+  for (int step = 0; step < options_.slots && remaining > 0; ++step) {
     const SlotId slot{(first + step) % options_.slots};
     if (slot == slot_ || peers_.at(slot)) {
       continue;
     }
-    --asks;
+    --remaining;
     ping(slot);
   }
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -17,7 +17,7 @@
     }
   }
   for (Event& event : std::exchange(events_, {})) {
-    std::visit([this](const auto& happened) { on(happened); }, event);
+    std::visit([this](const auto& received) { on(received); }, event);
   }
   if (!leaving_) {
     probe_name_conflict();
@@ -39,8 +39,8 @@
 }
 
 void MembershipImpl::start(Millis now) {
-  // The Unix time of the start, so that it rises over restarts without a disk; where the clock went back,
-  // peers' updates of the former life raise it.
+  // The incarnation begins at the Unix time of the start, so that it rises across restarts without storage.
+  // If the clock was set back, updates from peers about the previous process raise it.
   started_at_ = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(now));
   incarnation_ = {started_at_};
   now_ = wakeup_ = next_empty_slot_ping_ = now;
@@ -49,9 +49,9 @@
   disseminate(self());
 }
 
-void MembershipImpl::on(const SlotCountChanged& listed) {
-  options_.slots = listed.slots;
-  datagrams_from_.resize(static_cast<std::size_t>(listed.slots));
+void MembershipImpl::on(const SlotCountChanged& changed) {
+  options_.slots = changed.slots;
+  datagrams_from_.resize(static_cast<std::size_t>(changed.slots));
 }
 
 void MembershipImpl::on(const Leaving& /*unused*/) {
@@ -71,7 +71,7 @@
   if (from >= datagrams_from_.size()) {
     return void(++dropped_.unexpected_sender);
   }
-  // Guards against a flood from one address: beyond this its datagrams are not even read.
+  // Guards against a flood of datagrams from one slot: those beyond the limit are not decoded.
   if (++datagrams_from_[from] > kMaxDatagramsPerPeriod) {
     return void(++dropped_.rate_limited);
   }
@@ -100,31 +100,31 @@
 }
 
 std::optional<GossipUpdate> MembershipImpl::observe_sender(const Message& message) {
-  // Who answers at a slot is the only one there.
+  // Only one process can run at a slot: another member recorded there has failed.
   if (const Peer* other = peers_.at(message.slot); other && other->update.name != message.name) {
-    GossipUpdate gone = other->update;
-    gone.state = PeerState::failed, gone.suspected_by = slot_;
-    apply_update(gone);
+    GossipUpdate failed = other->update;
+    failed.state = PeerState::failed, failed.suspected_by = slot_;
+    apply_update(failed);
   }
   const GossipUpdate update{message.name,
                             message.slot,
                             message.leaving ? PeerState::left : PeerState::alive,
                             message.incarnation,
                             {}};
-  const Peer* held = peers_.find(message.name);
-  const bool newly_met = !held || !is_member(held->update.state);
+  const Peer* stored = peers_.find(message.name);
+  const bool newly_met = !stored || !is_member(stored->update.state);
   if (peers_.precedence_of(update) == PeerTable::Precedence::newer) {
     apply_update(update);
-    // Met for the first time, or again: both find out what the other knows.
+    // The sender is new or has returned: the two instances synchronize their peer tables.
     if (newly_met && !message.leaving) {
       sync_with_ = message.slot;
     }
     return std::nullopt;
   }
-  if (message.leaving || !held || held->update == update) {
+  if (message.leaving || !stored || stored->update == update) {
     return std::nullopt;
   }
-  return held->update;
+  return stored->update;
 }
 
 void MembershipImpl::handle(const Message& message, const std::optional<GossipUpdate>& outdated) {
@@ -146,7 +146,7 @@
           message.updates.front().name != probe_->name) {
         return void(++dropped_.stale_reply);
       }
-      probe_.reset();  // it lives; the way there does not, which says nothing good of ourselves
+      probe_.reset();  // the peer is alive but did not answer the direct ping: no health credit
       break;
     case Kind::nack:
       if (probe_ && message.sequence == probe_->number) {
@@ -161,8 +161,8 @@
       }
       break;
   }
-  // Guards against two halves that were cut off from one another and each hold the other failed: who is
-  // mistaken for gone hears so and refutes it.
+  // Repairs wrong failures after a partition in which each side considered the other failed: the sender
+  // learns that it is recorded as failed and refutes it.
   if (outdated && (!is_member(outdated->state) || outdated->incarnation > message.incarnation)) {
     send(message.slot, Kind::updates, 0, [&](Message& updates) {
       updates.is_reply = true;
@@ -172,7 +172,7 @@
 }
 
 void MembershipImpl::receive_update(const GossipUpdate& update) {
-  // Only slots of the list are believed.
+  // Updates about slots outside the list of peers are rejected.
   if (update.slot.number >= options_.slots || !is_plausible(update.incarnation)) {
     return void(++dropped_.unexpected_sender);
   }
@@ -190,19 +190,20 @@
 }
 
 void MembershipImpl::apply_update(GossipUpdate update) {
-  const Peer* held = peers_.find(update.name);
-  if (!held && !is_member(update.state)) {
+  const Peer* stored = peers_.find(update.name);
+  if (!stored && !is_member(update.state)) {
     return peers_.add_tombstone(update.name, update.incarnation);
   }
-  const std::optional<GossipUpdate> before = held ? std::optional(held->update) : std::nullopt;
-  // Who is there in our eyes gets the time to refute it: guards against one half's belief about the other
-  // coming in at once when they meet again. Where it has been suspected for a while, a failure is taken as
-  // told, so that all hear of a death soon after the first.
+  const std::optional<GossipUpdate> before = stored ? std::optional(stored->update) : std::nullopt;
+  // A failure reported for a member that is alive here only starts a suspicion, so that the member has time
+  // to refute it: after a partition each side would otherwise adopt the other's failures at once. If the
+  // member has been suspected for a while, the failure is adopted directly, so that all instances report a
+  // failure soon after the first one does.
   if (before && update.state == PeerState::failed && update.suspected_by != slot_) {
     if (before->state == PeerState::alive) {
       update.state = PeerState::suspected;
     }
-    if (before->state == PeerState::suspected && now_ - held->suspected_at < min_suspicion() / 2) {
+    if (before->state == PeerState::suspected && now_ - stored->suspected_at < min_suspicion() / 2) {
       return confirm_suspicion(*peers_.find(update.name), update.suspected_by);
     }
   }
@@ -265,30 +266,32 @@
   for (const std::string& name : peers_.suspects()) {
     at(suspicion_deadline(*peers_.find(name)));
   }
-  // Alone with its farewell it still minds its clock, so that a gap can be told from quiet.
+  // Wakes up at least once per protocol period even without other deadlines, so that detect_pause() can
+  // distinguish a paused process from an idle one.
   wakeup_ = std::max(now_, std::min(next, now_ + options_.protocol_period));
   decisions_.emplace_back(std::in_place_type<RequestWakeup>, RequestWakeup{wakeup_});
 }
 
 const char* to_string(PeerState state) {
-  constexpr const char* kWords[] = {"there", "suspected", "failed", "left"};
-  return kWords[static_cast<int>(state)];
+  constexpr const char* kTexts[] = {"there", "suspected", "failed", "left"};
+  return kTexts[static_cast<int>(state)];
 }
 
 const char* to_string(PeerEvent event) {
-  constexpr const char* kWords[] = {"joined", "suspected", "cleared", "failed",
-                                    "left",   "back",      "moved",   "forgotten"};
-  return kWords[static_cast<int>(event)];
+  constexpr const char* kTexts[] = {"peer joined", "peer suspected", "peer suspicion cleared",
+                                    "peer failed", "peer left",      "peer rejoined",
+                                    "peer moved",  "peer forgotten"};
+  return kTexts[static_cast<int>(event)];
 }
 
 std::set<SlotId> alive_peers(const View& view) {
-  std::set<SlotId> there;
+  std::set<SlotId> alive;
   for (const PeerView& peer : view.peers) {
     if (peer.state == PeerState::alive) {
-      there.insert(peer.slot);
+      alive.insert(peer.slot);
     }
   }
-  return there;
+  return alive;
 }
 
 std::unique_ptr<Membership> make_membership(const Options& options, std::uint64_t seed) {
--- a/src/membership/membership_impl.hpp
+++ b/src/membership/membership_impl.hpp
@@ -1,5 +1,5 @@
-// The implementation of Membership: its state and the declarations of its parts. Each part is defined in a
-// file of its own; all of them run on the thread that calls process().
+// The implementation of Membership: its state and member functions. They are defined in several files by
+// subject; all of them run on the thread that calls process().
 #pragma once
 
 #include <algorithm>
@@ -20,28 +20,28 @@
 
 inline constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 
-// Values from the literature: SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018).
+// Values from the literature. SWIM: Das, Gupta, Motivala 2002. Lifeguard: Dadgar, Phillips, Currey 2018.
 inline constexpr int kIndirectProbers = 3;  // members asked for an indirect probe
 inline constexpr int kMaxSuspecters = 3;    // independent suspicions that shorten the timeout to its minimum
-inline constexpr double kMaxSuspicionFactor = 6;  // longest suspicion, in shortest ones
-// Upper bound of the local health score. Lifeguard has 8; with it two survivors of eight took 25 s instead of
-// 18 s to detect six failures (virtual time, one run).
+inline constexpr double kMaxSuspicionFactor = 6;  // maximum suspicion timeout divided by the minimum
+// Upper bound of the local health score. With Lifeguard's value of 8, two survivors of a fleet of eight took
+// 25 s instead of 18 s to detect six failures (virtual time, one run).
 inline constexpr int kMaxHealthScore = 3;
-inline constexpr double kRetransmitFactor = 4;  // transmissions of an update, times log10 of the fleet's size
-inline constexpr double kNackTimeoutShare = 0.8;  // of the probe timeout, until a nack is sent
-
-// Values of this implementation. A pace is the protocol period, Options::protocol_period.
-inline constexpr int kLeaveRecipients = 8;          // members notified directly of a graceful shutdown
-inline constexpr int kMaxUpdatesOfRange = 8;        // in one anti-entropy datagram, for names of 8 bytes
-inline constexpr double kEmptySlotPingPeriods = 2;  // between two pings of empty slots
-inline constexpr double kAntiEntropyPeriods = 10;   // between two anti-entropy exchanges
-inline constexpr int kAntiEntropyBudget = 16;       // anti-entropy datagrams sent in one pace at most
-inline constexpr int kMaxIndirectProbes = 64;       // run for other members at a time
-inline constexpr int kMaxDatagramsPerPeriod = 64;   // accepted from one slot; the protocol needs under ten
-inline constexpr int kNameConflictTries = 3;        // pings of the other process until it counts as gone
+inline constexpr double kRetransmitFactor = 4;    // transmissions of an update per log10 of the fleet size
+inline constexpr double kNackTimeoutShare = 0.8;  // share of the ack timeout after which a nack is sent
+
+// Values of this implementation. A period is Options::protocol_period.
+inline constexpr int kLeaveRecipients = 8;    // members that are notified directly of a graceful shutdown
+inline constexpr int kMaxUpdatesOfRange = 8;  // updates in one anti-entropy datagram, at 8-byte names
+inline constexpr double kEmptySlotPingPeriods = 2;  // periods between two pings of empty slots
+inline constexpr double kAntiEntropyPeriods = 10;   // periods between two anti-entropy exchanges
+inline constexpr int kAntiEntropyBudget = 16;      // maximum number of anti-entropy datagrams sent per period
+inline constexpr int kMaxIndirectProbes = 64;      // maximum number run for other members at a time
+inline constexpr int kMaxDatagramsPerPeriod = 64;  // accepted from one slot; fewer than ten are needed
+inline constexpr int kNameConflictTries = 3;       // unanswered pings until the other process counts as gone
 inline constexpr Millis kMaxClockAhead = 86400000;  // one day: incarnations further ahead are rejected
-inline constexpr double kNameConflictRetryPeriods =
-    20;  // after yielding, until the other process is pinged again
+// Periods after yielding until the other process is pinged again.
+inline constexpr double kNameConflictRetryPeriods = 20;
 
 class MembershipImpl final : public Membership {
  public:
@@ -58,7 +58,7 @@
   [[nodiscard]] View view() const override;
 
  private:
-  // The probe of the current protocol period.
+  // The probe that this instance runs in the current protocol period.
   struct Probe {
     std::string name;
     SlotId slot;
@@ -73,12 +73,12 @@
     std::uint32_t requester_sequence = 0, number = 0;
     Millis until = 0;
   };
-  // An update in dissemination.
+  // An update that is being disseminated.
   struct QueuedUpdate {
     GossipUpdate update;
     int sent = 0;
   };
-  // Another process with the name of this instance.
+  // Another process that uses the name of this instance.
   struct NameConflict {
     SlotId slot;
     Incarnation incarnation;
@@ -88,20 +88,22 @@
 
   void start(Millis now);
 
-  // After a pause of this process missing acks say nothing about the peers: sets the health score to its
-  // maximum and extends suspicions by the length of the pause.
+  // Detects that this process was paused. Acks that were missed during a pause say nothing about the peers,
+  // so the health score is set to its maximum and suspicions are extended by the length of the pause.
   void detect_pause(Millis now);
 
-  void on(const SlotCountChanged& listed);
+  void on(const SlotCountChanged& changed);
 
   void on(const Leaving& /*unused*/);
 
   void on(const DatagramReceived& datagram);
 
-  // Whether an incarnation is not too far ahead of this clock: one near the maximum could not be overridden.
+  // Returns whether an incarnation is not too far ahead of this clock. An incarnation near the maximum could
+  // never be overridden.
   [[nodiscard]] bool is_plausible(Incarnation incarnation) const;
 
-  // Applies what a message says about its sender. Returns the update that the sender should refute, if any.
+  // Applies what a message says about its sender. Returns the stored update if it overrides the message, so
+  // that the sender can refute it.
   std::optional<GossipUpdate> observe_sender(const Message& message);
 
   void handle(const Message& message, const std::optional<GossipUpdate>& outdated);
@@ -110,7 +112,7 @@
 
   void receive_update(const GossipUpdate& update);
 
-  // Counts an independent suspicion, which shortens the timeout, and disseminates it.
+  // Counts an independent suspicion, which shortens the suspicion timeout, and disseminates it.
   void confirm_suspicion(Peer& peer, SlotId suspected_by);
 
   // Applies an update that overrides the stored one.
@@ -120,38 +122,43 @@
 
   void raise_incarnation(Incarnation above);
 
-  void note_name_conflict(SlotId slot, Incarnation incarnation);
+  void record_name_conflict(SlotId slot, Incarnation incarnation);
 
-  // Of two live processes with one name the one that started later yields; with equal starts, the one with
-  // the higher slot. Both decide by the same values, so exactly one yields.
+  // Handles a message from another live process with the same name. The process that started later yields;
+  // with equal start times, the one in the higher slot. Both decide by the same values, so exactly one
+  // yields.
   void resolve_name_conflict(const Message& message);
 
+  // Pings the other process; claims the name when it no longer answers.
   void probe_name_conflict();
 
   [[nodiscard]] Millis scaled_by_health(Millis duration) const { return duration * (1 + health_); }
 
+  // Advances the current probe: requests indirect probes, handles the timeout, starts the next probe.
   void probe();
 
-  // Sends a ping, with the update about its receiver where there is one.
+  // Sends a ping, with the given update about its receiver if any.
   void ping(SlotId slot, const GossipUpdate* update = nullptr);
 
   void handle_probe_timeout(const Probe& probe);
 
-  // Round robin over a random permutation that is drawn anew each round: SWIM's bound on detection time.
+  // Returns the next member in round-robin order over a permutation that is shuffled each round, which bounds
+  // the detection time as in SWIM.
   const Peer* next_probe_target();
 
-  // Slots of up to count random members, without the given one.
+  // Returns the slots of up to count random members, excluding the given slot.
   std::vector<SlotId> random_members(int count, SlotId without);
 
   void start_indirect_probe(const Message& message);
 
   void expire_indirect_probes();
 
-  // Turns suspicions past their deadline into failures. The fewer members share one, the later its deadline.
+  // Turns suspicions past their deadline into failures.
   void expire_suspicions();
 
   [[nodiscard]] Millis min_suspicion() const;
 
+  // Returns when a suspicion becomes a failure. The deadline is later if fewer members share the suspicion.
   [[nodiscard]] Millis suspicion_deadline(const Peer& peer) const;
 
   // Pings slots without a known member: at the start, after a partition, and after the list has grown.
@@ -165,15 +172,15 @@
 
   void handle_updates(const Message& message);
 
-  // Sends the updates of a range without those the peer has sent; digests of its children where they are
-  // many.
+  // Sends the updates of a range, except those that the peer has sent. If there are too many for one
+  // datagram, sends the digests of the range's children instead.
   void send_range(SlotId to, Range range, bool is_reply, const std::vector<GossipUpdate>* sent = nullptr);
 
   [[nodiscard]] GossipUpdate self() const;
 
   void disseminate(const GossipUpdate& update) { queue_[update.name] = {update, 0}; }
 
-  // Sends a message; queued updates fill the datagram, those sent least often first.
+  // Sends a message and fills the datagram with queued updates, those sent least often first.
   void send(SlotId to, Kind kind, std::uint32_t number, const std::function<void(Message&)>& fill);
   void send(SlotId to, Kind kind, std::uint32_t number);
 
@@ -197,9 +204,9 @@
   std::vector<IndirectProbe> indirect_probes_;
   std::optional<NameConflict> name_conflict_;
   std::optional<SlotId> sync_with_;
-  std::array<std::pair<std::uint32_t, SlotId>, 16> recent_pings_{};  // sequence and slot
+  std::array<std::pair<std::uint32_t, SlotId>, 16> recent_pings_{};  // sequence number and slot
   std::size_t last_ping_ = 0;
-  std::vector<int> datagrams_from_;  // by slot, in this pace
+  std::vector<int> datagrams_from_;  // by slot, in the current period
   Dropped dropped_;
   Incarnation incarnation_;
   std::uint64_t started_at_ = 0, version_ = 0;
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr char kLetter = 'M';
-constexpr int kForm = 1;
-constexpr std::size_t kElements = 10;
+constexpr char kProtocolLetter = 'M';
+constexpr int kFormatVersion = 1;
+constexpr std::size_t kElementCount = 10;
 
 std::optional<SlotId> decode_slot(const Json& json) {
   const auto number = decode_unsigned(json, kMaxSlots - 1);
@@ -54,25 +54,26 @@
   return GossipUpdate{*name, *slot, static_cast<PeerState>(*state), {*incarnation}, *suspected_by};
 }
 
-// A range as [depth, prefix, sums]; the sums as one text of bytes, four to each.
+// Encodes a range as [depth, prefix], for a digest message with the digests as a third element: a byte string
+// of four bytes per digest, big-endian.
 Json encode_range(const Message& message) {
   Json json = {message.range.depth, message.range.prefix};
   if (message.kind != Kind::digest) {
     return json;
   }
   std::vector<std::uint8_t> bytes;
-  for (const std::uint32_t sum : message.digests) {
+  for (const std::uint32_t digest_value : message.digests) {
     for (const int shift : {24, 16, 8, 0}) {
-      bytes.push_back(static_cast<std::uint8_t>(sum >> shift));
+      bytes.push_back(static_cast<std::uint8_t>(digest_value >> shift));
     }
   }
   json.push_back(Json::binary(std::move(bytes)));
   return json;
 }
 
-bool decode_range(const Json& json, Message& into) {
-  const bool digest = into.kind == Kind::digest;
-  if (!json.is_array() || json.size() != (digest ? 3 : 2)) {
+bool decode_range(const Json& json, Message& message) {
+  const bool has_digests = message.kind == Kind::digest;
+  if (!json.is_array() || json.size() != (has_digests ? 3 : 2)) {
     return false;
   }
   const auto depth = decode_unsigned(json[0], kMaxDigestDepth);
@@ -80,8 +81,8 @@
   if (!depth || !prefix || (*prefix >> (4 * *depth)) != 0) {
     return false;
   }
-  into.range = {static_cast<int>(*depth), *prefix};
-  if (!digest) {
+  message.range = {static_cast<int>(*depth), *prefix};
+  if (!has_digests) {
     return true;
   }
   if (!json[2].is_binary() || json[2].get_binary().size() != 4 * kDigestFanOut) {
@@ -89,8 +90,8 @@
   }
   const auto& bytes = json[2].get_binary();
   for (std::size_t at = 0; at < bytes.size(); at += 4) {
-    into.digests.push_back(std::uint32_t{bytes[at]} << 24 | std::uint32_t{bytes[at + 1]} << 16 |
-                           std::uint32_t{bytes[at + 2]} << 8 | bytes[at + 3]);
+    message.digests.push_back(std::uint32_t{bytes[at]} << 24 | std::uint32_t{bytes[at + 1]} << 16 |
+                              std::uint32_t{bytes[at + 2]} << 8 | bytes[at + 3]);
   }
   return true;
 }
@@ -105,38 +106,34 @@
              std::string_view::npos;
 }
 
-bool is_membership_message(std::string_view bytes) { return bytes.starts_with(kLetter); }
-
-std::string encode(const Message& message, std::size_t& told) {
-  Json json = {kForm,
-               static_cast<int>(message.kind),
-               message.sequence,
-               message.name,
-               message.slot.number,
-               message.incarnation.number,
-               message.started_at,
-               (message.leaving ? 1 : 0) | (message.is_reply ? 2 : 0)};
+bool is_membership_message(std::string_view bytes) { return bytes.starts_with(kProtocolLetter); }
+
+std::string encode(const Message& message, std::size_t& encoded_updates) {
+  Json json = {kFormatVersion,      static_cast<int>(message.kind),
+               message.sequence,    message.name,
+               message.slot.number, message.incarnation.number,
+               message.started_at,  (message.leaving ? 1 : 0) | (message.is_reply ? 2 : 0)};
   json.push_back(message.kind == Kind::ping_req ? Json(message.target.number)
                  : has_range(message.kind)      ? encode_range(message)
                                                 : Json());
   json.push_back(Json::array());
   std::size_t size = 1 + Json::to_cbor(json).size();
-  told = 0;
+  encoded_updates = 0;
   for (const GossipUpdate& update : message.updates) {
-    Json one = encode_update(update);
-    size += Json::to_cbor(one).size();
-    if (size > kMaxDatagramBytes || told == kMaxUpdates) {
+    Json element = encode_update(update);
+    size += Json::to_cbor(element).size();
+    if (size > kMaxDatagramBytes || encoded_updates == kMaxUpdates) {
       break;
     }
-    json.back().push_back(std::move(one));
-    ++told;
+    json.back().push_back(std::move(element));
+    ++encoded_updates;
   }
-  return encode_datagram(kLetter, json);
+  return encode_datagram(kProtocolLetter, json);
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  const std::optional<Json> array = decode_datagram(kLetter, bytes, kElements);
-  if (!array || (*array)[0] != kForm || !(*array)[9].is_array()) {
+  const std::optional<Json> array = decode_datagram(kProtocolLetter, bytes, kElementCount);
+  if (!array || (*array)[0] != kFormatVersion || !(*array)[9].is_array()) {
     return std::nullopt;
   }
   const Json& head = *array;
@@ -145,9 +142,9 @@
   const auto number = decode_unsigned(head[2], std::numeric_limits<std::uint32_t>::max());
   const auto name = decode_name(head[3]);
   const auto slot = decode_slot(head[4]);
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint64_t>::max() >> 1;
-  const auto incarnation = decode_unsigned(head[5], kMost);
-  const auto started_at = decode_unsigned(head[6], kMost);
+  constexpr std::uint64_t kMaxNumber = std::numeric_limits<std::uint64_t>::max() >> 1;
+  const auto incarnation = decode_unsigned(head[5], kMaxNumber);
+  const auto started_at = decode_unsigned(head[6], kMaxNumber);
   const auto flags = decode_unsigned(head[7], 3);
   if (!kind || !number || !name || !slot || !incarnation || !started_at || !flags) {
     return std::nullopt;
@@ -158,16 +155,16 @@
   message.incarnation = {*incarnation}, message.started_at = *started_at;
   message.leaving = *flags & 1, message.is_reply = *flags & 2;
   if (message.kind == Kind::ping_req) {
-    const auto about = decode_slot(head[8]);
-    if (!about) {
+    const auto target = decode_slot(head[8]);
+    if (!target) {
       return std::nullopt;
     }
-    message.target = *about;
+    message.target = *target;
   } else if (has_range(message.kind) ? !decode_range(head[8], message) : !head[8].is_null()) {
     return std::nullopt;
   }
-  for (const Json& one : head[9]) {
-    const auto update = decode_update(one);
+  for (const Json& element : head[9]) {
+    const auto update = decode_update(element);
     if (!update) {
       return std::nullopt;
     }
--- a/src/membership/name_conflict.cpp
+++ b/src/membership/name_conflict.cpp
@@ -1,9 +1,9 @@
-// Conflicts with another process that uses this instance's name.
+// Handles conflicts with another process that uses the name of this instance.
 #include "membership/membership_impl.hpp"
 
 namespace reedspindle::membership {
 
-void MembershipImpl::note_name_conflict(SlotId slot, Incarnation incarnation) {
+void MembershipImpl::record_name_conflict(SlotId slot, Incarnation incarnation) {
   if (name_conflict_ && name_conflict_->slot == slot) {
     name_conflict_->incarnation = std::max(name_conflict_->incarnation, incarnation);
     return;
@@ -41,11 +41,11 @@
     name_conflict_->next = now_ + options_.protocol_period;
     return send(name_conflict_->slot, Kind::ping, ++sequence_);
   }
-  // Nobody is there any more under this name: it has moved here.
-  const NameConflict gone = *std::exchange(name_conflict_, std::nullopt);
+  // The other process no longer answers: this instance takes over the name.
+  const NameConflict ended = *std::exchange(name_conflict_, std::nullopt);
   yielded_ = false;
-  raise_incarnation(gone.incarnation);
-  report(SelfEvent::name_claimed, gone.slot);
+  raise_incarnation(ended.incarnation);
+  report(SelfEvent::name_claimed, ended.slot);
 }
 
 }  // namespace reedspindle::membership
--- a/src/membership/peer_table.cpp
+++ b/src/membership/peer_table.cpp
@@ -1,6 +1,6 @@
 #include "membership/peer_table.hpp"
 
-// Only in here, from the header alone: the instance needs no library at run time for it.
+// Header-only use in this file: no shared library is needed at run time.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -11,11 +11,11 @@
 
 std::uint64_t hash_of(const std::string& name) { return XXH3_64bits(name.data(), name.size()); }
 
-bool within(std::uint64_t hash, Range range) {
+bool contains(std::uint64_t hash, Range range) {
   return range.depth == 0 || hash >> (64 - 4 * range.depth) == range.prefix;
 }
 
-// The suspected count as there: who suspects whom changes too often to be compared.
+// Suspected peers count as alive, because suspicions change too often to be compared.
 std::uint32_t digest_of(const GossipUpdate& update) {
   const std::uint64_t parts[] = {hash_of(update.name), static_cast<std::uint64_t>(update.slot.number),
                                  is_member(update.state) ? 1U : 0U, update.incarnation.number};
@@ -27,22 +27,22 @@
 bool is_member(PeerState state) { return state == PeerState::alive || state == PeerState::suspected; }
 
 PeerTable::Precedence PeerTable::precedence_of(const GossipUpdate& update) const {
-  const Peer* held = find(update.name);
-  if (!held) {
+  const Peer* stored = find(update.name);
+  if (!stored) {
     const auto tombstone = tombstones_.find(update.name);
     if (tombstone != tombstones_.end() && update.incarnation <= tombstone->second) {
       return Precedence::older;
     }
-    // Guards against names without end.
+    // Guards against an unbounded number of names.
     return static_cast<int>(peers_.size()) < max_peers_ ? Precedence::newer : Precedence::older;
   }
-  if (update.incarnation != held->update.incarnation) {
-    return update.incarnation > held->update.incarnation ? Precedence::newer : Precedence::older;
+  if (update.incarnation != stored->update.incarnation) {
+    return update.incarnation > stored->update.incarnation ? Precedence::newer : Precedence::older;
   }
-  if (update.state > held->update.state) {
+  if (update.state > stored->update.state) {
     return Precedence::newer;
   }
-  if (update.state < held->update.state) {
+  if (update.state < stored->update.state) {
     return Precedence::older;
   }
   return update.state == PeerState::suspected ? Precedence::confirmation : Precedence::known;
@@ -52,8 +52,9 @@
   Peer& peer = peers_[update.name];
   if (is_member(peer.update.state) && peer.update.slot.number >= 0) {
     --member_count_;
-    if (const auto at = places_.find(peer.update.slot); at != places_.end() && at->second == update.name) {
-      places_.erase(at);
+    if (const auto at = names_by_slot_.find(peer.update.slot);
+        at != names_by_slot_.end() && at->second == update.name) {
+      names_by_slot_.erase(at);
     }
   }
   if (peer.update.state != update.state || peer.update.slot.number < 0) {
@@ -66,7 +67,7 @@
     peer.suspected_at = now, suspects_.insert(update.name);
   }
   if (is_member(update.state)) {
-    ++member_count_, places_[update.slot] = update.name;
+    ++member_count_, names_by_slot_[update.slot] = update.name;
   }
   return peer;
 }
@@ -81,26 +82,26 @@
 }
 
 const Peer* PeerTable::at(SlotId slot) const {
-  const auto found = places_.find(slot);
-  return found == places_.end() ? nullptr : find(found->second);
+  const auto found = names_by_slot_.find(slot);
+  return found == names_by_slot_.end() ? nullptr : find(found->second);
 }
 
-std::vector<GossipUpdate> PeerTable::forget(Millis since) {
-  std::vector<GossipUpdate> gone;
+std::vector<GossipUpdate> PeerTable::forget(Millis cutoff) {
+  std::vector<GossipUpdate> forgotten;
   for (auto at = peers_.begin(); at != peers_.end();) {
-    if (is_member(at->second.update.state) || at->second.since > since) {
+    if (is_member(at->second.update.state) || at->second.since > cutoff) {
       ++at;
       continue;
     }
-    gone.push_back(at->second.update);
+    forgotten.push_back(at->second.update);
     add_tombstone(at->first, at->second.update.incarnation);
     at = peers_.erase(at);
   }
-  return gone;
+  return forgotten;
 }
 
-// Guards against old updates, sent again or late: they bring nobody back who was forgotten. As many as there
-// may be peers; then the oldest are given up.
+// Tombstones prevent old updates that arrive late or repeatedly from bringing back a forgotten peer. Their
+// number is limited to max_peers_; the oldest are evicted.
 void PeerTable::add_tombstone(const std::string& name, Incarnation last) {
   if (tombstones_.insert_or_assign(name, last).second) {
     tombstone_order_.push_back(name);
@@ -114,7 +115,7 @@
   std::vector<std::uint32_t> digests(kDigestFanOut);
   const auto add = [&](const GossipUpdate& update) {
     const std::uint64_t hash = hash_of(update.name);
-    if (within(hash, range)) {
+    if (contains(hash, range)) {
       digests[hash >> (60 - 4 * range.depth) & (kDigestFanOut - 1)] += digest_of(update);
     }
   };
@@ -126,16 +127,16 @@
 }
 
 std::optional<std::vector<GossipUpdate>> PeerTable::updates(Range range, const GossipUpdate& self,
-                                                            std::size_t most) const {
+                                                            std::size_t max_count) const {
   std::vector<GossipUpdate> updates;
-  if (within(hash_of(self.name), range)) {
+  if (contains(hash_of(self.name), range)) {
     updates.push_back(self);
   }
   for (const auto& [name, peer] : peers_) {
-    if (!within(hash_of(name), range)) {
+    if (!contains(hash_of(name), range)) {
       continue;
     }
-    if (updates.size() == most) {
+    if (updates.size() == max_count) {
       return std::nullopt;
     }
     updates.push_back(peer.update);
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -1,4 +1,4 @@
-// Suspicions of peers with Lifeguard's timeouts, and refutation of suspicions of this instance.
+// Suspicions of peers with Lifeguard's timeouts, and refutation of suspicions about this instance.
 #include "membership/membership_impl.hpp"
 
 namespace reedspindle::membership {
@@ -20,12 +20,12 @@
   }
   if (update.slot != slot_) {
     if (is_member(update.state)) {
-      return note_name_conflict(update.slot, update.incarnation);
+      return record_name_conflict(update.slot, update.incarnation);
     }
     return raise_incarnation(update.incarnation);
   }
   if (update.state == PeerState::alive) {
-    // Of a former life, whose clock was ahead of ours.
+    // From a previous process at this slot, whose clock was ahead of this one.
     if (update.incarnation > incarnation_) {
       raise_incarnation(update.incarnation);
     }
@@ -33,7 +33,7 @@
   }
   raise_incarnation(update.incarnation);
   if (update.state == PeerState::left) {
-    return;  // the former life's farewell
+    return;  // the graceful shutdown of the previous process
   }
   health_ = std::min(kMaxHealthScore, health_ + 1);
   report(SelfEvent::refuted, update.suspected_by);
@@ -63,16 +63,17 @@
 }
 
 Millis MembershipImpl::suspicion_deadline(const Peer& peer) const {
-  const double here = peers_.member_count() + 1;
+  const double fleet_size = peers_.member_count() + 1;
   const Millis min_suspicion = this->min_suspicion();
-  const double others = std::min<double>(kMaxSuspecters, here - 3);
-  if (others < 1) {
+  const double max_confirmations = std::min<double>(kMaxSuspecters, fleet_size - 3);
+  if (max_confirmations < 1) {
     return peer.suspected_at + min_suspicion;
   }
-  const double shared =
-      std::log(std::max<double>(1, static_cast<double>(peer.suspecters.size()))) / std::log(others + 1);
-  return peer.suspected_at + std::max(min_suspicion, kMaxSuspicionFactor * min_suspicion -
-                                                         (kMaxSuspicionFactor - 1) * min_suspicion * shared);
+  const double confirmed_share = std::log(std::max<double>(1, static_cast<double>(peer.suspecters.size()))) /
+                                 std::log(max_confirmations + 1);
+  return peer.suspected_at +
+         std::max(min_suspicion, kMaxSuspicionFactor * min_suspicion -
+                                     (kMaxSuspicionFactor - 1) * min_suspicion * confirmed_share);
 }
 
 }  // namespace reedspindle::membership
--- a/src/quota/usage.cpp
+++ b/src/quota/usage.cpp
@@ -26,8 +26,7 @@
   if (needs_.size() > kNeedSamples) {
     needs_.pop_front();
   }
-  const double connections_per_slot =
-      static_cast<double>(connections_) / options_.slot_count;  // connections per slot
+  const double connections_per_slot = static_cast<double>(connections_) / options_.slot_count;
   const std::size_t max_need = *std::ranges::max_element(needs_);
   const double slots = static_cast<double>(max_need + kSpareConnections) / connections_per_slot;
   Demand demand;
