--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -1,4 +1,4 @@
-// The buffer that a connection reads into, and the bound on what all buffers of one kind use together.
+// The read buffer of a connection, and the memory budget that the buffers of many connections share.
 #pragma once
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 
 namespace reedspindle::net {
 
-// A number of bytes that several owners share. Each gives back what it has taken.
+// Limits the bytes that several owners hold together. Each owner releases what it has taken.
 class MemoryBudget {
  public:
   explicit MemoryBudget(std::size_t bytes) : left_(bytes) {}
-  // False: so many bytes are not left, and none are taken.
+  // Takes `bytes` from the budget. Returns false, and takes nothing, if fewer bytes are left.
   [[nodiscard]] bool take(std::size_t bytes) {
     if (bytes > left_) {
       return false;
@@ -27,18 +27,19 @@
   std::size_t left_;
 };
 
-// Grows as needed, and is compacted in place. Its size is taken from the budget, which has to outlive it.
+// A contiguous buffer that grows as needed and is compacted in place. Its size is taken from the budget,
+// which has to outlive it.
 class Buffer {
  public:
   explicit Buffer(MemoryBudget& budget) : budget_(budget) {}
   ~Buffer() { budget_.release(bytes_.size()); }
   Buffer(const Buffer&) = delete;
 
-  // The bytes that have been read and not yet consumed. Valid until the next call of prepare().
+  // Returns the bytes that have been read and not yet consumed. Valid until the next call of prepare().
   [[nodiscard]] std::string_view data() const { return {bytes_.data() + begin_, end_ - begin_}; }
 
-  // Space for the next read: at least so many bytes, or none where the budget is used up. Valid until the
-  // next call. A buffer that has grown is released once it is empty.
+  // Returns space for the next read: at least `least` bytes, or none if the budget is used up. Valid until
+  // the next call. A buffer that has grown beyond its usual size is freed once it is empty.
   std::span<char> prepare(std::size_t least) {
     if (begin_ == end_) {
       begin_ = end_ = 0;
@@ -61,13 +62,13 @@
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
-  // So many bytes have been read into the space.
+  // Adds the first `count` bytes of the prepared space to the data.
   void commit(std::size_t count) { end_ += count; }
-  // So many of the first bytes are not needed any more.
+  // Removes the first `count` bytes of the data.
   void consume(std::size_t count) { begin_ += count; }
 
  private:
-  static constexpr std::size_t kUsualBytes = 8192;  // enough for nearly every message
+  static constexpr std::size_t kUsualBytes = 8192;  // fits nearly every message
   MemoryBudget& budget_;
   std::vector<char> bytes_;
   std::size_t begin_ = 0;
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,4 +1,4 @@
-// Time in a front: Unix time in ms with fractions, never going back, and the one queue of timers.
+// The clock and the timers of a process. Times are in milliseconds of Unix time, with fractions.
 #pragma once
 
 #include <asio.hpp>
@@ -12,9 +12,11 @@
 
 namespace reedspindle::net {
 
+// Reads the system clock once, at construction, and follows the steady clock from then on: it never goes
+// back.
 class Clock {
  public:
-  // Set apart from the machine's by as much, for trials.
+  // Tests use `offset` (in milliseconds) to set this clock ahead of the machine's, or behind it.
   explicit Clock(Millis offset = 0) : offset_(offset) {}
 
   [[nodiscard]] Millis now() const {
@@ -28,12 +30,13 @@
     Steady steady;
     Millis unix = 0;
   };
-  // Guards against a process that is put aside between its two looks at the clocks: it would stand apart from
-  // all others by as much for good. Of a few tries the one counts that took least.
+  // Reads both clocks at the same moment. If the process were suspended between the two readings, its clock
+  // would be wrong by that time for as long as it runs. Therefore it tries several times, and uses the try
+  // that took the least time.
   static Start start() {
     Start best;
     auto least = std::chrono::steady_clock::duration::max();
-    for (int turn = 0; turn < 5; ++turn) {
+    for (int attempt = 0; attempt < 5; ++attempt) {
       const Steady before = std::chrono::steady_clock::now();
       const auto unix = std::chrono::system_clock::now().time_since_epoch();
       const auto took = std::chrono::steady_clock::now() - before;
@@ -50,14 +53,14 @@
   const Start start_ = start();
 };
 
-// Owns every timer of the front. Whoever sets one keeps the handle and gives it back with drop, or lets it
-// come due, which gives it back too.
+// Owns all timers of a process, on one asio timer. A handle is valid until its timer expires or is cancelled.
 class Timers {
  public:
   using Handle = std::pair<Millis, std::uint64_t>;
 
   Timers(asio::io_context& io, const Clock& clock) : clock_(clock), next_(io) {}
 
+  // Calls `due` once, at `at` in Unix milliseconds or as soon after that as the event loop gets to it.
   Handle set(Millis at, std::function<void()> due) {
     const Handle handle{at, ++last_};
     due_.emplace(handle, std::move(due));
@@ -66,15 +69,16 @@
     }
     return handle;
   }
-  // When the next one is due; none is set: never.
+  // Returns the Unix time at which the next timer expires, or none if no timer is set.
   [[nodiscard]] std::optional<Millis> next_due() const {
     if (due_.empty()) {
       return std::nullopt;
     }
     return due_.begin()->first.first;
   }
+  // Cancels a timer; has no effect if it has expired.
   void cancel(const Handle& handle) { due_.erase(handle); }
-  // The same for one that may be set; it is set no more.
+  // Cancels a timer if the handle holds one, and clears the handle.
   void cancel(std::optional<Handle>& handle) {
     if (handle) {
       due_.erase(*handle);
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// What discovery says of the servers, as values.
+// The endpoint lists that discovery delivers, as plain values.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -9,20 +9,21 @@
 
 namespace reedspindle::net {
 
+// One server of an endpoint list.
 struct ListedEndpoint {
   ServerEntry entry;
-  std::string zone;  // as discovery names it
+  std::string zone;  // the name that discovery uses
   asio::ip::tcp::endpoint endpoint;
   bool operator==(const ListedEndpoint&) const = default;
 };
 
-// A list as it is handed on. A long one comes as several of the kind changes, of which only the last counts
-// as the whole of its revision.
+// An endpoint list, or one part of it. A long list is delivered in several parts of the kind `changes`; its
+// revision is complete with the last of them.
 struct EndpointList {
   EndpointListKind kind = EndpointListKind::complete;
-  long long revision = 0;
+  long long revision = 0;  // from discovery
   std::vector<ListedEndpoint> servers;
-  bool last = true;
+  bool last = true;  // no more parts of this list follow
 };
 
 }  // namespace reedspindle::net
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,4 +1,4 @@
-// The pool's part that queues calls for servers and bounds the number of connections.
+// The part of ConnectionPool that queues attempts and probes and limits the number of connections.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace reedspindle::upstream {
 namespace {
-// The part of the memory that connections to servers may use for what they read.
+// Read buffers of server connections may use one part in kMemoryDivisor of the memory.
 constexpr std::size_t kMemoryDivisor = 8;
-// Servers close connections that were idle for the configured time. They are closed here a tenth of it
-// earlier, so that no attempt is sent while the server closes; checked twice as often, so that none is
-// missed.
+// Servers close a connection that has been idle for the configured time. The pool closes it a tenth of that
+// time earlier, so that no attempt is sent on a connection that the server is closing. It checks twice within
+// that tenth, so that no connection is missed.
 constexpr double kIdleMarginDivisor = 10;
 constexpr double kIdleChecksPerMargin = 2;
 }  // namespace
@@ -63,7 +63,7 @@
         close(*connection);
       }
     }
-    // An attempt counts as sent from its first byte, which none of the queued ones has written.
+    // An attempt counts as sent from its first byte on. No byte of a queued attempt has been written.
     if (server->state != ServerState::ready) {
       while (!server->queue.empty()) {
         complete(take_first_queued(*server), AttemptOutcome::not_sent);
@@ -74,11 +74,11 @@
 
 void ConnectionPool::start_attempt(RequestId request, const StartAttempt& decision, Millis decided,
                                    AttemptNumber number, std::shared_ptr<const std::string> text,
-                                   postgres::TextSpan patience) {
+                                   postgres::TextSpan remaining) {
   auto call = std::make_unique<PendingCall>();
   call->attempt = {request, number};
   call->text = std::move(text);
-  call->remaining_span = patience;
+  call->remaining_span = remaining;
   attempts_[{request, number}] = call.get();
   enqueue(*servers_.at(decision.server), std::move(call), decided, decision.timeout, decision.start_within);
 }
@@ -112,7 +112,7 @@
   }
 }
 
-// The only place that removes servers.
+// Servers are removed nowhere else.
 void ConnectionPool::forget(const ServerId& server) {
   const auto found = servers_.find(server);
   if (found == servers_.end()) {
@@ -139,7 +139,8 @@
   dispatch(server);
 }
 
-// Makes a connection ready for each queued call: idle ones first, then new ones up to the limit.
+// Gets a connection ready for each queued call: resets idle connections first, then opens new ones up to the
+// limit.
 void ConnectionPool::dispatch(ServerPool& server) {
   while (server.becoming_ready < server.queue.size() && !server.idle.empty()) {
     reset(*server.idle.back());
@@ -150,7 +151,8 @@
   record_need(server);
 }
 
-// Idle connections are not needed; one is for each queued call that no connection is becoming ready for.
+// Counts the connections in use, and one more for each queued call that no connection is becoming ready for.
+// Idle connections are not needed.
 void ConnectionPool::record_need(const ServerPool& server) {
   const std::size_t unserved =
       server.queue.size() > server.becoming_ready ? server.queue.size() - server.becoming_ready : 0;
@@ -166,8 +168,8 @@
   }
 }
 
-// Closes idle connections beyond the limit for new ones, and beyond the limit for kept ones any, newest
-// first.
+// Closes idle connections while there are more than `open_limit_`, and the newest connections in any state
+// while there are more than `hold_limit_`.
 void ConnectionPool::close_surplus(ServerPool& server) {
   while (server.connections > open_limit_ && !server.idle.empty()) {
     close(*server.idle.front());
@@ -192,8 +194,8 @@
   complete(take_queued(call), AttemptOutcome::not_sent);
 }
 
-// Guards against sending what is late by now: a connection that took long to open, or a process that was
-// suspended, where connections are served before timers.
+// Ends queued calls whose start-by time has passed. Their timers may not have run yet: after a slow connect,
+// or after the process was suspended, the event loop may handle connections before timers.
 void ConnectionPool::drop_overdue(ServerPool& server) {
   while (!server.queue.empty() && server.queue.front()->start_by < clock_.now()) {
     complete(take_first_queued(server), AttemptOutcome::not_sent);
@@ -214,13 +216,13 @@
   return taken;
 }
 
-// A complete response counts, even where the connection broke right after it.
+// The response decides the outcome: a complete response is valid even if the connection broke right after it.
 void ConnectionPool::complete(CallPtr call) {
   const AttemptOutcome outcome = call->response.outcome();
   complete(std::move(call), outcome);
 }
 
-// The only place that ends calls and their timers.
+// Calls are ended, and their timers cancelled, nowhere else.
 void ConnectionPool::complete(CallPtr call, AttemptOutcome outcome) {
   timers_.cancel(call->timer);
   const Millis duration = clock_.now() - call->started;
@@ -235,7 +237,8 @@
   attempt_done_(std::move(completed), call->response.take_row());
 }
 
-// The only place that closes connections. Returns the call that was on it, which the caller completes.
+// Connections are closed nowhere else. Returns the call that was on the connection, if any; the caller has to
+// complete it.
 ConnectionPool::CallPtr ConnectionPool::close(ServerConnection& connection) {
   using State = ServerConnection::State;
   ServerPool& server = connection.server;
@@ -253,7 +256,7 @@
   const ConnectionPtr last = *connection.place;  // the connection stays valid until this returns
   connections_.erase(connection.place);
   --server.connections;
-  // Where the limit keeps calls queued, one of them may be sent now.
+  // If the limit has kept calls queued, a connection can be opened for one of them now.
   const bool limited = open_limit_ != kUnlimited && server.connections < open_limit_;
   if (limited && server.queue.size() > server.becoming_ready) {
     asio::post(io_, [this, id = server.id] {
@@ -270,7 +273,7 @@
   idle_.erase(connection.idle_place);
 }
 
-// False: no connection is idle.
+// Returns false if no connection is idle.
 bool ConnectionPool::close_longest_idle() {
   if (idle_.empty()) {
     return false;
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -1,4 +1,4 @@
-// Connections to the servers, with at most one attempt or probe at a time on each.
+// The connections of this instance to the servers, with at most one attempt or probe at a time on each.
 #pragma once
 
 #include <asio.hpp>
@@ -23,45 +23,48 @@
 struct ServerConnection;
 struct ServerPool;
 
-// Owns the server pools, their connections, and the attempts and probes on them. Each attempt and each probe
-// that is started is reported exactly once, from the event loop or from the call that ends it.
+// Owns the server pools, their connections, and the attempts and probes on them (together: calls). Each
+// started attempt or probe is reported exactly once, either from the event loop or from within the function
+// that ends it.
 class ConnectionPool {
  public:
-  // How an attempt ended. Acknowledged: the row holds the server's messages up to CommandComplete.
+  // Reports how an attempt ended. If it was acknowledged, `row` holds the server's messages from
+  // RowDescription up to CommandComplete.
   using AttemptDone = std::function<void(AttemptCompleted, std::string row)>;
+  // Reports how a probe ended.
   using ProbeDone = std::function<void(ProbeCompleted)>;
 
-  // The references have to outlive the pool.
+  // All referenced objects have to outlive the pool.
   ConnectionPool(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
                  const config::InstanceConfig& config, AttemptDone attempt_done, ProbeDone probe_done);
   ~ConnectionPool();
 
   // Adds and updates servers. Closes idle connections that can't be used any more, and ends the queued calls
-  // of servers that are not ready.
+  // of servers that are not ready. A failed list has no effect.
   void apply_endpoint_list(const net::EndpointList& list);
 
-  // Queues one attempt. The decision's times count from `decided`, in Unix milliseconds. `patience` says
-  // where the text states the client's remaining time, which is replaced by what is left when the query is
-  // sent.
+  // Queues one attempt. The decision's times count from `decided`, in Unix milliseconds. `remaining` is the
+  // place in the text that states the client's remaining time; it is updated when the query is sent.
   void start_attempt(RequestId request, const StartAttempt& decision, Millis decided, AttemptNumber number,
-                     std::shared_ptr<const std::string> text, postgres::TextSpan patience);
-  // Ends an attempt early. Nothing happens where it has ended already.
+                     std::shared_ptr<const std::string> text, postgres::TextSpan remaining);
+  // Ends an attempt early. Has no effect if the attempt has ended already.
   void cancel_attempt(RequestId request, AttemptNumber number);
-  // The request has ended: its attempts that are still queued are never sent.
+  // Ends the attempts of a request that are still queued: they are never sent. To be called when the request
+  // has ended.
   void forget(RequestId request);
-  // Removes a server on which no attempt or probe is open, with its connections.
+  // Removes a server and its connections. No attempt or probe may be open on it.
   void forget(const ServerId& server);
-  // Queues one probe with a timeout in milliseconds from now.
+  // Queues one probe. The timeout is in milliseconds from now.
   void probe(const ServerId& server, Millis timeout);
 
-  // Sets how many connections each server may have: new ones are opened up to `open`, and none are kept
-  // beyond `hold`.
+  // Sets how many connections each server may have: new connections are opened up to `open`, and connections
+  // beyond `hold` are closed.
   void set_connection_limits(std::size_t open, std::size_t hold);
-  // The largest number of connections that any server has needed at once since the last call, including those
-  // that the limit did not allow.
+  // Returns the largest number of connections that any one server has needed at once since the last call of
+  // this function, including connections that the limit did not allow.
   std::size_t take_connection_need() { return std::exchange(need_, 0); }
 
-  // Closes all connections and reports nothing more of what was on them.
+  // Closes all connections, without reporting the attempts and probes on them.
   void stop();
 
  private:
@@ -69,7 +72,7 @@
   using CallPtr = std::unique_ptr<PendingCall>;
   static constexpr std::size_t kUnlimited = static_cast<std::size_t>(-1);
 
-  // Calls (connection_pool.cpp).
+  // The queues of calls (connection_pool.cpp).
   void enqueue(ServerPool& server, CallPtr call, Millis started, Millis timeout,
                std::optional<Millis> start_within = {});
   void dispatch(ServerPool& server);
@@ -114,15 +117,15 @@
   const config::InstanceConfig& config_;
   const AttemptDone attempt_done_;
   const ProbeDone probe_done_;
-  net::MemoryBudget budget_;  // bounds what all connections buffer together
+  net::MemoryBudget budget_;  // of the read buffers of all connections
   std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
-  std::list<ConnectionPtr> connections_;  // the owner of each
-  std::list<ServerConnection*> idle_;     // of all servers, the one that has been idle longest first
+  std::list<ConnectionPtr> connections_;  // owns all connections
+  std::list<ServerConnection*> idle_;     // of all servers, the longest idle first
   std::map<std::pair<RequestId, AttemptNumber>, PendingCall*> attempts_;
   std::optional<net::Timers::Handle> idle_timer_;
-  std::size_t open_limit_ = kUnlimited;
-  std::size_t hold_limit_ = kUnlimited;
-  std::size_t need_ = 0;
+  std::size_t open_limit_ = kUnlimited;  // for each server: new connections are opened up to this
+  std::size_t hold_limit_ = kUnlimited;  // for each server: connections beyond this are closed
+  std::size_t need_ = 0;                 // for take_connection_need()
 };
 
 }  // namespace reedspindle::upstream
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -1,4 +1,5 @@
-// The pool's part that opens connections, sends queries, reads responses, and resets connections for reuse.
+// The part of ConnectionPool that opens connections, sends queries, reads responses, and resets connections
+// before they are used again.
 #include <utility>
 #include <variant>
 #include <vector>
@@ -9,18 +10,20 @@
 namespace reedspindle::upstream {
 namespace {
 using Tcp = asio::ip::tcp;
-constexpr std::size_t kReadBytes = 4096;  // the least that one read has space for
+constexpr std::size_t kReadBytes = 4096;  // the smallest space for one read
 constexpr const char* kUser = "svc";
 constexpr const char* kDatabase = "main";
 constexpr const char* kProbeQuery = "SHOW vitals";
 }  // namespace
 
-// A connection that is older than the server's last start or its endpoint can only end as a reset.
+// Returns whether the connection can't be used any more. One that was opened before the server's last start,
+// or before its endpoint changed, can only end in a reset.
 bool ConnectionPool::is_stale(const ServerConnection& connection) {
   return connection.server.state != ServerState::ready || connection.opened < connection.server.started_at;
 }
 
-// Opens a connection for a queued call. Where all descriptors are used, the longest idle one is closed first.
+// Opens a connection for a queued call. If the limit on all server connections is reached, closes the longest
+// idle one first; if none is idle, ends the first queued call.
 void ConnectionPool::open(ServerPool& server) {
   if (connections_.size() >= config_.server_connections() && !close_longest_idle()) {
     return complete(take_first_queued(server), AttemptOutcome::connect_failed);
@@ -46,17 +49,17 @@
   if (error) {
     return fail_open(*connection, AttemptOutcome::connect_failed);
   }
-  asio::error_code ignored;  // a server that is gone again is noticed by the read
+  asio::error_code ignored;  // if the server has closed the connection, the read reports it
   connection->socket.set_option(Tcp::no_delay(true), ignored);
   connection->socket.non_blocking(true, ignored);
   connection->out = postgres::startup(kUser, kDatabase);
   asio::async_write(connection->socket, asio::buffer(connection->out),
-                    [](const asio::error_code&, std::size_t) {});  // the read notices a failure
+                    [](const asio::error_code&, std::size_t) {});  // the read reports a failure
   read(connection);
 }
 
-// Closes a connection that did not become ready, and ends the call queued longest unless another connection
-// is becoming ready for it.
+// Closes a connection that did not become ready, and ends the call that has been queued longest, unless
+// another connection is becoming ready for it.
 void ConnectionPool::fail_open(ServerConnection& connection, AttemptOutcome outcome) {
   ServerPool& server = connection.server;
   close(connection);
@@ -65,9 +68,9 @@
   }
 }
 
-// Writes the query at once as far as the system takes it, so that at every later moment it is known whether
-// its last byte has been sent. Guards against taking a query for one that never ran because the failure of
-// its connection was read before the end of the write was reported: a second attempt would have its effect
+// Writes as much of the query as the socket accepts synchronously, so that from then on it is known whether
+// its last byte has been sent. With an asynchronous write, a broken connection could be read before the write
+// was reported as complete; the query would count as never executed, and a second attempt could execute it
 // twice.
 void ConnectionPool::send_query(ServerConnection& connection, CallPtr call) {
   const Millis now = clock_.now();
@@ -107,8 +110,8 @@
 void ConnectionPool::read(const ConnectionPtr& connection) {
   const auto space = connection->buffer.prepare(kReadBytes);
   if (space.empty()) {
-    log_.warn("stores", "connection ended",
-              {{"member", connection->server.id.address}, {"why", "stores make us hold too much"}});
+    log_.warn("upstream", "server connection closed",
+              {{"server", connection->server.id.address}, {"reason", "read buffer memory exhausted"}});
     return handle_disconnect(*connection);
   }
   connection->socket.async_read_some(asio::buffer(space.data(), space.size()),
@@ -117,7 +120,7 @@
                                      });
 }
 
-// Handles the messages that have come, also where an error came with them.
+// Handles all complete messages in the buffer, even if the read ended with an error.
 void ConnectionPool::read_completed(const ConnectionPtr& connection, const asio::error_code& error,
                                     std::size_t count) {
   if (connection->state == ServerConnection::State::closed) {
@@ -147,7 +150,7 @@
   read(connection);
 }
 
-// False: the server may not send this message now.
+// Returns false if the protocol does not allow this message now.
 bool ConnectionPool::handle_message(ServerConnection& connection, const postgres::Message& message) {
   using State = ServerConnection::State;
   PendingCall* call = connection.call.get();
@@ -179,7 +182,8 @@
   }
 }
 
-// An idle server says by an error why it is about to close the connection.
+// While no call is on the connection, an error says why the server is about to close it. Returns false if the
+// error can't be decoded or is not allowed now.
 bool ConnectionPool::handle_error(ServerConnection& connection, const postgres::Message& message) {
   const auto fields = postgres::read_error(message.body);
   if (!fields || connection.state == ServerConnection::State::resetting) {
@@ -211,12 +215,12 @@
   return true;
 }
 
-// Sends an empty query before a connection is used again, which costs the server nothing: its answer shows
-// that the connection still works and that nothing more comes of the response before.
-// Guards against a late duplicate being taken for the next request's response, and requests against
-// connections that the server has dropped silently.
+// Sends an empty query before a connection is used again, which costs the server nothing. Its response shows
+// that the connection still works and that no more messages of the previous response follow. Without it, a
+// late duplicate could be taken for the response to the next request, and requests could be sent on
+// connections that the server has dropped without a reset.
 void ConnectionPool::reset(ServerConnection& connection) {
-  // Half a message that was left there would be read as part of the answer.
+  // An incomplete message in the buffer would be read as part of the response to the empty query.
   if (!connection.buffer.data().empty()) {
     close(connection);
     return;
@@ -230,10 +234,10 @@
   connection.timer =
       timers_.set(clock_.now() + config_.connect_timeout, [this, held] { reset_timed_out(held); });
   asio::async_write(connection.socket, asio::buffer(connection.out),
-                    [held](const asio::error_code&, std::size_t) {});  // the read notices a failure
+                    [held](const asio::error_code&, std::size_t) {});  // the read reports a failure
 }
 
-// The server does not answer: its other idle connections would not, either.
+// Closes the server's other idle connections too: they would not respond, either.
 void ConnectionPool::reset_timed_out(const ConnectionPtr& connection) {
   connection->timer.reset();
   for (ServerConnection* idle : std::vector(connection->server.idle)) {
@@ -242,7 +246,7 @@
   fail_open(*connection, AttemptOutcome::connect_failed);
 }
 
-// The connection is open or reset: it takes the next queued call.
+// Sends the next queued call on a connection that has been opened or reset.
 void ConnectionPool::became_ready(ServerConnection& connection) {
   ServerPool& server = connection.server;
   --server.becoming_ready;
@@ -266,7 +270,7 @@
   dispatch(server);
 }
 
-// The server has ended the connection, or nothing more can be read on it.
+// Handles a connection that the server has closed or that can't be read any more.
 void ConnectionPool::handle_disconnect(ServerConnection& connection) {
   if (connection.state == ServerConnection::State::opening) {
     const bool overloaded = connection.startup_error &&
@@ -286,11 +290,11 @@
   complete(std::move(call), query_sent ? AttemptOutcome::reset : AttemptOutcome::connect_failed);
 }
 
-// The server sent something that can't be read or is not allowed there. The query may have run, and the
-// server is up: the call counts as failed, and nothing else of its response is used. The connection is
-// closed.
+// Handles data from the server that can't be decoded, or a message that is not allowed at that point: closes
+// the connection. The query may have been executed, and the server is up; the call counts as failed, and
+// nothing else of its response is used.
 void ConnectionPool::handle_unreadable(ServerConnection& connection) {
-  log_.warn("stores", "answer unreadable", {{"member", connection.server.id.address}});
+  log_.warn("upstream", "server response unreadable", {{"server", connection.server.id.address}});
   if (!connection.call || !connection.query_sent) {
     return handle_disconnect(connection);
   }
--- a/src/upstream/server_connection.hpp
+++ b/src/upstream/server_connection.hpp
@@ -1,4 +1,4 @@
-// What the connection pool keeps for each server, connection and call. Internal to the package.
+// The state of each server, connection and call in the connection pool. Internal to the package.
 #pragma once
 
 #include <asio.hpp>
@@ -21,33 +21,33 @@
 struct ServerConnection;
 struct ServerPool;
 
-// One attempt or one probe. Owned by its server's queue until a connection takes it, then by the connection.
+// One attempt or one probe. Owned by its server's queue until it is sent, then by the connection.
 struct PendingCall {
   std::optional<std::pair<RequestId, AttemptNumber>> attempt;  // none: a probe
   ServerPool* server = nullptr;
-  std::shared_ptr<const std::string> text;  // of the statement; none for a probe
-  postgres::TextSpan remaining_span;        // where the text states the client's remaining time
-  Millis started = 0;                       // Unix time; the reported duration counts from here
-  Millis deadline = 0;                      // Unix time at which it counts as timed out
-  Millis start_by = 0;                      // Unix time after which it is not sent any more
-  net::Timers::Handle timer;                // for start_by while it is queued, then for deadline
-  ServerConnection* connection = nullptr;   // none: it is queued
+  std::shared_ptr<const std::string> text;  // of the statement; null for a probe
+  postgres::TextSpan remaining_span;        // the place in the text that states the client's remaining time
+  Millis started = 0;                       // Unix time from which the reported duration counts
+  Millis deadline = 0;                      // Unix time at which it times out
+  Millis start_by = 0;                      // Unix time after which it is not sent
+  net::Timers::Handle timer;                // expires at start_by while queued, then at deadline
+  ServerConnection* connection = nullptr;   // null while it is queued
   ServerResponse response;
 };
 
-// One server with its queue and its connections.
+// One server with its queue of calls and its connections.
 struct ServerPool {
   ServerId id;
   asio::ip::tcp::endpoint endpoint;
   ServerState state = ServerState::ready;
-  Millis started_at = 0;  // Unix time; connections opened earlier are unusable
+  Millis started_at = 0;  // Unix time; connections opened earlier are not used
   std::deque<std::unique_ptr<PendingCall>> queue;
-  std::vector<ServerConnection*> idle;  // the one used last at the end
+  std::vector<ServerConnection*> idle;  // the most recently used one last
   std::size_t becoming_ready = 0;       // connections that are opening or resetting
   std::size_t connections = 0;          // in every state
 };
 
-// One connection to a server. Owned by the pool's list; callbacks that are still out share the ownership.
+// One connection to a server. Owned by the pool's list; pending callbacks share the ownership.
 struct ServerConnection {
   enum class State { opening, idle, busy, resetting, closed };
 
@@ -62,12 +62,12 @@
   Millis opened = 0;                                  // Unix time
   Millis idle_since = 0;                              // Unix time
   std::list<ServerConnection*>::iterator idle_place;  // valid while it is idle
-  bool query_sent = false;                            // the call's query, to its last byte
-  bool reset_answered = false;                        // EmptyQueryResponse has come
-  std::unique_ptr<PendingCall> call;                  // while it is busy
-  std::optional<net::Timers::Handle> timer;           // while it is opening or resetting
-  std::optional<std::string> startup_error;           // SQLSTATE of an error while it is opening
-  std::list<std::shared_ptr<ServerConnection>>::iterator place;
+  bool query_sent = false;                            // the last byte of the call's query has been written
+  bool reset_answered = false;                        // EmptyQueryResponse has been received
+  std::unique_ptr<PendingCall> call;                  // set while it is busy
+  std::optional<net::Timers::Handle> timer;           // set while it is opening or resetting
+  std::optional<std::string> startup_error;           // SQLSTATE of an error received while opening
+  std::list<std::shared_ptr<ServerConnection>>::iterator place;  // in the pool's list
 };
 
 }  // namespace reedspindle::upstream
--- a/src/upstream/server_response.cpp
+++ b/src/upstream/server_response.cpp
@@ -6,7 +6,8 @@
 namespace reedspindle::upstream {
 namespace {
 
-// All machines read one clock, so a position is at most rounded beyond the present.
+// A position may exceed the current time by this many milliseconds, due to rounding. Machines have
+// synchronized clocks.
 constexpr Millis kPositionRounding = 10;
 constexpr Millis kMillisPerSecond = 1000;
 
@@ -14,9 +15,10 @@
   return position >= 0 && position < now + kPositionRounding;
 }
 
-// Reads "x0=1767225600.123,x1=1,cpu=0.61": the position in seconds, 1 from a primary, and the share of
-// processors in use, which the settings name cpu and the protocol's example util. A load report that has an
-// unreadable item or an impossible value is ignored as a whole.
+// Reads a load report such as "x0=1767225600.123,x1=1,cpu=0.61" into the sample. x0 is the replication
+// position in seconds of Unix time, x1 is 1 on a primary and 0 on a replica, and cpu is the share of the
+// processors in use; cpu is its name in the settings, util its name in the example of the protocol. A report
+// with an item that can't be parsed or an impossible value is ignored as a whole.
 void read_load_report(std::string_view text, Millis now, ReplicaSample& sample) {
   ReplicaSample report = sample;
   while (!text.empty()) {
--- a/src/upstream/server_response.hpp
+++ b/src/upstream/server_response.hpp
@@ -1,4 +1,4 @@
-// Reads a server's response to one query: its load report, its one row, and an error.
+// Reads the response of a server to one query: its load report, its one row, or an error.
 #pragma once
 
 #include <optional>
@@ -9,39 +9,42 @@
 
 namespace reedspindle::upstream {
 
-// What an SQLSTATE from a server says about the attempt.
+// Returns the outcome of an attempt that the server answered with this SQLSTATE.
 [[nodiscard]] AttemptOutcome outcome_of_code(const std::string& code);
 
-// What has been read so far of the response to one query. The functions that return bool say whether the
-// message is allowed at this point; where it is not, the response is left as it was.
+// Collects the response to one query, message by message. The functions that return bool return whether the
+// message is valid and allowed at this point; if it is not, the response is unchanged.
 class ServerResponse {
  public:
-  // Takes the load report from a parameter that comes beside the response. One that can't be read is ignored.
+  // Takes role, position or load from a ParameterStatus message. A value that can't be parsed is ignored.
+  // `now` is in Unix milliseconds.
   void read_parameter(const postgres::Message& message, Millis now);
   bool read_row_description(const postgres::Message& message);
-  // From a probe, the row's value is a load report, too.
+  // The row of a probe holds a load report.
   bool read_data_row(const postgres::Message& message, Millis now, bool is_probe);
   bool read_command_complete(const postgres::Message& message);
   bool read_error(const std::string& code);
 
-  // Drops the load report and records that the rest of the response could not be read.
+  // Discards the load report, and records that the rest of the response could not be read.
   void mark_unreadable();
 
-  // Either the row with its tag has come, or an error.
+  // Returns whether CommandComplete or an error has been received.
   [[nodiscard]] bool finished() const { return complete_ || error_code_; }
   [[nodiscard]] bool unreadable() const { return unreadable_; }
+  // Returns the outcome of the attempt or probe; `failed` if the response is incomplete.
   [[nodiscard]] AttemptOutcome outcome() const;
+  // Returns the role, position and load that the server reported.
   [[nodiscard]] const ReplicaSample& sample() const { return sample_; }
-  // The messages of the row as the server sent them, from RowDescription up to CommandComplete.
+  // Returns the server's messages, unchanged, from RowDescription up to CommandComplete.
   [[nodiscard]] std::string take_row() { return std::move(row_); }
 
  private:
   ReplicaSample sample_;
   std::string row_;
   std::optional<std::string> error_code_;  // SQLSTATE
-  bool described_ = false;                 // RowDescription has come
-  bool has_row_ = false;                   // DataRow has come
-  bool complete_ = false;                  // CommandComplete has come
+  bool described_ = false;                 // RowDescription has been received
+  bool has_row_ = false;                   // DataRow has been received
+  bool complete_ = false;                  // CommandComplete has been received
   bool unreadable_ = false;
 };
 
