--- a/src/postgres/codec.cpp
+++ b/src/postgres/codec.cpp
@@ -30,8 +30,9 @@
   return out.append(body);
 }
 
-// Up to the next zero byte, which is consumed too.
-std::optional<std::string_view> take_text(std::string_view& body) {
+// Removes and returns the text up to the next zero byte, and removes that byte; none if there is no zero
+// byte.
+std::optional<std::string_view> take_c_string(std::string_view& body) {
   const std::size_t end = body.find('\0');
   if (end == std::string_view::npos) {
     return std::nullopt;
@@ -41,64 +42,65 @@
   return text;
 }
 
-// The longest that a message of a type may be by its own count; 0: that side sends none.
-using Longest = std::size_t (*)(char type);
-std::size_t longest_from_client(char type) {
+// Returns the largest length field that a message of this type may have; 0 if that sender never sends the
+// type.
+using MaxLength = std::size_t (*)(char type);
+std::size_t max_length_from_client(char type) {
   if (type == 'X' || type == 'S' || type == 'H' || type == 'c') {
     return 4;
   }
   return std::string_view("QPBDECdfF").find(type) != std::string_view::npos ? kMaxMessageBytes : 0;
 }
-std::size_t longest_from_store(char type) {
-  constexpr std::size_t kShort = 64;
-  constexpr std::size_t kNamed = 512;
-  constexpr std::size_t kText = 8192;
+std::size_t max_length_from_server(char type) {
+  constexpr std::size_t kMaxShortMessage = 64;
+  constexpr std::size_t kMaxRowDescription = 512;
+  constexpr std::size_t kMaxTextMessage = 8192;
   switch (type) {
     case 'D':
       return kMaxValueBytes + 10;
     case 'S':
     case 'E':
     case 'N':
-      return kText;
+      return kMaxTextMessage;
     case 'T':
-      return kNamed;
+      return kMaxRowDescription;
     default:
-      return std::string_view("RKCZI").find(type) != std::string_view::npos ? kShort : 0;
+      return std::string_view("RKCZI").find(type) != std::string_view::npos ? kMaxShortMessage : 0;
   }
 }
-std::size_t longest_startup(char /*unused*/) { return 10000; }  // as PostgreSQL has it
+std::size_t max_startup_length(char /*unused*/) { return 10000; }  // PostgreSQL's own limit
 
-ReadResult read(std::string_view held, std::size_t type_size, Longest longest) {
-  const std::size_t head = type_size + 4;
-  if (held.empty()) {
+ReadResult read(std::string_view buffered, std::size_t type_size, MaxLength max_length) {
+  const std::size_t header_size = type_size + 4;
+  if (buffered.empty()) {
     return Partial{};
   }
-  const std::size_t most = longest(held[0]);
-  if (most == 0) {
+  const std::size_t limit = max_length(buffered[0]);
+  if (limit == 0) {
     return Fault{"08P01", "an unknown type of message"};
   }
-  if (held.size() < head) {
+  if (buffered.size() < header_size) {
     return Partial{};
   }
-  const std::size_t length = number_at(held, type_size, 4);
+  const std::size_t length = number_at(buffered, type_size, 4);
   if (length < 4) {
     return Fault{"08P01", "a message is shorter than its head"};
   }
-  if (length > most) {
+  if (length > limit) {
     return Fault{"54000", "a message is too long"};
   }
-  if (held.size() < type_size + length) {
+  if (buffered.size() < type_size + length) {
     return Partial{};
   }
-  return Message{type_size ? held[0] : '\0', held.substr(head, length - 4),
-                 held.substr(0, type_size + length)};
+  return Message{type_size ? buffered[0] : '\0', buffered.substr(header_size, length - 4),
+                 buffered.substr(0, type_size + length)};
 }
 
-// No client waits longer than a day: beyond it a patience is no time.
-constexpr double kLongestPatience = 24.0 * 3600 * 1000;
+// The longest remaining time that is accepted, in milliseconds: no client waits longer than a day.
+constexpr double kMaxRemaining = 24.0 * 3600 * 1000;
 
 template <typename T>
-bool number_of(std::string_view text, T& number) {
+bool parse_into(std::string_view text, T& number) {
   const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), number);
   if constexpr (std::is_floating_point_v<T>) {
     if (!std::isfinite(number)) {
@@ -108,24 +110,25 @@
   return fault == std::errc{} && end == text.data() + text.size() && !text.empty();
 }
 
-bool all_of(std::string_view text, bool (*fits)(char)) { return std::ranges::all_of(text, fits); }
-bool digit(char letter) { return letter >= '0' && letter <= '9'; }
-bool hex(char letter) { return digit(letter) || (letter >= 'a' && letter <= 'f'); }
-bool part_of_name(char letter) {
-  return digit(letter) || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
+bool consists_of(std::string_view text, bool (*fits)(char)) { return std::ranges::all_of(text, fits); }
+bool is_digit(char letter) { return letter >= '0' && letter <= '9'; }
+bool is_hex(char letter) { return is_digit(letter) || (letter >= 'a' && letter <= 'f'); }
+bool is_name_character(char letter) {
+  return is_digit(letter) || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
          letter == '-' || letter == '_' || letter == '.' || letter == ':';
 }
-bool part_of_number(char letter) { return digit(letter) || letter == '.'; }
-bool printable(char letter) { return letter >= ' ' && letter <= '~'; }
+bool is_number_character(char letter) { return is_digit(letter) || letter == '.'; }
+bool is_printable(char letter) { return letter >= ' ' && letter <= '~'; }
 
-// Takes what stands at the front of a text.
-bool take(std::string_view& text, std::string_view exactly) {
-  if (!text.starts_with(exactly)) {
+// Removes `prefix` from the beginning of the text; returns false if the text does not begin with it.
+bool take(std::string_view& text, std::string_view prefix) {
+  if (!text.starts_with(prefix)) {
     return false;
   }
-  text.remove_prefix(exactly.size());
+  text.remove_prefix(prefix.size());
   return true;
 }
+// Removes and returns the text before the first `end`, or the whole text if there is none.
 std::string_view take_up_to(std::string_view& text, char end) {
   const std::string_view taken = text.substr(0, text.find(end));
   text.remove_prefix(taken.size());
@@ -141,12 +144,12 @@
 
 std::optional<double> parse_number(std::string_view text) {
   double number = 0;
-  return number_of(text, number) ? std::optional(number) : std::nullopt;
+  return parse_into(text, number) ? std::optional(number) : std::nullopt;
 }
 
-ReadResult read_from_client(std::string_view held) { return read(held, 1, longest_from_client); }
-ReadResult read_from_server(std::string_view held) { return read(held, 1, longest_from_store); }
-ReadResult read_startup(std::string_view held) { return read(held, 0, longest_startup); }
+ReadResult read_from_client(std::string_view buffered) { return read(buffered, 1, max_length_from_client); }
+ReadResult read_from_server(std::string_view buffered) { return read(buffered, 1, max_length_from_server); }
+ReadResult read_startup(std::string_view buffered) { return read(buffered, 0, max_startup_length); }
 
 Startup startup_kind(const Message& message) {
   if (message.body.size() < 4) {
@@ -163,7 +166,7 @@
 }
 
 std::optional<CancelKey> cancel_key(const Message& message) {
-  constexpr std::size_t kSize = 12;  // the code of the message, then both numbers
+  constexpr std::size_t kSize = 12;  // the request code and both numbers of the key
   if (message.body.size() != kSize || startup_kind(message) != Startup::cancel) {
     return std::nullopt;
   }
@@ -184,10 +187,10 @@
 }
 
 std::variant<Statement, Fault> read_statement(std::string_view text) {
-  constexpr std::size_t kLongestName = 128;
-  const auto no_form = [](const char* what) { return Fault{"42601", what}; };
+  constexpr std::size_t kMaxNameBytes = 128;
+  const auto syntax_error = [](const char* what) { return Fault{"42601", what}; };
   const auto name = [](std::string_view value) {
-    return !value.empty() && value.size() <= kLongestName && all_of(value, part_of_name);
+    return !value.empty() && value.size() <= kMaxNameBytes && consists_of(value, is_name_character);
   };
   Statement statement;
   std::string_view rest = text;
@@ -197,32 +200,32 @@
   }
   statement.key = take_up_to(rest, '\'');
   if (!name(statement.key)) {
-    return no_form("the key does not read");
+    return syntax_error("the key does not read");
   }
   if (statement.writes) {
     if (!take(rest, "', '\\x")) {
-      return no_form("the value does not read");
+      return syntax_error("the value does not read");
     }
     const std::string_view value = take_up_to(rest, '\'');
     if (value.size() > 2 * kMaxValueBytes) {
       return Fault{"54000", "the value is too long"};
     }
-    if (value.size() % 2 != 0 || !all_of(value, hex)) {
-      return no_form("the value does not read");
+    if (value.size() % 2 != 0 || !consists_of(value, is_hex)) {
+      return syntax_error("the value does not read");
     }
   }
   if (!take(rest, statement.writes ? "') RETURNING v /* " : "' /* ") || !rest.ends_with(" */")) {
-    return no_form("no comment that tells of the op ends the statement");
+    return syntax_error("no comment that tells of the op ends the statement");
   }
   rest.remove_suffix(3);
 
   std::string_view repeat;
-  std::string_view patience;
+  std::string_view remaining;
   std::string_view group;
   std::string_view position;
   const std::pair<std::string_view, std::string_view*> names[] = {
       {"id", &statement.id}, {"c", &statement.request_class},
-      {"d", &patience},      {"k", &statement.token},
+      {"d", &remaining},     {"k", &statement.token},
       {"cluster", &group},   {"after", &position},
       {"r", &repeat}};
   for (bool more = true; more;) {
@@ -244,31 +247,32 @@
       return Fault{"22023", std::string(of) + " is missing"};
     }
   }
-  const auto wrong = [](const char* of) {
+  const auto invalid_number = [](const char* of) {
     return Fault{"22023", std::string(of) + " is no number that fits"};
   };
-  if (!all_of(patience, part_of_number) || !number_of(patience, statement.remaining) ||
-      statement.remaining <= 0 || statement.remaining > kLongestPatience) {
-    return wrong("d");
+  if (!consists_of(remaining, is_number_character) || !parse_into(remaining, statement.remaining) ||
+      statement.remaining <= 0 || statement.remaining > kMaxRemaining) {
+    return invalid_number("d");
   }
-  if (!all_of(group, digit) || !number_of(group, statement.group)) {
-    return wrong("cluster");
+  if (!consists_of(group, is_digit) || !parse_into(group, statement.group)) {
+    return invalid_number("cluster");
   }
-  if (!position.empty() && (!all_of(position, part_of_number) || !number_of(position, statement.position))) {
-    return wrong("after");
+  if (!position.empty() &&
+      (!consists_of(position, is_number_character) || !parse_into(position, statement.position))) {
+    return invalid_number("after");
   }
   if (!repeat.empty() && repeat != "1") {
-    return wrong("r");
+    return invalid_number("r");
   }
   statement.is_retry = !repeat.empty();
-  statement.remaining_span = {static_cast<std::size_t>(patience.data() - text.data()), patience.size()};
+  statement.remaining_span = {static_cast<std::size_t>(remaining.data() - text.data()), remaining.size()};
   return statement;
 }
 
-std::string with_remaining_time(std::string_view text, TextSpan place, double patience) {
-  std::string out(text.substr(0, place.at));
-  out += std::to_string(static_cast<long long>(std::max(1.0, std::ceil(patience))));
-  return out.append(text.substr(place.at + place.size));
+std::string with_remaining_time(std::string_view text, TextSpan span, double remaining) {
+  std::string out(text.substr(0, span.at));
+  out += std::to_string(static_cast<long long>(std::max(1.0, std::ceil(remaining))));
+  return out.append(text.substr(span.at + span.size));
 }
 
 std::optional<ErrorFields> read_error(std::string_view body) {
@@ -276,7 +280,7 @@
   while (!body.empty() && body[0] != '\0') {
     const char name = body[0];
     body.remove_prefix(1);
-    const auto text = take_text(body);
+    const auto text = take_c_string(body);
     if (!text) {
       return std::nullopt;
     }
@@ -294,13 +298,13 @@
 }
 
 bool is_command_tag(std::string_view body) {
-  const auto text = take_text(body);
-  return text && !text->empty() && body.empty() && all_of(*text, printable);
+  const auto text = take_c_string(body);
+  return text && !text->empty() && body.empty() && consists_of(*text, is_printable);
 }
 
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view body) {
-  const auto name = take_text(body);
-  const auto value = name ? take_text(body) : std::nullopt;
+  const auto name = take_c_string(body);
+  const auto value = name ? take_c_string(body) : std::nullopt;
   if (!value || !body.empty()) {
     return std::nullopt;
   }
@@ -308,23 +312,23 @@
 }
 
 bool describes_one_column(std::string_view row_description) {
-  constexpr std::size_t kBehindName = 18;  // table, column, type, its size and modifier, format
+  constexpr std::size_t kBytesAfterName = 18;  // table, column, type, type size, type modifier, format
   if (row_description.size() < 2 || number_at(row_description, 0, 2) != 1) {
     return false;
   }
   row_description.remove_prefix(2);
-  return take_text(row_description) && row_description.size() == kBehindName;
+  return take_c_string(row_description) && row_description.size() == kBytesAfterName;
 }
 
 std::optional<std::string_view> read_row(std::string_view data_row) {
-  constexpr std::size_t kHead = 6;  // how many values, how long the one is
-  if (data_row.size() < kHead || number_at(data_row, 0, 2) != 1) {
+  constexpr std::size_t kHeaderBytes = 6;  // the number of values, and the length of the first
+  if (data_row.size() < kHeaderBytes || number_at(data_row, 0, 2) != 1) {
     return std::nullopt;
   }
-  if (number_at(data_row, 2, 4) != data_row.size() - kHead) {
+  if (number_at(data_row, 2, 4) != data_row.size() - kHeaderBytes) {
     return std::nullopt;
   }
-  return data_row.substr(kHead);
+  return data_row.substr(kHeaderBytes);
 }
 
 std::string startup(std::string_view user, std::string_view database) {
--- a/src/postgres/codec.hpp
+++ b/src/postgres/codec.hpp
@@ -1,5 +1,5 @@
-// Reads and writes messages of version 3 of PostgreSQL's wire protocol, and reads the statements that clients
-// send. Free of I/O, clocks and state. All views point into the text they were read from.
+// Encodes and decodes messages of version 3 of PostgreSQL's wire protocol, and parses the statements that
+// clients send. Has no I/O, clocks or state. All string views in results point into the text that was read.
 #pragma once
 
 #include <compare>
@@ -13,75 +13,79 @@
 
 namespace reedspindle::postgres {
 
-// In bytes. A value is written as hexadecimal digits, two for each byte; the rest of a statement is short.
+// Limits in bytes. A statement holds a value as two hexadecimal digits for each byte; the rest of it is
+// short.
 constexpr std::size_t kMaxValueBytes = 64 * 1024;
 constexpr std::size_t kMaxMessageBytes = 2 * kMaxValueBytes + 1024;
 
+// One message of the protocol.
 struct Message {
-  char type = 0;           // 0: a startup message, which has no type byte
-  std::string_view body;   // without the type and the length
-  std::string_view bytes;  // all of it
+  char type = 0;           // 0 for a startup message, which has no type byte
+  std::string_view body;   // without the type byte and the length
+  std::string_view bytes;  // the whole message
 };
-// More bytes are needed.
+// The message is incomplete: more bytes are needed.
 struct Partial {};
-// Why a message or a statement is rejected, as it is said to the client.
+// The reason why a message or a statement is rejected, as it is sent to the client.
 struct Fault {
   std::string code;  // SQLSTATE
   std::string text;
 };
 using ReadResult = std::variant<Partial, Message, Fault>;
 
-// The first message in the buffered bytes. What can't become a message of that sender is a fault as soon as
-// its type or its length has come.
-[[nodiscard]] ReadResult read_from_client(std::string_view held);
-[[nodiscard]] ReadResult read_from_server(std::string_view held);
-[[nodiscard]] ReadResult read_startup(std::string_view held);
+// Return the first message in the buffered bytes. Bytes that can't become a message from that sender are a
+// fault as soon as the type or the length shows it.
+[[nodiscard]] ReadResult read_from_client(std::string_view buffered);
+[[nodiscard]] ReadResult read_from_server(std::string_view buffered);
+[[nodiscard]] ReadResult read_startup(std::string_view buffered);
 
-// What a startup message asks for: a session, TLS or GSSAPI encryption, or to cancel a request.
+// What a startup message requests: a session, TLS or GSSAPI encryption, or the cancellation of a request.
 enum class Startup { session, encryption, cancel, unknown };
 [[nodiscard]] Startup startup_kind(const Message& message);
 
-// What a client needs to cancel a request from another connection (BackendKeyData).
+// Identifies a connection (BackendKeyData). With it a client can cancel a request from another connection.
 struct CancelKey {
   std::uint32_t process = 0;
   std::uint32_t secret = 0;
   auto operator<=>(const CancelKey&) const = default;
 };
-// The key in a startup message of the kind cancel; none: it can't be read.
+// Returns the key in a cancel request; none if the message is not a valid cancel request.
 [[nodiscard]] std::optional<CancelKey> cancel_key(const Message& message);
 
-// The two parts of "name=value"; without the sign all of it is the name.
+// Splits "name=value" at the first equals sign. Without one, the whole item is the name.
 [[nodiscard]] std::pair<std::string_view, std::string_view> name_and_value(std::string_view item);
 
-// The finite number that the text consists of; none: it is anything else.
+// Parses a text that consists of one finite number; returns none for any other text.
 [[nodiscard]] std::optional<double> parse_number(std::string_view text);
 
-// Where a part of a text is, in bytes.
+// The position of a part of a text, in bytes.
 struct TextSpan {
   std::size_t at = 0;
   std::size_t size = 0;
 };
-// A statement in one of the two forms that servers accept, checked to its last byte. Guards servers against
-// what they can't read, on which they close the connection.
+// A statement in one of the two forms that servers accept. It is validated to its last byte, because a server
+// closes the connection on a statement that it can't parse.
 struct Statement {
   bool writes = false;
-  std::string_view id;             // of the request, as the client names it
-  std::string_view request_class;  // by its name in the configuration
+  std::string_view id;             // of the request, chosen by the client
+  std::string_view request_class;  // its name in the configuration
   std::string_view key;            // of the session
-  double remaining = 0;            // the client's remaining time in milliseconds
+  double remaining = 0;            // the time until the client gives up, in milliseconds
   int group = 0;
-  double position = 0;      // Unix milliseconds up to which the read has to see writes; 0: none
-  std::string_view token;   // empty: none
-  bool is_retry = false;    // a retry by the client
-  TextSpan remaining_span;  // where the remaining time is
+  double position = 0;      // Unix milliseconds; the read has to see all writes up to it; 0: none
+  std::string_view token;   // empty if there is none
+  bool is_retry = false;    // the client sends the request again
+  TextSpan remaining_span;  // the place of the remaining time in the text
 };
-// The first word in capitals; empty: there is nothing but blanks and semicolons.
+// Skips blanks and semicolons and returns the first word in capitals: "?" if something else than a letter
+// comes first, and an empty string if nothing is left.
 [[nodiscard]] std::string first_word(std::string_view text);
+// Parses and validates a statement.
 [[nodiscard]] std::variant<Statement, Fault> read_statement(std::string_view text);
-// The same text with another remaining time, in milliseconds.
-[[nodiscard]] std::string with_remaining_time(std::string_view text, TextSpan place, double patience);
+// Returns the text with the remaining time at `span` replaced by `remaining`, in milliseconds, rounded up.
+[[nodiscard]] std::string with_remaining_time(std::string_view text, TextSpan span, double remaining);
 
-// The bodies of a server's messages; none or false: the body can't be read.
+// Decode the bodies of messages from a server. They return none or false if the body is not valid.
 struct ErrorFields {
   std::string code;  // SQLSTATE
   std::string text;
@@ -89,10 +93,10 @@
 std::optional<ErrorFields> read_error(std::string_view body);
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view body);
 bool describes_one_column(std::string_view row_description);
-std::optional<std::string_view> read_row(std::string_view data_row);  // its one value, which is not null
-bool is_command_tag(std::string_view body);                           // of CommandComplete
+std::optional<std::string_view> read_row(std::string_view data_row);  // the only value; null is not valid
+bool is_command_tag(std::string_view body);                           // the body of CommandComplete
 
-// Messages to send, as bytes.
+// Encode messages.
 std::string startup(std::string_view user, std::string_view database);
 std::string query(std::string_view text);
 std::string startup_response(const CancelKey& key = {});  // AuthenticationOk up to ReadyForQuery
--- a/src/upstream/server_response.cpp
+++ b/src/upstream/server_response.cpp
@@ -6,8 +6,8 @@
 namespace reedspindle::upstream {
 namespace {
 
-// A position may exceed the current time by this many milliseconds, due to rounding. Machines have
-// synchronized clocks.
+// All machines read one clock, so a position can exceed the current time only by rounding: by less than this
+// many milliseconds.
 constexpr Millis kPositionRounding = 10;
 constexpr Millis kMillisPerSecond = 1000;
 
