--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -609,9 +609,9 @@
   }
   for (int front = 0; front < plan_.fronts; ++front) {
     for (const Json& line : process(front).log_lines()) {
-      if (line.value("kind", "") == "fleet" && line.value("event", "") == "failed" &&
-          spared.contains(line.value("front", ""))) {
-        return fmt::format("{} came to hold {} failed", name_of(front), line["front"].get<std::string>());
+      if (line.value("kind", "") == "membership" && line.value("event", "") == "failed" &&
+          spared.contains(line.value("peer", ""))) {
+        return fmt::format("{} came to hold {} failed", name_of(front), line["peer"].get<std::string>());
       }
     }
   }
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -549,8 +549,8 @@
     cost_.descriptors = std::max(cost_.descriptors, static_cast<std::size_t>(descriptors));
   }
   for (const Json& line : front_.log_lines()) {
-    if (line.value("event", "") == "longest turn") {
-      cost_.longest_turn_ms = std::max(cost_.longest_turn_ms, line.value("ms", 0.0));
+    if (line.value("event", "") == "longest event loop turn") {
+      cost_.longest_turn_ms = std::max(cost_.longest_turn_ms, line.value("duration_ms", 0.0));
     }
   }
   timers_.set(clock_.now() + kLook, [this] { look_at_front(); });
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -93,8 +93,8 @@
     }
     const Millis left = std::max(0.0, due_.begin()->first.first - clock_.now());
     next_.expires_after(std::chrono::nanoseconds(static_cast<long long>(left * 1e6)));
-    next_.async_wait([this](const asio::error_code& fault) {
-      if (fault) {
+    next_.async_wait([this](const asio::error_code& error) {
+      if (error) {
         return;
       }
       while (!due_.empty() && due_.begin()->first.first <= clock_.now()) {
--- a/src/proxy/arrival_bound.hpp
+++ b/src/proxy/arrival_bound.hpp
@@ -1,12 +1,12 @@
-// The earliest moment at which bytes that are read now can have come: a request's time runs from when it
-// came, not from when the front found the time to read it. Free of I/O and of clocks; all times are in
-// milliseconds of one clock.
+// Estimates when bytes that are read now arrived, since the time limit of a request counts from its arrival
+// and not from when this process was able to read it. Has no I/O and no clock; all times are in milliseconds
+// of one clock.
 //
-// The loop sends a marker through its queue of callbacks, one at a time. Between a marker's sending and its
-// return the system is asked at least once which sockets are ready. What is read now was found by such a
-// look; it was not there at the look before, which came after the second last marker was sent. Where the loop
-// sleeps until something comes, it comes as it wakes, unless a timer that was due shows that the process was
-// held up meanwhile.
+// The event loop posts a marker to its queue of callbacks, one at a time. Between the posting of a marker and
+// its return, the loop polls the sockets at least once. Bytes that are read now were found by such a poll.
+// They were not there at the poll before, which took place after the second last marker was posted. If the
+// loop sleeps until a socket is ready, the bytes arrive at the moment it wakes, unless a timer that expired
+// late shows that the process was suspended meanwhile.
 #pragma once
 
 #include <algorithm>
@@ -16,48 +16,56 @@
 
 namespace reedspindle::proxy {
 
+// Computes the earliest time at which bytes that are read now can have arrived.
 class ArrivalBound {
  public:
-  explicit ArrivalBound(Millis now) : none_ready_(now) { sent_.fill(now); }
+  explicit ArrivalBound(Millis now) : none_ready_(now) { marker_times_.fill(now); }
 
-  // Waiting times below this are part of every loop and are not charged: below the figure by which the
-  // network varies how long clients wait.
-  static constexpr Millis kNotCharged = 8;
-  // A timer this late shows that the process was held up, or a callback long.
-  static constexpr Millis kLate = 3;
+  // Shorter delays, in milliseconds, are not deducted from a request's time. Every loop has them, and the
+  // network varies the clients' waiting times by more.
+  static constexpr Millis kToleratedDelay = 8;
+  // A timer that expires later than this, in milliseconds, shows that the process was suspended or that a
+  // callback took long.
+  static constexpr Millis kTimerLateness = 3;
 
-  // True: a marker is to be sent now.
-  [[nodiscard]] bool marker_wanted() const { return !marker_out_; }
+  // Returns whether a marker has to be posted now.
+  [[nodiscard]] bool marker_wanted() const { return !marker_pending_; }
+  // Records that a marker has been posted.
   void marker_sent(Millis now) {
-    marker_out_ = true;
-    sent_ = {now, sent_[0], sent_[1]};
+    marker_pending_ = true;
+    marker_times_ = {now, marker_times_[0], marker_times_[1]};
   }
-  void marker_returned() { marker_out_ = false; }
+  // Records that the marker's callback has run.
+  void marker_returned() { marker_pending_ = false; }
 
-  // The system was asked at this time or later which sockets are ready, and none was.
+  // Records that a poll at `since` or later found no socket ready.
   void none_ready(Millis since) { none_ready_ = since; }
-  // The loop sleeps until something comes, or until a timer is due.
+  // Records that the loop goes to sleep until a socket is ready or the next timer expires.
   void sleeps(Millis now, Millis next_timer) {
-    slept_from_ = now;
+    sleep_started_ = now;
     next_timer_ = std::max(now, next_timer);
   }
-  // What was there before the loop slept, behind a long settle or callbacks that were left for the next turn,
-  // has waited since the last looks. What wakes it has just come, unless a late timer shows a hold-up: then
-  // it may have come since that timer was due.
+  // Records that the loop has woken. If bytes may have waited since before it went to sleep, behind a long
+  // run of the router or callbacks left for the next turn, the times of the markers still apply. Otherwise
+  // the bytes that woke it have just arrived; if a late timer shows that the process was suspended, they may
+  // have arrived at any time since that timer was due.
   void wakes(Millis now) {
-    if (marker_out_ || slept_from_ - none_ready_ > kNotCharged) {
+    if (marker_pending_ || sleep_started_ - none_ready_ > kToleratedDelay) {
       return;
     }
-    sent_.fill(now > next_timer_ + kLate ? next_timer_ : now);
+    marker_times_.fill(now > next_timer_ + kTimerLateness ? next_timer_ : now);
   }
 
-  // When a request that is read now came at the earliest, or now, where that is not worth charging.
-  [[nodiscard]] Millis earliest(Millis now) const { return now - sent_[2] > kNotCharged ? sent_[2] : now; }
+  // Returns the earliest time at which bytes that are read now can have arrived; `now` if the delay is
+  // tolerable.
+  [[nodiscard]] Millis earliest(Millis now) const {
+    return now - marker_times_[2] > kToleratedDelay ? marker_times_[2] : now;
+  }
 
  private:
-  bool marker_out_ = false;
-  Millis none_ready_ = 0, slept_from_ = 0, next_timer_ = 0;
-  std::array<Millis, 3> sent_{};  // when the last markers were sent, the last one first
+  bool marker_pending_ = false;
+  Millis none_ready_ = 0, sleep_started_ = 0, next_timer_ = 0;
+  std::array<Millis, 3> marker_times_{};  // when the last markers were posted, the latest first
 };
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -1,4 +1,5 @@
-// The part of ClientConnections that serves one connection: reads commands, answers them in order, closes.
+// The part of ClientConnections that serves one connection: reads commands, sends replies in order, and
+// closes it.
 #include <poll.h>
 
 #include <random>
@@ -11,34 +12,36 @@
 namespace reedspindle::proxy {
 namespace {
 using Tcp = asio::ip::tcp;
-// How much a client may send ahead of its answers: one message of the longest kind.
+// How many bytes are read ahead of the replies: one message of the longest type.
 constexpr std::size_t kReadAheadBytes = postgres::kMaxMessageBytes + 5;
-constexpr std::size_t kReadBytes = 2048;  // the least that one read has space for
-// How many commands of one connection are handled at the same time: several times what a client sends within
-// one slow answer. A command that waits longer than its client does, behind answers to others, is lost.
+constexpr std::size_t kReadBytes = 2048;  // the smallest space for one read
+// How many commands of one connection are handled concurrently: several times as many as a client sends
+// during one slow reply. If a command waits behind the replies to others for longer than its client does, it
+// fails.
 constexpr std::size_t kMaxPipelined = 64;
-// How long a lingering connection is read at most: many round trips.
+// How long a lingering connection is read at most, in milliseconds: many round trips.
 constexpr Millis kLingerTime = 1000;
-// How long after it was accepted a client has to have sent its first complete command: a little less than the
-// time within which the protocol requires an error for what can't be read.
-constexpr Millis kFirstCommandTime = 2500;
-// How long a client may take for a later command, and for reading an answer.
-constexpr Millis kCommandTime = 15000;
-// Unreadable statements in a row after which the connection is closed: a client that errs will not improve
-// when it sends at full speed.
-constexpr int kMaxFaultsInRow = 8;
+// How long a client may take from its connection to its first complete command, in milliseconds: a little
+// less than the time within which the protocol requires an error for unreadable input.
+constexpr Millis kFirstCommandTimeout = 2500;
+// How long a client may take to send a later command, or to read a reply, in milliseconds.
+constexpr Millis kCommandTimeout = 15000;
+// The number of invalid statements in succession after which the connection is closed: a faulty client that
+// sends at full speed will not send valid ones.
+constexpr int kMaxInvalidInRow = 8;
 }  // namespace
 
-// Whether the client has closed a connection that is not being read. Guards against forwarding what is left
-// from a client that sent more than is read ahead: the end of its connection comes after all of that.
+// Returns whether the client has closed a connection that is not being read. If a client has sent more than
+// is read ahead, the end of its connection is found only after all of that has been read; without this check
+// the rest of its commands would still be executed.
 bool ClientConnections::has_hung_up(ClientConnection& connection) {
-  pollfd look{connection.socket.native_handle(), POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) == 1 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd status{connection.socket.native_handle(), POLLRDHUP, 0};
+  return ::poll(&status, 1, 0) == 1 && (status.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-// Waits until there is something to read, and then reads and handles it in one step. Guards against bytes
-// that have left the kernel while their connection is being closed: the client could not know that its
-// request was not read.
+// Waits until the socket is readable, then reads and handles the bytes in one step. With an asynchronous
+// read, bytes could already have left the kernel while the connection is being closed, and the client could
+// not tell that its request was not handled.
 void ClientConnections::read(const ConnectionPtr& connection) {
   using State = ClientConnection::State;
   if (connection->reading || connection->state == State::closed) {
@@ -50,12 +53,12 @@
     return;
   }
   connection->reading = true;
-  connection->socket.async_wait(Tcp::socket::wait_read, [this, connection](const asio::error_code& fault) {
+  connection->socket.async_wait(Tcp::socket::wait_read, [this, connection](const asio::error_code& error) {
     connection->reading = false;
     if (connection->state == State::closed) {
       return;
     }
-    if (fault) {
+    if (error) {
       return handle_disconnect(*connection);
     }
     read_now(connection);
@@ -65,18 +68,18 @@
 void ClientConnections::read_now(const ConnectionPtr& connection) {
   const auto space = connection->buffer.prepare(kReadBytes);
   if (space.empty()) {
-    log_.warn("clients", "connection ended", {{"why", "clients make the front hold too much"}});
+    log_.warn("clients", "client connection closed", {{"reason", "read buffer memory exhausted"}});
     return abort(*connection);
   }
-  asio::error_code fault;
-  const std::size_t count = connection->socket.read_some(asio::buffer(space.data(), space.size()), fault);
-  if (fault == asio::error::would_block || fault == asio::error::interrupted) {
+  asio::error_code error;
+  const std::size_t count = connection->socket.read_some(asio::buffer(space.data(), space.size()), error);
+  if (error == asio::error::would_block || error == asio::error::interrupted) {
     return read(connection);
   }
-  if (fault) {
+  if (error) {
     return handle_disconnect(*connection);
   }
-  if (!connection->accepts_commands()) {  // dropped
+  if (!connection->accepts_commands()) {  // the bytes are discarded
     connection->discarded += count;
     return read(connection);
   }
@@ -86,8 +89,8 @@
   read(connection);
 }
 
-// Sets or clears the time limit for what the client has to do next. Guards against clients that send nothing,
-// stop in mid-message, send without an end or do not read.
+// Sets or clears the deadline for the client's next action. It limits clients that send nothing, stop in the
+// middle of a message, send messages without an end, or do not read their replies.
 void ClientConnections::update_deadline(ClientConnection& connection) {
   using State = ClientConnection::State;
   if (connection.state == State::lingering || connection.state == State::closed) {
@@ -103,7 +106,7 @@
     return;
   }
   connection.deadline =
-      timers_.set(clock_.now() + (connection.command_seen ? kCommandTime : kFirstCommandTime),
+      timers_.set(clock_.now() + (connection.command_seen ? kCommandTimeout : kFirstCommandTimeout),
                   [this, held = *connection.place] {
                     held->deadline.reset();
                     deadline_passed(*held);
@@ -114,13 +117,13 @@
   if (connection.writing) {
     return abort(connection);
   }
-  log_.warn("clients", "connection ended", {{"why", "no whole command in time"}});
+  log_.warn("clients", "client connection closed", {{"reason", "no complete command in time"}});
   close_with_error(connection, "57P05", "no whole command in time");
 }
 
-// Handles the buffered commands in order, up to the number that is handled at the same time. After a command
-// that is answered at once, the rest is handled when its reply is written: a client that sends many such
-// commands lets the other clients' commands pass after each.
+// Handles the buffered commands in order, up to kMaxPipelined at a time. After a command that is answered at
+// once, the rest is handled when its reply has been written, so that the commands of other clients are
+// handled between the commands of a client that sends many of them.
 void ClientConnections::handle_commands(ClientConnection& connection) {
   using State = ClientConnection::State;
   while (connection.accepts_commands() && connection.replies.size() < kMaxPipelined) {
@@ -128,15 +131,15 @@
         has_hung_up(connection)) {
       return handle_disconnect(connection);
     }
-    const std::string_view held = connection.buffer.data();
+    const std::string_view buffered = connection.buffer.data();
     const bool starting = connection.state == State::starting;
     const postgres::ReadResult next =
-        starting ? postgres::read_startup(held) : postgres::read_from_client(held);
+        starting ? postgres::read_startup(buffered) : postgres::read_from_client(buffered);
     if (std::holds_alternative<postgres::Partial>(next)) {
       break;
     }
     if (const auto* fault = std::get_if<postgres::Fault>(&next)) {
-      log_.warn("clients", "connection ended", {{"why", fault->text}});
+      log_.warn("clients", "client connection closed", {{"reason", fault->text}});
       return close_with_error(connection, fault->code, fault->text);
     }
     const postgres::Message message = std::get<postgres::Message>(next);
@@ -153,7 +156,7 @@
     }
   }
   const bool between_commands =
-      connection.buffer.data().empty() || rejecting_;  // half a command does not count
+      connection.buffer.data().empty() || rejecting_;  // an incomplete command is ignored then
   if (connection.state == State::open && accept_stopped_ && between_commands && is_evictable(connection)) {
     return begin_close(connection);
   }
@@ -184,7 +187,8 @@
     close_with_error(connection, "08P01", "a query does not end with its text");
     return CommandResult::answered;
   }
-  // The extended protocol: skipped up to its Sync, as the protocol specifies after an error.
+  // A message of the extended query protocol: an error, after which all messages up to Sync are skipped, as
+  // the protocol specifies.
   connection.skipping_to_sync = message.type != 'F';
   return reply(connection, postgres::error(postgres::Severity::error, "0A000", "simple queries only") +
                                (connection.skipping_to_sync ? "" : postgres::ready_for_query()));
@@ -223,9 +227,9 @@
     connection.replies.add_readiness();
     return CommandResult::answered;
   }
-  for (const char* harmless : {"SET", "RESET", "DISCARD"}) {
-    if (word == harmless) {
-      return reply(connection, postgres::command_complete(harmless) + postgres::ready_for_query());
+  for (const char* command : {"SET", "RESET", "DISCARD"}) {
+    if (word == command) {
+      return reply(connection, postgres::command_complete(command) + postgres::ready_for_query());
     }
   }
   return handle_statement(connection, text);
@@ -243,13 +247,13 @@
     fault = std::get<postgres::Fault>(read);
   }
   if (!fault) {
-    connection.faults_in_row = 0;
+    connection.invalid_in_row = 0;
     connection.replies.add_request(request);
     requests_[request] = &connection;
     return CommandResult::pending;
   }
-  log_.warn("clients", "statement turned away", {{"why", fault->text}});
-  if (++connection.faults_in_row >= kMaxFaultsInRow && !rejecting_) {
+  log_.warn("clients", "statement rejected", {{"reason", fault->text}});
+  if (++connection.invalid_in_row >= kMaxInvalidInRow && !rejecting_) {
     close_with_error(connection, fault->code, fault->text);
     return CommandResult::answered;
   }
@@ -272,8 +276,8 @@
   flush(connection);
 }
 
-// Cancels the oldest open request of the connection that has this key. It is answered at once, as the
-// protocol specifies; an unknown key does nothing.
+// Cancels the oldest open request of the connection with this key, and answers it at once, as the protocol
+// specifies. An unknown key has no effect.
 void ClientConnections::cancel(const postgres::CancelKey& key) {
   const auto found = cancel_keys_.find(key);
   if (found == cancel_keys_.end()) {
@@ -293,7 +297,7 @@
   return CommandResult::answered;
 }
 
-// Writes the next complete replies, unless a write is running.
+// Starts to write the next complete replies, unless a write is in progress.
 void ClientConnections::flush(ClientConnection& connection) {
   if (connection.writing || connection.state == ClientConnection::State::closed) {
     return;
@@ -304,13 +308,13 @@
   }
   connection.writing = true;
   asio::async_write(connection.socket, asio::buffer(connection.out),
-                    [this, held = *connection.place](const asio::error_code& fault, std::size_t) {
+                    [this, held = *connection.place](const asio::error_code& error, std::size_t) {
                       held->writing = false;
                       held->out = {};
                       if (held->state == ClientConnection::State::closed) {
                         return;
                       }
-                      if (fault) {
+                      if (error) {
                         return handle_disconnect(*held);
                       }
                       write_completed(*held);
@@ -341,7 +345,7 @@
   close_after_replies(connection);
 }
 
-// Handles no more commands; the connection is closed once all pending replies are written.
+// Stops handling commands, and closes the connection once all pending replies have been written.
 void ClientConnections::close_after_replies(ClientConnection& connection) {
   const ConnectionPtr held = *connection.place;
   connection.state = ClientConnection::State::closing;
@@ -355,9 +359,10 @@
   read(held);
 }
 
-// Closes a connection gracefully: a running write is finished, then the sending side is shut down, and what
-// the client still sends is read and dropped, since closing with unread bytes would lose the last answer. At
-// most one message is read; what a client sends beyond that stays unread until the time is over.
+// Closes a connection gracefully: finishes a write in progress, shuts down the sending side, then reads and
+// discards what the client still sends. Closing a socket with unread bytes would reset the connection, and
+// the client could lose the last reply. At most the length of one message is read; anything beyond that stays
+// unread until the linger time is over.
 void ClientConnections::begin_close(ClientConnection& connection) {
   const ConnectionPtr held = *connection.place;
   if (connection.state != ClientConnection::State::lingering) {
@@ -380,12 +385,12 @@
   read(held);
 }
 
-// The client does not read what is written to it, or there is no memory for what it sends.
+// Gives up a client that does not read its replies, or whose input there is no memory for.
 void ClientConnections::abort(ClientConnection& connection) {
   if (connection.replies.open_requests().empty()) {
     return close(connection);
   }
-  update_deadline(connection);  // its requests are answered first
+  update_deadline(connection);  // its open requests are answered first
 }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -1,4 +1,4 @@
-// What is kept for one client connection. Internal to client_connections.cpp and client_commands.cpp.
+// The state of one client connection. Internal to client_connections.cpp and client_commands.cpp.
 #pragma once
 
 #include <asio.hpp>
@@ -15,13 +15,13 @@
 
 namespace reedspindle::proxy {
 
-// Owned by the list of ClientConnections; callbacks that are still out share the ownership.
+// One client connection. Owned by the list in ClientConnections; pending callbacks share the ownership.
 struct ClientConnection {
   enum class State {
-    starting,   // the startup message has not come
-    open,       // commands are handled
-    closing,    // no more commands are handled, pending replies are still written
-    lingering,  // the sending side is shut down or about to be, and what still comes is read and dropped
+    starting,   // the startup message has not been received
+    open,       // commands are accepted
+    closing,    // no more commands are accepted; pending replies are written
+    lingering,  // the sending side is shut down or about to be; received bytes are discarded
     closed,
   };
 
@@ -39,15 +39,15 @@
   State state = State::starting;
   bool writing = false;
   bool reading = false;
-  bool skipping_to_sync = false;  // after a message of the extended protocol
+  bool skipping_to_sync = false;  // after a message of the extended query protocol
   bool send_shutdown = false;
-  bool command_seen = false;  // a complete command has come
-  int faults_in_row = 0;      // statements that could not be read
+  bool command_seen = false;  // a complete command has been received
+  int invalid_in_row = 0;     // invalid statements in succession
   std::optional<postgres::CancelKey> cancel_key;
-  std::size_t discarded = 0;  // bytes read while closing or lingering
-  Millis last_activity = 0;   // Unix time at which it was accepted, last read from or last answered
-  std::optional<net::Timers::Handle> deadline;  // for the client to send or read, or of lingering
-  std::list<std::shared_ptr<ClientConnection>>::iterator place;
+  std::size_t discarded = 0;  // bytes read while closing or lingering, which were dropped
+  Millis last_activity = 0;   // Unix time at which it was accepted, or last read from or replied to
+  std::optional<net::Timers::Handle> deadline;  // for the client's next action, or the end of lingering
+  std::list<std::shared_ptr<ClientConnection>>::iterator place;  // in the list of ClientConnections
 };
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -1,4 +1,4 @@
-// The part of ClientConnections that accepts connections, bounds their number, and drains them.
+// The part of ClientConnections that accepts connections, limits their number, and drains them.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -9,22 +9,26 @@
 namespace reedspindle::proxy {
 namespace {
 using Tcp = asio::ip::tcp;
-// The part of the memory that client connections may use for what they read, and for pending replies.
+// Read buffers and pending replies of client connections may each use one part in kMemoryDivisor of the
+// memory.
 constexpr std::size_t kMemoryDivisor = 8;
-// The protocol's figures: new connections come for at most so long after SIGTERM, and a request that came up
-// to so long after it has its full time.
+// From the protocol, in milliseconds after SIGTERM: new connections arrive for at most the first time, and a
+// request that arrives within the second still has its full time.
 constexpr Millis kAcceptAfterDrain = 400;
 constexpr Millis kServeAfterDrain = 700;
-// How soon to try again where no descriptor was free for a connection: many round trips.
+// The delay after which accepting is tried again if no descriptor was free, in milliseconds: many round
+// trips.
 constexpr Millis kAcceptRetry = 20;
-// From when on an idle connection may be closed for another (the protocol's figure).
+// A connection that has been idle for longer may be closed for a new one, in milliseconds (from the
+// protocol).
 constexpr Millis kIdleTime = 2000;
-// The same while clients hold more than their usual number of connections.
+// The same while clients have more than their usual number of connections.
 constexpr Millis kIdleTimeWhenCrowded = 100;
-// How often connections are checked: half the time after which a client that has closed its connection counts
-// as gone.
+// The interval between checks of all connections, in milliseconds: half the time after which a client that
+// has closed its connection counts as gone.
 constexpr Millis kCheckInterval = 50;
-// Above these parts of the descriptors idle connections are closed, and closed after a shorter time.
+// With more connections than this part of the descriptors, idle connections are closed; with more than the
+// second part, they are closed after the shorter idle time.
 constexpr std::size_t kManyConnectionsDivisor = 6;
 constexpr std::size_t kCrowdedDivisor = 4;
 }  // namespace
@@ -52,11 +56,12 @@
   check_connections();
 }
 
-// Runs periodically. Above a sixth of the descriptors, which is half of the clients' capacity, connections
-// that have been idle for long are closed, the longest first; above a quarter, the idle time is short.
-// Connections that are not being read are closed where the client has hung up. Guards usual clients, who may
-// hold no more than their quota, against those that send one request and stay connected: no new connection
-// comes then, for which an idle one would have to be closed.
+// Runs periodically. If the clients use more than a sixth of the descriptors, which is half of their
+// capacity, closes connections that have been idle for kIdleTime, the longest idle first; above a quarter,
+// after kIdleTimeWhenCrowded. Also closes connections that are not being read and whose client has hung up.
+// Ordinary clients are limited to their quota of connections; without this check, clients that send one
+// request and stay connected would keep theirs, since idle connections are otherwise closed only for a new
+// one.
 void ClientConnections::check_connections() {
   const std::size_t many = config_.max_descriptors / kManyConnectionsDivisor;
   std::vector<ConnectionPtr> idle;
@@ -87,11 +92,12 @@
   check_timer_ = timers_.set(clock_.now() + kCheckInterval, [this] { check_connections(); });
 }
 
-// Nothing is pending on it in either direction, also not in the kernel.
+// Returns whether nothing is pending on the connection in either direction, in this process or in the
+// kernel's receive buffer.
 bool ClientConnections::is_evictable(ClientConnection& connection) {
-  asio::error_code fault;
+  asio::error_code error;
   return connection.accepts_commands() && !connection.writing && connection.replies.empty() &&
-         connection.socket.available(fault) == 0;
+         connection.socket.available(error) == 0;
 }
 
 void ClientConnections::set_ready() {
@@ -105,17 +111,17 @@
 }
 
 void ClientConnections::accept() {
-  acceptor_.async_accept([this](const asio::error_code& fault, Tcp::socket socket) {
-    if (!fault) {
-      add_connection(std::move(socket));  // also one that came just before a drain stopped listening
+  acceptor_.async_accept([this](const asio::error_code& error, Tcp::socket socket) {
+    if (!error) {
+      add_connection(std::move(socket));  // even if a drain has stopped listening meanwhile
     }
     if (!acceptor_.is_open()) {
       return;
     }
-    if (!fault) {
+    if (!error) {
       return accept();
     }
-    log_.warn("clients", "no connection can be taken", {{"why", fault.message()}});
+    log_.warn("clients", "accept failed", {{"error", error.message()}});
     accept_timer_ = timers_.set(clock_.now() + kAcceptRetry, [this] {
       accept_timer_.reset();
       accept();
@@ -132,7 +138,7 @@
   const bool has_capacity = active_connections() < config_.client_connections() || free_capacity();
   connection->place = connections_.insert(connections_.end(), connection);
   if (!has_capacity) {
-    log_.warn("clients", "connection turned away", {{"why", "the clients' share of descriptors"}});
+    log_.warn("clients", "client connection rejected", {{"reason", "limit on client connections reached"}});
     close_with_error(*connection, "53300", "too many connections");
   } else {
     update_deadline(*connection);
@@ -141,8 +147,8 @@
   limit_lingering();
 }
 
-// Lingering connections have a quota of their own; the first of them has had the most time to read. Once no
-// more connections are accepted, their descriptors are not needed.
+// Closes lingering connections beyond their own limit, the oldest connection first, since its client has had
+// the most time to read. Once no more connections are accepted, their descriptors are not needed for others.
 void ClientConnections::limit_lingering() {
   if (accept_stopped_) {
     return;
@@ -152,9 +158,9 @@
   }
 }
 
-// Closes one connection for a new one: one that has never sent anything, else the one that has been idle or
-// in mid-message longest. False: there is none. Guards usual clients against those that connect and send
-// nothing.
+// Closes one connection to make room for a new one: one that has never sent anything, or else the one that
+// has been idle or in the middle of a message for the longest time. Returns false if there is none. Without
+// this, clients that connect and send nothing could keep ordinary clients out.
 bool ClientConnections::free_capacity() {
   ClientConnection* silent = nullptr;
   ClientConnection* idle = nullptr;
@@ -180,7 +186,7 @@
   return true;
 }
 
-// The client has closed the connection.
+// Abandons the open requests of a connection that the client has closed, and closes it.
 void ClientConnections::handle_disconnect(ClientConnection& connection) {
   for (const RequestId request : connection.replies.open_requests()) {
     requests_.erase(request);
@@ -189,7 +195,7 @@
   close(connection);
 }
 
-// The only place that closes sockets and removes connections.
+// Sockets are closed, and connections removed, nowhere else.
 void ClientConnections::close(ClientConnection& connection) {
   if (connection.state == ClientConnection::State::closed) {
     return;
@@ -212,22 +218,22 @@
   if (std::exchange(draining_, true)) {
     return;
   }
-  // Between the two times, so that what comes last is both accepted and served.
+  // Halfway between the two times, so that the last connections are accepted and their requests served.
   drain_timer_ =
       timers_.set(clock_.now() + (kAcceptAfterDrain + kServeAfterDrain) / 2, [this] { stop_accepting(); });
 }
 
 void ClientConnections::stop_accepting() {
   accept_stopped_ = true;
-  asio::error_code fault;
-  while (acceptor_.is_open() && !fault) {
+  asio::error_code error;
+  while (acceptor_.is_open() && !error) {
     Tcp::socket socket(io_);
-    acceptor_.accept(socket, fault);
-    if (!fault) {
+    acceptor_.accept(socket, error);
+    if (!error) {
       add_connection(std::move(socket));
     }
   }
-  acceptor_.close(fault);
+  acceptor_.close(error);
   for (const ConnectionPtr& connection : std::list(connections_)) {
     handle_commands(*connection);
   }
@@ -235,9 +241,10 @@
                              [this] { reject_new_requests(); });
 }
 
-// A connection that was new when accepting stopped may have had a query on its way; one that is still silent
-// has none. Guards against clients that send one command right after the other: their connections would never
-// be between commands.
+// Rejects new requests from now on, and closes connections that have sent no startup message: if they had had
+// a query on its way when accepting stopped, it would have arrived by now. Rejecting is necessary for clients
+// that send one command right after the other: their connections would never be idle, and would never be
+// closed.
 void ClientConnections::reject_new_requests() {
   drain_timer_.reset();
   rejecting_ = true;
--- a/src/proxy/client_connections.hpp
+++ b/src/proxy/client_connections.hpp
@@ -1,4 +1,4 @@
-// The client connections: accepting, capacity, commands with their replies in order, and draining.
+// The client connections: accepting, capacity, commands and their replies, and draining.
 #pragma once
 
 #include <asio.hpp>
@@ -19,41 +19,45 @@
 
 struct ClientConnection;
 
-// Owns all client connections. A command is handled as soon as it has come; replies leave in the order of the
-// commands. All functions are called from the event loop's thread.
+// Owns all client connections. Commands are handled as soon as they are received; replies are sent in the
+// order of the commands. All functions have to be called on the event loop's thread.
 class ClientConnections {
  public:
-  // Receives the requests that clients send.
+  // Handles the requests that clients send.
   struct RequestOwner {
     virtual ~RequestOwner() = default;
-    // A fault: the request is rejected, and this is its answer. Otherwise answer() is called for it later.
+    // Handles a new request. If a fault is returned, the request is rejected with it; otherwise the owner
+    // calls answer() later.
     virtual std::optional<postgres::Fault> request_arrived(RequestId request, std::string_view text,
                                                            const postgres::Statement& statement) = 0;
-    // Its client has disconnected or cancelled it: no answer is expected.
+    // Handles a request whose client has disconnected or cancelled it: no answer is expected.
     virtual void request_abandoned(RequestId request) = 0;
   };
 
+  // All referenced objects have to outlive this one.
   ClientConnections(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
                     const config::InstanceConfig& config, RequestOwner& owner);
 
-  // Starts to accept connections. Throws asio::system_error where the address is not available.
+  // Starts to accept connections. Throws asio::system_error if the address is not available.
   void listen();
-  // The proxy can serve requests: from now on empty queries, by which readiness is checked, are answered.
+  // Declares that this instance can serve requests. From then on it answers empty queries, which serve as
+  // readiness checks.
   void set_ready();
-  // The final answer of a request, without ReadyForQuery. Ignored where its client has disconnected.
+  // Sends the final answer of a request. `bytes` excludes ReadyForQuery. Has no effect if the client has
+  // disconnected.
   void answer(RequestId request, std::string bytes);
-  // Starts the graceful shutdown: connections are accepted for a while yet, then each is closed between
-  // requests.
+  // Starts the graceful shutdown: connections are still accepted for a short time, then each is closed as
+  // soon as it has no open request.
   void start_draining();
 
-  // The graceful shutdown is over: nothing is accepted any more and no connection is open.
+  // Returns whether the graceful shutdown is complete: no connection is accepted any more, and none is open.
   [[nodiscard]] bool finished() const { return accept_stopped_ && connections_.empty(); }
-  // Closes everything at once.
+  // Closes the listening socket and all connections at once.
   void stop();
 
  private:
   using ConnectionPtr = std::shared_ptr<ClientConnection>;
-  enum class CommandResult { pending, answered };  // pending: the reply comes later, or there is none
+  enum class CommandResult { pending, answered };  // pending: the reply follows later, or there is none
 
   // Accepting, capacity and draining (client_connections.cpp).
   void accept();
@@ -95,18 +99,18 @@
   const config::InstanceConfig& config_;
   RequestOwner& owner_;
   asio::ip::tcp::acceptor acceptor_;
-  net::MemoryBudget budget_;              // bounds what all connections buffer together
-  net::MemoryBudget reply_budget_;        // bounds the replies that wait behind others
-  std::list<ConnectionPtr> connections_;  // the owner of each
-  std::size_t lingering_ = 0;             // how many of them are lingering
+  net::MemoryBudget budget_;              // of the read buffers of all connections
+  net::MemoryBudget reply_budget_;        // of the replies that wait behind others
+  std::list<ConnectionPtr> connections_;  // owns all connections
+  std::size_t lingering_ = 0;             // number of lingering connections
   std::map<RequestId, ClientConnection*> requests_;
   std::map<postgres::CancelKey, ClientConnection*> cancel_keys_;
   std::uint64_t last_request_ = 0;
   std::uint32_t last_connection_ = 0;
   bool ready_ = false;           // readiness checks are answered
   bool draining_ = false;        // the graceful shutdown has started
-  bool accept_stopped_ = false;  // in it: no more connections are accepted
-  bool rejecting_ = false;       // in it: new requests are rejected
+  bool accept_stopped_ = false;  // draining: no more connections are accepted
+  bool rejecting_ = false;       // draining: new requests are rejected
   std::optional<net::Timers::Handle> accept_timer_;
   std::optional<net::Timers::Handle> drain_timer_;
   std::optional<net::Timers::Handle> check_timer_;
--- a/src/proxy/decision_execution.cpp
+++ b/src/proxy/decision_execution.cpp
@@ -1,4 +1,4 @@
-// Carries the decisions of the router out: the only place where a decision becomes I/O.
+// Executes the decisions of the router. Decisions lead to I/O nowhere else.
 #include <fmt/format.h>
 
 #include "proxy/proxy_server.hpp"
@@ -8,16 +8,16 @@
 void ProxyServer::execute(const StartAttempt& decision) {
   const auto found = requests_.find(decision.request);
   if (found == requests_.end()) {
-    return;  // it has ended, and the event that says so is queued
+    return;  // the request has ended; the event for the router is still queued
   }
   Request& request = found->second;
   const int number = request.attempts++;
   if (log_.enabled(logging::LogLevel::debug)) {
-    log_.debug("request", "attempt",
-               {{"id", request.id},
+    log_.debug("requests", "attempt started",
+               {{"request_id", request.id},
                 {"attempt", number},
-                {"member", decision.server.address},
-                {"ms", clock_.now() - request.arrived}});
+                {"server", decision.server.address},
+                {"elapsed_ms", clock_.now() - request.arrived}});
   }
   connection_pool_.start_attempt(decision.request, decision, last_run_, {number}, request.text,
                                  request.remaining_span);
@@ -31,13 +31,13 @@
   const std::string retry_after = decision.retry_after > 0 ? fmt::format("{:.0f}", decision.retry_after) : "";
   complete_request(decision.request,
                    postgres::error(postgres::Severity::error, "53300", "busy, try again", retry_after),
-                   "refused");
+                   "rejected");
 }
 
 void ProxyServer::execute(const FailRequest& decision) {
   complete_request(decision.request,
                    postgres::error(postgres::Severity::error, "58000", "no store has answered in time"),
-                   "no answer in time");
+                   "timed out");
 }
 
 void ProxyServer::execute(const SetTimer& decision) {
@@ -52,8 +52,8 @@
 
 void ProxyServer::execute(const ForgetServer& decision) { connection_pool_.forget(decision.server); }
 
-void ProxyServer::execute(const BroadcastToPeers& decision) { peer_socket_.tell(decision.text); }
+void ProxyServer::execute(const BroadcastToPeers& decision) { peer_socket_.broadcast(decision.text); }
 
-void ProxyServer::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
+void ProxyServer::execute(const LogMessage& decision) { log_.info("routing", decision.text); }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -10,7 +10,7 @@
 namespace reedspindle::proxy {
 namespace {
 
-// The status file is written at most once in so many milliseconds.
+// The shortest interval between two writes of the status file, in milliseconds.
 constexpr Millis kMinWriteInterval = 200;
 
 }  // namespace
@@ -25,35 +25,35 @@
       log_(log),
       peers_(peers),
       pool_(pool),
-      status_path_(fleet.status),
+      status_path_(fleet.status_path),
       membership_options_(membership_options(fleet, config)),
       membership_{membership::make_membership(membership_options_, config.seed), {}},
       quota_options_(fleet.quota),
-      connections_(fleet.connections),
+      connections_per_server_(fleet.connections_per_server),
       state_interval_(fleet.consistency ? fleet.consistency->poll_interval : 0),
       on_fleet_view_(std::move(on_fleet_view)),
       on_endpoint_list_(std::move(on_endpoint_list)),
       server_views_(std::move(server_views)),
       slots_(membership_options_.slots) {
-  peers_.hand_over(membership::is_membership_message, [this](int peer, std::string bytes) {
+  peers_.add_handler(membership::is_membership_message, [this](int peer, std::string bytes) {
     process_membership(DatagramReceived{{peer}, std::move(bytes)});
   });
   if (fleet.consistency) {
     consistency::Options options = *fleet.consistency;
     options.slot = membership_options_.slot;
     consistency_.core = consistency::make_consistency_monitor(options, config.seed);
-    peers_.hand_over(consistency::is_consistency_message, [this](int peer, std::string bytes) {
+    peers_.add_handler(consistency::is_consistency_message, [this](int peer, std::string bytes) {
       process_consistency(DatagramReceived{{peer}, std::move(bytes)});
     });
   }
   if (quota_options_) {
     quota_options_->slot = membership_options_.slot;
     quota_.core = quota::make_quota_manager(*quota_options_, config.seed);
-    usage_.emplace(*quota_options_, connections_);
-    peers_.hand_over(quota::is_quota_message, [this](int peer, std::string bytes) {
+    usage_.emplace(*quota_options_, connections_per_server_);
+    peers_.add_handler(quota::is_quota_message, [this](int peer, std::string bytes) {
       process_quota(DatagramReceived{{peer}, std::move(bytes)});
     });
-    peers_.on_refusals([this](int peer, std::string bytes) {
+    peers_.on_port_unreachable([this](int peer, std::string bytes) {
       process_quota(quota::DatagramReturned{{peer}, std::move(bytes)});
     });
     process_quota(std::nullopt);
@@ -71,7 +71,7 @@
   publish_peers();
 }
 
-// A list that comes in parts is compared once the last of them is there.
+// A list that is delivered in parts is compared once its last part has been received.
 void FleetCoordinator::handle_endpoint_list(const net::EndpointList& list) {
   if (!consistency_.core || list.kind == EndpointListKind::failed) {
     return;
@@ -92,7 +92,7 @@
 void FleetCoordinator::start_leaving() { process_membership(membership::Leaving{}); }
 
 void FleetCoordinator::stop() {
-  // Its connections to stores are closed by now.
+  // The connections to servers have been closed by now, so that their allocation can be released.
   if (quota_.core) {
     process_quota(quota::Leaving{});
   }
@@ -104,22 +104,23 @@
   timers_.cancel(status_timer_);
 }
 
-// What one has decided: datagrams and its next turn are alike for all of them.
+// Runs one of the three modules and executes its decisions. Datagrams and wake-ups are the same for all
+// modules.
 template <typename Core>
 void FleetCoordinator::process(TimedCore<Core>& timed) {
-  for (const auto& decision : timed.core->process(clock_.now())) {
+  for (const auto& next : timed.core->process(clock_.now())) {
     std::visit(
-        [&](const auto& taken) {
-          if constexpr (requires { taken.to, taken.bytes; }) {
-            peers_.tell(taken.to.number, taken.bytes);
-          } else if constexpr (requires { taken.at; }) {
+        [&](const auto& decision) {
+          if constexpr (requires { decision.to, decision.bytes; }) {
+            peers_.send(decision.to.number, decision.bytes);
+          } else if constexpr (requires { decision.at; }) {
             timers_.cancel(timed.timer);
-            timed.timer = timers_.set(taken.at, [this, &timed] { timed.timer.reset(), process(timed); });
+            timed.timer = timers_.set(decision.at, [this, &timed] { timed.timer.reset(), process(timed); });
           } else {
-            carry_out(taken);
+            execute(decision);
           }
         },
-        decision);
+        next);
   }
   if (!std::exchange(view_changed_, false)) {
     return;
@@ -151,7 +152,8 @@
   return membership::alive_peers(membership_.core->view());
 }
 
-// The membership's view has changed.
+// Passes the alive peers to the quota manager and the consistency monitor. To be called when the view of the
+// membership has changed.
 void FleetCoordinator::publish_peers() {
   if (quota_.core) {
     process_quota(quota::PeersChanged{alive_peers()});
@@ -159,7 +161,7 @@
   publish_fleet_size();
 }
 
-// That, or how many count.
+// To be called when the alive peers or the number of instances that share the capacity have changed.
 void FleetCoordinator::publish_fleet_size() {
   if (!consistency_.core) {
     return;
@@ -169,7 +171,7 @@
   publish_fleet_view();
 }
 
-// What this instance acts on, looked at once a pace.
+// Passes digests of the state by which this instance routes to the consistency monitor, once per pace.
 void FleetCoordinator::report_applied_state() {
   if (!consistency_.core) {
     return;
@@ -188,7 +190,8 @@
       timers_.set(clock_.now() + state_interval_, [this] { state_timer_.reset(), report_applied_state(); });
 }
 
-// Without an consistency monitor the module goes by what it hears, as ever.
+// Passes the alive peers and the admission of requests to the router. Without a consistency monitor the
+// router relies on the datagrams it receives.
 void FleetCoordinator::publish_fleet_view() {
   if (!consistency_.core) {
     return;
@@ -220,7 +223,7 @@
 
 void FleetCoordinator::check_allocation() {
   if (quota_.core && quota::connections_of(quota_.core->allocation(clock_.now()), *quota_options_,
-                                           connections_) != connection_limits_) {
+                                           connections_per_server_) != connection_limits_) {
     process_quota(std::nullopt);
   }
 }
@@ -233,94 +236,100 @@
   });
 }
 
-void FleetCoordinator::carry_out(const quota::LeaseReport& decision) {
-  const bool warns = decision.event == quota::LeaseEvent::options_mismatch;
-  (warns ? log_.warn("shares", to_string(decision.event), {{"place", decision.slot.number}})
-         : log_.info("shares", to_string(decision.event), {{"place", decision.slot.number}}));
+void FleetCoordinator::execute(const quota::LeaseReport& decision) {
+  const bool is_warning = decision.event == quota::LeaseEvent::options_mismatch;
+  (is_warning ? log_.warn("quota", to_string(decision.event), {{"slot", decision.slot.number}})
+              : log_.info("quota", to_string(decision.event), {{"slot", decision.slot.number}}));
 }
 
-void FleetCoordinator::carry_out(const quota::AllocationChanged& decision) {
+void FleetCoordinator::execute(const quota::AllocationChanged& decision) {
   const bool fleet_size_changed = allocation_.sharing_instances != decision.allocation.sharing_instances;
   allocation_ = decision.allocation;
-  connection_limits_ = quota::connections_of(decision.allocation, *quota_options_, connections_);
+  connection_limits_ = quota::connections_of(decision.allocation, *quota_options_, connections_per_server_);
   pool_.set_connection_limits(connection_limits_.open, connection_limits_.hold);
-  log_.debug("shares", "part", {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
+  log_.debug("quota", "allocation changed",
+             {{"open", decision.allocation.open}, {"hold", decision.allocation.hold}});
   if (fleet_size_changed) {
     publish_fleet_size();
   }
   schedule_status_write();
 }
 
-void FleetCoordinator::carry_out(const consistency::ConsistencyReport& decision) {
+void FleetCoordinator::execute(const consistency::ConsistencyReport& decision) {
   using consistency::ConsistencyEvent;
   schedule_status_write();
   const long long ms = std::llround(decision.duration);
   const char* event = to_string(decision.event);
   switch (decision.event) {
     case ConsistencyEvent::diverged:
-      return log_.warn("accord", event,
-                       {{"in", to_string(decision.kind)},
-                        {"first", decision.slot.number},
-                        {"ms", ms},
-                        {"mine", decision.local.of(decision.kind)},
-                        {"theirs", decision.remote.of(decision.kind)},
-                        {"my_revision", decision.local.revision},
-                        {"their_revision", decision.remote.revision}});
+      return log_.warn("consistency", event,
+                       {{"digest_kind", to_string(decision.kind)},
+                        {"peer_slot", decision.slot.number},
+                        {"duration_ms", ms},
+                        {"local_digest", decision.local.of(decision.kind)},
+                        {"remote_digest", decision.remote.of(decision.kind)},
+                        {"local_revision", decision.local.revision},
+                        {"remote_revision", decision.remote.revision}});
     case ConsistencyEvent::converged:
-      return log_.info("accord", event, {{"in", to_string(decision.kind)}, {"ms", ms}});
+      return log_.info("consistency", event,
+                       {{"digest_kind", to_string(decision.kind)}, {"duration_ms", ms}});
     case ConsistencyEvent::reconnected:
-      return log_.info("accord", event, {{"ms", ms}});
+      return log_.info("consistency", event, {{"duration_ms", ms}});
     default:
-      return log_.warn("accord", event, {{"ms", ms}});
+      return log_.warn("consistency", event, {{"duration_ms", ms}});
   }
 }
 
-void FleetCoordinator::carry_out(const consistency::Admission& /*unused*/) { publish_fleet_view(); }
+void FleetCoordinator::execute(const consistency::Admission& /*unused*/) { publish_fleet_view(); }
 
-// To the module it is as if the list said that these drain, and that the others do as it says itself.
-void FleetCoordinator::carry_out(const consistency::SuspectServers& decision) {
-  EndpointListReceived read{EndpointListKind::changes, {}};
+// Reports suspect servers to the router as draining, as if the endpoint list said so, and servers that are no
+// longer suspect in the state that the list gives them.
+void FleetCoordinator::execute(const consistency::SuspectServers& decision) {
+  EndpointListReceived changes{EndpointListKind::changes, {}};
   for (auto& [mark, entry] : endpoint_list_.ready()) {
     const bool suspect = decision.marks.contains(mark);
     if (suspect == suspect_servers_.contains(mark)) {
       continue;
     }
-    read.servers.push_back(entry);
+    changes.servers.push_back(entry);
     if (suspect) {
-      read.servers.back().state = ServerState::draining;
+      changes.servers.back().state = ServerState::draining;
     }
-    log_.warn("accord", suspect ? "a later list has it no more" : "its own list counts again",
-              {{"member", entry.id.address}});
+    log_.warn("consistency", suspect ? "server missing from later endpoint list" : "server no longer suspect",
+              {{"server", entry.id.address}});
   }
   suspect_servers_ = decision.marks;
-  if (!read.servers.empty()) {
-    on_endpoint_list_(std::move(read));
+  if (!changes.servers.empty()) {
+    on_endpoint_list_(std::move(changes));
   }
 }
 
-void FleetCoordinator::carry_out(const membership::PeerChanged& decision) {
+void FleetCoordinator::execute(const membership::PeerChanged& decision) {
   view_changed_ = true;
-  log_.info("fleet", to_string(decision.event),
-            {{"front", decision.name},
-             {"place", decision.slot.number},
+  log_.info("membership", to_string(decision.event),
+            {{"peer", decision.name},
+             {"slot", decision.slot.number},
              {"incarnation", decision.incarnation.number}});
 }
 
-void FleetCoordinator::carry_out(const membership::SelfReport& decision) {
+void FleetCoordinator::execute(const membership::SelfReport& decision) {
   using membership::SelfEvent;
   view_changed_ = true;
-  const logging::Field slot_field{"place", decision.slot.number};
+  const logging::Field slot_field{"slot", decision.slot.number};
   switch (decision.event) {
     case SelfEvent::paused:
-      return log_.warn("fleet", "this process stood still", {{"ms", std::llround(decision.duration)}});
+      return log_.warn("membership", "process pause detected",
+                       {{"pause_ms", std::llround(decision.duration)}});
     case SelfEvent::refuted:
-      return log_.warn("fleet", "was suspected, says that it is there", {{"by", decision.slot.number}});
+      return log_.warn("membership", "refuted suspicion of this instance",
+                       {{"suspected_by_slot", decision.slot.number}});
     case SelfEvent::name_contested:
-      return log_.warn("fleet", "its name is heard of elsewhere", {slot_field});
+      return log_.warn("membership", "another process may use this instance name", {slot_field});
     case SelfEvent::name_yielded:
-      return log_.error("fleet", "another front has its name, stays out of the fleet", {slot_field});
+      return log_.error("membership", "instance name taken by another process; not joining the fleet",
+                        {slot_field});
     case SelfEvent::name_claimed:
-      return log_.warn("fleet", "takes its name, nobody answers to it elsewhere", {slot_field});
+      return log_.warn("membership", "instance name claimed; no other process answers to it", {slot_field});
   }
 }
 
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -19,49 +19,51 @@
 
 namespace reedspindle::proxy {
 
+// Coordinates this instance with its peers: passes events to the three modules, executes their decisions, and
+// writes the status file.
 class FleetCoordinator {
  public:
   using FleetViewHandler = std::function<void(FleetViewChanged)>;
   using EndpointListHandler = std::function<void(EndpointListReceived)>;
-  using ServerViews = std::function<std::vector<ServerView>()>;  // what the router holds true
+  using ServerViews = std::function<std::vector<ServerView>()>;  // of the router
 
-  // All references have to outlive the coordinator. The handlers are called on the thread of the timers.
-  // Throws InvalidInput where the configuration has no valid name or slot.
+  // All referenced objects have to outlive the coordinator. The handlers are called on the event loop's
+  // thread. Throws InvalidInput if the configuration has no valid name or slot.
   FleetCoordinator(net::Timers& timers, const net::Clock& clock, logging::Log& log,
                    const config::InstanceConfig& config, const FleetOptions& fleet, PeerSocket& peers,
                    upstream::ConnectionPool& pool, FleetViewHandler on_fleet_view,
                    EndpointListHandler on_endpoint_list, ServerViews server_views);
 
-  // The list of peers has that many slots now.
+  // Handles a new length of the list of peers.
   void set_fleet_size(int slots);
-  // One part of an endpoint list from discovery.
+  // Handles one part of an endpoint list from discovery.
   void handle_endpoint_list(const net::EndpointList& list);
-  // Applies an allocation that has expired since the last event; to be called before requests are sent.
+  // Applies the expiry of an allocation since the last event. Has to be called before requests are sent.
   void check_allocation();
-  // Begins the graceful shutdown: peers are notified at once, the coordinator goes on until stop().
+  // Starts the graceful shutdown: notifies the peers at once, and continues until stop().
   void start_leaving();
-  // Releases the allocation, cancels all timers and writes the status file a last time.
+  // Releases the allocation, cancels all timers, and writes the status file one last time.
   void stop();
 
  private:
-  // One that decides, with its timer.
+  // One of the modules that turn events into decisions, with its wake-up timer.
   template <typename Core>
   struct TimedCore {
-    std::unique_ptr<Core> core;  // none: it is off
+    std::unique_ptr<Core> core;  // null: disabled
     std::optional<net::Timers::Handle> timer;
   };
   template <typename Core>
   void process(TimedCore<Core>& timed);
   void process_membership(std::optional<membership::Event> event);
-  void carry_out(const membership::PeerChanged& decision);
-  void carry_out(const membership::SelfReport& decision);
+  void execute(const membership::PeerChanged& decision);
+  void execute(const membership::SelfReport& decision);
   void process_quota(std::optional<quota::Event> event);
-  void carry_out(const quota::LeaseReport& decision);
-  void carry_out(const quota::AllocationChanged& decision);
+  void execute(const quota::LeaseReport& decision);
+  void execute(const quota::AllocationChanged& decision);
   void process_consistency(consistency::Event event);
-  void carry_out(const consistency::ConsistencyReport& decision);
-  void carry_out(const consistency::Admission& decision);
-  void carry_out(const consistency::SuspectServers& decision);
+  void execute(const consistency::ConsistencyReport& decision);
+  void execute(const consistency::Admission& decision);
+  void execute(const consistency::SuspectServers& decision);
   [[nodiscard]] std::set<SlotId> alive_peers() const;
   void report_demand();
   void report_applied_state();
@@ -70,7 +72,7 @@
   void publish_fleet_view();
   void schedule_status_write();
   void write_status();
-  [[nodiscard]] std::string status() const;
+  [[nodiscard]] std::string status_json() const;
 
   net::Timers& timers_;
   const net::Clock& clock_;
@@ -80,8 +82,8 @@
   const std::string status_path_;
   const membership::Options membership_options_;
   TimedCore<membership::Membership> membership_;
-  std::optional<quota::Options> quota_options_;  // none: each store may be used as it comes
-  const int connections_;
+  std::optional<quota::Options> quota_options_;  // none: connections are not limited by quotas
+  const int connections_per_server_;             // the limit for the whole fleet
   TimedCore<quota::QuotaManager> quota_;
   std::optional<quota::Usage> usage_;
   quota::Allocation allocation_;
@@ -92,13 +94,13 @@
   const EndpointListHandler on_endpoint_list_;
   const ServerViews server_views_;
   consistency::EndpointListState endpoint_list_;
-  std::vector<ServerEntry> partial_list_;    // of the list that is being read
-  std::set<std::uint32_t> suspect_servers_;  // marks of members
-  int slots_;
-  FleetViewChanged published_view_;  // the module
+  std::vector<ServerEntry> partial_list_;    // the parts received so far of a list
+  std::set<std::uint32_t> suspect_servers_;  // marks of servers
+  int slots_;                                // length of the list of peers
+  FleetViewChanged published_view_;          // as last passed to the router
   std::optional<net::Timers::Handle> status_timer_, demand_timer_, state_timer_;
-  Millis status_written_at_ = 0;
-  bool view_changed_ = false;  // the membership's view, within a turn
+  Millis status_written_at_ = 0;  // Unix time
+  bool view_changed_ = false;     // the view of the membership, since the last decision was executed
 };
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -1,5 +1,6 @@
-// The front's process: signals, command line and exit codes. 0: stopped when told; 2: what it was told at
-// start is faulty; 1: anything else. Without arguments it goes by its placement alone.
+// The main function of the proxy: signals, command line and exit codes. Exit codes: 0 after a graceful
+// shutdown, 2 if the configuration or the command line is not valid, 1 for any other error. Without arguments
+// it uses only the placement file, which the environment variable ROUTER_CONFIG names.
 #include <csignal>
 #include <cstdlib>
 #include <exception>
@@ -14,8 +15,8 @@
   using namespace reedspindle;
   std::signal(SIGPIPE, SIG_IGN);
   proxy::block_signals();
-  const auto run = [](const proxy::ProxyOptions& orders) {
-    proxy::ProxyServer([](const char* name) { return std::getenv(name); }, orders).run();
+  const auto run = [](const proxy::ProxyOptions& options) {
+    proxy::ProxyServer([](const char* name) { return std::getenv(name); }, options).run();
   };
   try {
     if (count == 1) {
@@ -23,22 +24,23 @@
       return 0;
     }
     return operators::command_line(
-        {"reedspindle", "Steers the ops of a replicated store; where its placement is, ROUTER_CONFIG says",
+        {"reedspindle",
+         "Routes requests to the servers of a replicated store; ROUTER_CONFIG names the placement file",
          REEDSPINDLE_VERSION,
          [](const operators::File& file, const std::string& path) { proxy::proxy_options_in(file, path); },
          [&run](const operators::File& file, const std::string& path) {
            try {
              run(proxy::proxy_options_in(file, path));
-           } catch (const InvalidInput& fault) {
-             throw operators::InvalidFile({fmt::format("reedspindle: {}", fault.what())});
+           } catch (const InvalidInput& error) {
+             throw operators::InvalidFile({fmt::format("reedspindle: {}", error.what())});
            }
          }},
         count, words);
-  } catch (const InvalidInput& fault) {
-    std::cerr << "reedspindle: " << fault.what() << '\n';
+  } catch (const InvalidInput& error) {
+    std::cerr << "reedspindle: " << error.what() << '\n';
     return 2;
-  } catch (const std::exception& fault) {
-    std::cerr << "reedspindle: " << fault.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "reedspindle: " << error.what() << '\n';
     return 1;
   }
 }
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -8,67 +8,70 @@
 namespace reedspindle::proxy {
 
 ProxyOptions proxy_options_in(const operators::File& file, const std::string& path) {
-  ProxyOptions orders;
-  orders.log = logging::parse_log_options(file.values["log"]);
-  orders.clock_offset = file.values["clock"]["offset"];
+  ProxyOptions result;
+  result.log = logging::parse_log_options(file.values["log"]);
+  result.clock_offset = file.values["clock"]["offset"];
   if (!file.values.contains("fleet")) {
-    return orders;
+    return result;
   }
-  const nlohmann::json& told = file.values["fleet"];
+  const nlohmann::json& section = file.values["fleet"];
   FleetOptions fleet;
-  fleet.options.protocol_period = told["pace"], fleet.options.ack_timeout = told["time-out"];
-  fleet.options.suspicion_multiplier = told["patience"], fleet.options.forget_after = told["forget"];
-  fleet.options.max_peers = told["most"];
-  if (fleet.options.ack_timeout >= fleet.options.protocol_period) {
+  fleet.membership.protocol_period = section["pace"], fleet.membership.ack_timeout = section["time-out"];
+  fleet.membership.suspicion_multiplier = section["patience"],
+  fleet.membership.forget_after = section["forget"];
+  fleet.membership.max_peers = section["most"];
+  if (fleet.membership.ack_timeout >= fleet.membership.protocol_period) {
     const auto line = file.lines.find("fleet.time-out");
     throw operators::InvalidFile({fmt::format("{}:{}: fleet.time-out: less than fleet.pace was expected",
                                               path, line == file.lines.end() ? 1 : line->second)});
   }
-  if (told.contains("shares")) {
-    const nlohmann::json& of = told["shares"];
+  if (section.contains("shares")) {
+    const nlohmann::json& values = section["shares"];
     quota::Options& options = fleet.quota.emplace();
-    options.slot_count = of["fleet"], options.lease = of["lease"], options.evidence_lifetime = of["evidence"];
-    options.end_notice = of["notice"], options.max_drift = of["drift"];
-    options.reserved = static_cast<int>(std::lround(of["kept"].get<double>() * quota::kSlot));
-    fleet.connections = of["connections"];
-    const auto faulty = [&](const char* key, const char* expected) {
+    options.slot_count = values["fleet"], options.lease = values["lease"],
+    options.evidence_lifetime = values["evidence"];
+    options.end_notice = values["notice"], options.max_drift = values["drift"];
+    options.reserved = static_cast<int>(std::lround(values["kept"].get<double>() * quota::kSlot));
+    fleet.connections_per_server = values["connections"];
+    const auto invalid = [&](const char* key, const char* expected) {
       const auto line = file.lines.find(fmt::format("fleet.shares.{}", key));
       throw operators::InvalidFile({fmt::format("{}:{}: fleet.shares.{}: {} was expected", path,
                                                 line == file.lines.end() ? 1 : line->second, key, expected)});
     };
     if (options.end_notice * 2 > options.lease) {
-      faulty("notice", "at most half of fleet.shares.lease");
+      invalid("notice", "at most half of fleet.shares.lease");
     }
-    // A front that has just started would have none.
-    if (quota::connections_of({options.reserved, options.reserved}, options, fleet.connections).open < 1) {
-      faulty("connections", "enough that each front keeps one at least (connections x kept / fleet)");
+    // Otherwise an instance that has just started could not open any connection.
+    if (quota::connections_of({options.reserved, options.reserved}, options, fleet.connections_per_server)
+            .open < 1) {
+      invalid("connections", "enough for each instance to keep at least one (connections x kept / fleet)");
     }
   }
-  if (told.contains("accord")) {
-    const nlohmann::json& of = told["accord"];
+  if (section.contains("accord")) {
+    const nlohmann::json& values = section["accord"];
     consistency::Options& options = fleet.consistency.emplace();
-    options.poll_interval = of["pace"], options.grace_period = of["grace"],
-    options.isolation_timeout = of["silence"];
-    options.admit_writes_for = of.value("writes-for", options.admit_writes_for);
-    options.admit_reads_for = of.value("reads-for", options.admit_reads_for);
+    options.poll_interval = values["pace"], options.grace_period = values["grace"],
+    options.isolation_timeout = values["silence"];
+    options.admit_writes_for = values.value("writes-for", options.admit_writes_for);
+    options.admit_reads_for = values.value("reads-for", options.admit_reads_for);
   }
-  if (told.contains("resends")) {
-    orders.values["resends.share"] = told["resends"]["share"].get<double>();
-    orders.values["resends.burst"] = told["resends"]["burst"].get<double>();
+  if (section.contains("resends")) {
+    result.values["resends.share"] = section["resends"]["share"].get<double>();
+    result.values["resends.burst"] = section["resends"]["burst"].get<double>();
   }
-  if (told.contains("place")) {
-    fleet.place = told["place"].get<int>();
+  if (section.contains("place")) {
+    fleet.slot = section["place"].get<int>();
   }
-  fleet.status = told.value("status", "");
-  orders.fleet = std::move(fleet);
-  return orders;
+  fleet.status_path = section.value("status", "");
+  result.fleet = std::move(fleet);
+  return result;
 }
 
 membership::Options membership_options(const FleetOptions& fleet, const config::InstanceConfig& config) {
-  membership::Options options = fleet.options;
+  membership::Options options = fleet.membership;
   if (!membership::is_name(config.name)) {
     throw InvalidInput(
-        "name: up to 32 letters, digits, dots, dashes or underlines were expected, for the fleet");
+        "name: up to 32 letters, digits, dots, dashes or underscores were expected, for the fleet");
   }
   if (!config.peers_enabled) {
     throw InvalidInput("peer_listen: an address was expected, for the fleet");
@@ -76,9 +79,9 @@
   options.name = config.name;
   options.slots = static_cast<int>(config.peers.size());
   const auto own = std::ranges::find(config.peers, config.peer_listen);
-  options.slot = {fleet.place.value_or(static_cast<int>(own - config.peers.begin()))};
+  options.slot = {fleet.slot.value_or(static_cast<int>(own - config.peers.begin()))};
   if (options.slot.number >= options.slots) {
-    throw InvalidInput("fleet.place: a place in peers was expected, or peer_listen among peers");
+    throw InvalidInput("fleet.place: a position in peers was expected, or peer_listen among peers");
   }
   return options;
 }
--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -1,5 +1,3 @@
-#include "proxy/peer_socket.hpp"
-
 #include <linux/errqueue.h>
 #include <netinet/in.h>
 #include <netinet/ip_icmp.h>
@@ -8,14 +6,16 @@
 #include <cerrno>
 #include <utility>
 
+#include "proxy/peer_socket.hpp"
+
 namespace reedspindle::proxy {
 
-constexpr std::size_t kLongest = 256;  // the protocol's limit on a datagram
-constexpr int kTakenAtOnce = 32;
+constexpr std::size_t kMaxDatagramBytes = 256;  // the protocol's limit on a datagram
+constexpr int kMaxDatagramsPerCallback = 32;
 
 PeerSocket::PeerSocket(asio::io_context& io, logging::Log& log, const config::InstanceConfig& config,
-                       DatagramHandler heard)
-    : log_(log), config_(config), heard_(std::move(heard)), socket_(io) {
+                       DatagramHandler handler)
+    : log_(log), config_(config), default_handler_(std::move(handler)), socket_(io) {
   set_peers(config.peers);
   if (!config_.peers_enabled) {
     return;
@@ -23,43 +23,44 @@
   socket_.open(config_.peer_listen.protocol());
   socket_.bind(config_.peer_listen);
   socket_.non_blocking(true);
-  listen();
+  wait_for_datagrams();
 }
 
 void PeerSocket::set_peers(std::vector<asio::ip::udp::endpoint> peers) {
   peers_ = std::move(peers);
-  numbers_.clear();
+  peer_numbers_.clear();
   for (std::size_t number = 0; number < peers_.size(); ++number) {
-    numbers_.emplace(peers_[number], static_cast<int>(number));
+    peer_numbers_.emplace(peers_[number], static_cast<int>(number));
   }
 }
 
-void PeerSocket::tell(const std::string& text) {
+void PeerSocket::broadcast(const std::string& text) {
   if (!socket_.is_open()) {
     return;
   }
-  if (text.size() > kLongest) {
-    return log_.warn("peers", "text too long", {{"bytes", text.size()}});
+  if (text.size() > kMaxDatagramBytes) {
+    return log_.warn("peers", "datagram too long to send", {{"bytes", text.size()}});
   }
-  asio::error_code lost;  // datagrams may be lost anyway
-  socket_.send_to(asio::buffer(text), config_.peers_all, 0, lost);
+  asio::error_code error;  // ignored: datagrams may be lost anyway
+  socket_.send_to(asio::buffer(text), config_.peers_all, 0, error);
 }
 
-void PeerSocket::tell(int peer, const std::string& bytes) {
+void PeerSocket::send(int peer, const std::string& bytes) {
   if (!socket_.is_open() || static_cast<std::size_t>(peer) >= peers_.size()) {
     return;
   }
-  asio::error_code lost;
-  socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, lost);
-  // An error of an earlier datagram stops this one, once.
-  if (lost && refused_) {
-    hear_refusals();
-    socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, lost);
+  asio::error_code error;
+  socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, error);
+  // Linux reports the error of an earlier datagram here, once, instead of sending this one. Read it, and send
+  // again.
+  if (error && port_unreachable_) {
+    read_error_queue();
+    socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, error);
   }
 }
 
-void PeerSocket::on_refusals(DatagramHandler refused) {
-  refused_ = std::move(refused);
+void PeerSocket::on_port_unreachable(DatagramHandler handler) {
+  port_unreachable_ = std::move(handler);
   if (!socket_.is_open()) {
     return;
   }
@@ -67,38 +68,38 @@
   setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &on, sizeof on);
 }
 
-// The machine at the other end says that nobody has that port (ICMP, RFC 1122 4.1.3.1); Linux keeps the
-// datagram and where it went in the socket's queue of errors (ip(7), IP_RECVERR). Other errors say nothing of
-// who is there.
-void PeerSocket::hear_refusals() {
-  for (int taken = 0; taken < 64 && socket_.is_open(); ++taken) {
+// Reads reports that no process has the port that a datagram was sent to (ICMP port unreachable, RFC 1122
+// 4.1.3.1). Linux keeps the datagram and its destination in the error queue of the socket (ip(7),
+// IP_RECVERR). Other errors do not show whether the peer is running, and are ignored.
+void PeerSocket::read_error_queue() {
+  for (int count_read = 0; count_read < 64 && socket_.is_open(); ++count_read) {
     std::array<char, 512> bytes;
-    alignas(cmsghdr) std::array<char, 512> more;
+    alignas(cmsghdr) std::array<char, 512> control;
     sockaddr_in to{};
     iovec part{bytes.data(), bytes.size()};
     msghdr message{};
     message.msg_name = &to, message.msg_namelen = sizeof to;
     message.msg_iov = &part, message.msg_iovlen = 1;
-    message.msg_control = more.data(), message.msg_controllen = more.size();
+    message.msg_control = control.data(), message.msg_controllen = control.size();
     const ssize_t count = recvmsg(socket_.native_handle(), &message, MSG_ERRQUEUE | MSG_DONTWAIT);
     if (count < 0) {
       return;
     }
-    for (cmsghdr* head = CMSG_FIRSTHDR(&message); head; head = CMSG_NXTHDR(&message, head)) {
-      if (head->cmsg_level != IPPROTO_IP || head->cmsg_type != IP_RECVERR) {
+    for (cmsghdr* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
+      if (header->cmsg_level != IPPROTO_IP || header->cmsg_type != IP_RECVERR) {
         continue;
       }
-      sock_extended_err fault;
-      std::copy_n(CMSG_DATA(head), sizeof fault, reinterpret_cast<unsigned char*>(&fault));
-      if (fault.ee_origin != SO_EE_ORIGIN_ICMP || fault.ee_type != ICMP_DEST_UNREACH ||
-          fault.ee_code != ICMP_PORT_UNREACH) {
+      sock_extended_err report;
+      std::copy_n(CMSG_DATA(header), sizeof report, reinterpret_cast<unsigned char*>(&report));
+      if (report.ee_origin != SO_EE_ORIGIN_ICMP || report.ee_type != ICMP_DEST_UNREACH ||
+          report.ee_code != ICMP_PORT_UNREACH) {
         continue;
       }
       const asio::ip::udp::endpoint at(asio::ip::address_v4(ntohl(to.sin_addr.s_addr)), ntohs(to.sin_port));
       const auto peer = std::ranges::find(peers_, at);
       if (peer != peers_.end()) {
-        refused_(static_cast<int>(peer - peers_.begin()),
-                 std::string(bytes.data(), static_cast<std::size_t>(count)));
+        port_unreachable_(static_cast<int>(peer - peers_.begin()),
+                          std::string(bytes.data(), static_cast<std::size_t>(count)));
       }
     }
   }
@@ -109,41 +110,42 @@
   socket_.close(ignored);
 }
 
-// Takes what is there, up to so many datagrams in one callback: many fronts speak in one moment.
-void PeerSocket::listen() {
-  socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const asio::error_code& fault) {
-    if (fault == asio::error::operation_aborted || !socket_.is_open()) {
+// Waits for datagrams and handles those that have arrived, up to kMaxDatagramsPerCallback in one callback,
+// since many peers may send at the same moment.
+void PeerSocket::wait_for_datagrams() {
+  socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const asio::error_code& wait_error) {
+    if (wait_error == asio::error::operation_aborted || !socket_.is_open()) {
       return;
     }
-    if (refused_) {
-      hear_refusals();
+    if (port_unreachable_) {
+      read_error_queue();
     }
-    for (int taken = 0; taken < kTakenAtOnce && socket_.is_open(); ++taken) {
-      asio::error_code none;
+    for (int count_read = 0; count_read < kMaxDatagramsPerCallback && socket_.is_open(); ++count_read) {
+      asio::error_code error;
       asio::ip::udp::endpoint sender;
-      const std::size_t count = socket_.receive_from(asio::buffer(bytes_), sender, 0, none);
-      if (none == asio::error::would_block) {
+      const std::size_t count = socket_.receive_from(asio::buffer(bytes_), sender, 0, error);
+      if (error == asio::error::would_block) {
         break;
       }
-      if (!none && count <= kLongest) {
-        heard({bytes_.data(), count}, sender);
+      if (!error && count <= kMaxDatagramBytes) {
+        handle_datagram({bytes_.data(), count}, sender);
       }
     }
     if (socket_.is_open()) {
-      listen();
+      wait_for_datagrams();
     }
   });
 }
 
-void PeerSocket::heard(std::string_view bytes, const asio::ip::udp::endpoint& sender) {
-  const auto peer = numbers_.find(sender);
-  if (peer == numbers_.end()) {
+void PeerSocket::handle_datagram(std::string_view bytes, const asio::ip::udp::endpoint& sender) {
+  const auto peer = peer_numbers_.find(sender);
+  if (peer == peer_numbers_.end()) {
     return;
   }
   std::string text(bytes);
-  const auto taker =
-      std::ranges::find_if(handed_over_, [&text](const auto& item) { return item.first(text); });
-  (taker == handed_over_.end() ? heard_ : taker->second)(peer->second, std::move(text));
+  const auto handler =
+      std::ranges::find_if(handlers_, [&text](const auto& item) { return item.first(text); });
+  (handler == handlers_.end() ? default_handler_ : handler->second)(peer->second, std::move(text));
 }
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/pending_replies.cpp
+++ b/src/proxy/pending_replies.cpp
@@ -55,7 +55,8 @@
 
 std::string PendingReplies::take_complete() {
   std::string bytes;
-  // What is taken is charged no more. Guards against holding many replies for a client that does not read.
+  // Replies that were taken no longer count against the budget. The limit on their bytes keeps the memory
+  // small that is held for a client that does not read.
   while (!replies_.empty() && replies_.front().complete && bytes.size() < postgres::kMaxValueBytes) {
     bytes += replies_.front().bytes;
     budget_.release(replies_.front().charged);
--- a/src/proxy/pending_replies.hpp
+++ b/src/proxy/pending_replies.hpp
@@ -1,4 +1,5 @@
-// The replies that one client connection is owed, in the order of its commands (pipelining). Free of I/O.
+// The replies that one client connection still has to get, in the order of its commands (pipelining). Has no
+// I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +13,9 @@
 
 namespace reedspindle::proxy {
 
-// Commands are handled side by side; their replies leave in order. Bytes of replies that wait behind others
-// are charged to a budget shared by all connections, so that clients can't make the front hold too much.
+// Queues replies. Commands are handled concurrently, but their replies are sent in order. The bytes of
+// complete replies that wait behind others are charged to a budget shared by all connections, so that clients
+// can't make this instance use too much memory.
 class PendingReplies {
  public:
   explicit PendingReplies(net::MemoryBudget& budget) : budget_(budget) {}
@@ -21,33 +23,36 @@
   PendingReplies(const PendingReplies&) = delete;
   PendingReplies& operator=(const PendingReplies&) = delete;
 
-  // A command that was answered on the spot.
+  // Adds a command that was answered at once, with its reply.
   void add_complete(std::string bytes);
-  // A command whose reply comes later: that of a request, or that the front is ready.
+  // Add a command whose reply is completed later: the answer to a request, or to a readiness check.
   void add_request(RequestId request);
   void add_readiness();
 
-  // The reply of a command that was added before. If it has to wait behind others and the budget is used
-  // up, the substitute is kept in its place.
+  // Completes the reply to a request. If it has to wait behind other replies and the budget is used up, the
+  // substitute is kept in its place.
   void complete(RequestId request, std::string bytes, const std::string& substitute);
+  // Completes the replies to all readiness checks.
   void complete_readiness(const std::string& bytes);
 
-  // Removes replies from the front of the queue for as long as they are complete and make up less than one of
-  // the longest; empty: the next one is not complete.
+  // Removes complete replies from the front of the queue, and returns their bytes; empty if the first reply
+  // is not complete. It stops after the reply with which the bytes reach the size of the longest value.
   std::string take_complete();
 
+  // Returns the requests whose replies are not complete, in order.
   [[nodiscard]] std::vector<RequestId> open_requests() const;
   [[nodiscard]] std::size_t size() const { return replies_.size(); }
   [[nodiscard]] bool empty() const { return replies_.empty(); }
 
  private:
   struct Reply {
-    std::optional<RequestId> request = std::nullopt;  // none: of readiness, or answered on the spot
+    std::optional<RequestId> request = std::nullopt;  // none: a readiness check, or complete
     bool complete = false;
     std::string bytes = {};
     std::size_t charged = 0;  // bytes taken from the budget
   };
 
+  // Charges a complete reply to the budget, or puts the substitute in its place.
   void charge(Reply& reply, const std::string& substitute);
 
   net::MemoryBudget& budget_;
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -7,17 +7,17 @@
 
 namespace reedspindle::proxy {
 namespace {
-// How many callbacks one turn of the event loop runs at most before the router runs: a client that sends at
-// full speed may not delay other connections' requests, the timers or the answers.
+// The most callbacks that one turn of the event loop runs before the router runs. Without a limit, a client
+// that sends at full speed would delay the requests of other connections, the timers and the answers.
 constexpr int kMaxCallbacksPerTurn = 64;
-// And for how many milliseconds at most.
+// The longest time for which one turn runs callbacks, in milliseconds.
 constexpr Millis kMaxTurnTime = 2;
-// For how many milliseconds peer messages are collected before the router runs, unless something else makes
-// it run earlier: the router's own time between batches.
+// How long peer messages are collected before the router runs, in milliseconds, unless another event makes it
+// run earlier. It is the router's own time between batches.
 constexpr Millis kPeerMessageDelay = 5;
-// The token age, in milliseconds, that stands for "has a token, of age 0": 0 itself means "has none".
+// The token age, in milliseconds, for a token of age 0, since 0 itself means that there is no token.
 constexpr Millis kSmallestTokenAge = 0.001;
-// The part of the memory that the texts of open requests may use.
+// The texts of open requests may use one part in kMemoryDivisor of the memory.
 constexpr std::size_t kMemoryDivisor = 8;
 }  // namespace
 
@@ -64,11 +64,12 @@
   if (!config_.polls_endpoints) {
     discovery_client_.start();
   }
-  log_.info("front", "listens", {{"name", config_.name}, {"at", config::format_endpoint(config_.listen)}});
+  log_.info("proxy", "listening",
+            {{"name", config_.name}, {"address", config::format_endpoint(config_.listen)}});
   while (!client_connections_.finished()) {
     run_turn();
   }
-  log_.info("front", "stops, all it took is answered", {{"name", config_.name}});
+  log_.info("proxy", "stopping, all accepted requests are answered", {{"name", config_.name}});
   client_connections_.stop();
   connection_pool_.stop();
   if (fleet_) {
@@ -85,8 +86,8 @@
   try {
     discovery_client_.load_saved(
         discovery::parse_endpoint_list(std::exchange(saved_endpoint_list_, {}), config_.names));
-  } catch (const std::exception& fault) {
-    log_.warn("list", "saved list does not count", {{"why", fault.what()}});
+  } catch (const std::exception& error) {
+    log_.warn("discovery", "saved endpoint list rejected", {{"error", error.what()}});
   }
 }
 
@@ -103,8 +104,8 @@
   log_turn();
 }
 
-// Waits for the first callback and runs it. The turn begins when the loop wakes, which is estimated by the
-// processor time that the callback took.
+// Waits for the first callback and runs it. The turn starts when the loop wakes, which is estimated from the
+// processor time that the callback used.
 void ProxyServer::wait_for_event() {
   const Millis before = clock_.now();
   arrival_bound_.sleeps(before, timers_.next_due().value_or(before));
@@ -145,13 +146,15 @@
 void ProxyServer::log_turn() {
   const bool longest = turn_gauge_.end(clock_.now());
   const TurnGauge::Turn& turn = turn_gauge_.turn();
-  if (turn.took >= TurnGauge::kHeldUp) {
-    log_.warn("turns", "turn held up",
-              {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
+  if (turn.took >= TurnGauge::kSlowTurn) {
+    log_.warn(
+        "event_loop", "slow event loop turn",
+        {{"duration_ms", turn.took}, {"part", turn.part}, {"longest_callback_ms", turn.longest_callback}});
   }
   if (longest) {
-    log_.info("turns", "longest turn",
-              {{"ms", turn.took}, {"part", turn.part}, {"callback_ms", turn.longest_callback}});
+    log_.info(
+        "event_loop", "longest event loop turn",
+        {{"duration_ms", turn.took}, {"part", turn.part}, {"longest_callback_ms", turn.longest_callback}});
   }
 }
 
@@ -160,16 +163,16 @@
   router_run_needed_ = false;
   turn_full_ = false;
   timers_.cancel(peer_message_timer_);
-  turn_gauge_.doing("tier");
+  turn_gauge_.set_part("fleet coordination");
   if (fleet_) {
     fleet_->check_allocation();
   }
   last_run_ = clock_.now();
   pass_events_to_router(last_run_);
-  turn_gauge_.doing("decisions");
+  turn_gauge_.set_part("router");
   const std::vector<Decision> decisions = router_->process(last_run_);
   turn_gauge_.callback_ended(clock_.now());
-  turn_gauge_.doing("carrying out");
+  turn_gauge_.set_part("decision execution");
   for (const Decision& decision : decisions) {
     std::visit([this](const auto& chosen) { execute(chosen); }, decision);
   }
@@ -180,8 +183,8 @@
   for (QueuedEvent& queued : std::exchange(queued_events_, {})) {
     if (auto* received = std::get_if<RequestReceived>(&queued.event)) {
       received->remaining -= now - queued.arrived;
-      // Guards against a clock that is behind the server's: a token of a position at or beyond the present is
-      // still a token.
+      // If this machine's clock is behind the server's, the position of a token can be at or beyond the
+      // present. It is still a token, so its age may not become 0.
       if (queued.token_position > 0) {
         received->token_age = now == queued.token_position ? kSmallestTokenAge : now - queued.token_position;
       }
@@ -201,7 +204,8 @@
   });
 }
 
-// Why the request can't be passed to the router; none: it can, and its text is counted as held.
+// Returns the reason why the request can't be passed to the router. If there is none, the size of its text
+// has been taken from the budget.
 std::optional<postgres::Fault> ProxyServer::reject_reason(std::string_view text,
                                                           const postgres::Statement& statement) {
   const auto type = config_.names.request_classes.find(statement.request_class);
@@ -241,7 +245,8 @@
   received.session = statement.key;
   received.remaining = statement.remaining;
   received.is_retry = statement.is_retry;
-  // A request that waited in the kernel while the proxy was busy or suspended has that much less time left.
+  // The time for which the request waited in the kernel, while this process was busy or suspended, is
+  // deducted from its remaining time.
   const Millis arrived = arrival_bound_.earliest(clock_.now());
   queued_events_.push_back({std::move(received), arrived, statement.position});
   router_run_needed_ = true;
@@ -253,21 +258,21 @@
 
 void ProxyServer::request_abandoned(RequestId request) {
   enqueue(RequestAbandoned{request});
-  complete_request(request, "", "its client left");
+  complete_request(request, "", "abandoned by client");
 }
 
-// The only place that removes requests. Attempts that are still queued are never sent.
+// Requests are removed nowhere else. Attempts that are still queued are never sent.
 void ProxyServer::complete_request(RequestId request, std::string answer, std::string_view reason) {
   const auto found = requests_.find(request);
   if (found == requests_.end()) {
     return;
   }
   if (log_.enabled(logging::LogLevel::debug)) {
-    log_.debug("request", "ended",
-               {{"id", found->second.id},
-                {"why", reason},
+    log_.debug("requests", "request completed",
+               {{"request_id", found->second.id},
+                {"result", reason},
                 {"attempts", found->second.attempts},
-                {"ms", clock_.now() - found->second.arrived}});
+                {"elapsed_ms", clock_.now() - found->second.arrived}});
   }
   open_ids_.erase(found->second.id);
   text_budget_.release(found->second.text->size());
@@ -279,13 +284,13 @@
 }
 
 void ProxyServer::handle_endpoint_list(net::EndpointList list) {
-  turn_gauge_.doing("list");
+  turn_gauge_.set_part("endpoint list");
   turn_full_ = !list.servers.empty();
   connection_pool_.apply_endpoint_list(list);
   if (fleet_) {
     fleet_->handle_endpoint_list(list);
   }
-  // Every list that was read comes in parts, also a saved one: to the router they are changes.
+  // Lists are delivered in parts, including a saved list: to the router each part is a list of changes.
   const bool failed = list.kind == EndpointListKind::failed;
   EndpointListReceived received{failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
   for (net::ListedEndpoint& server : list.servers) {
@@ -308,8 +313,8 @@
 }
 
 void ProxyServer::wait_for_signal() {
-  signals_.async_wait([this](const asio::error_code& fault, int signal) {
-    if (fault) {
+  signals_.async_wait([this](const asio::error_code& error, int signal) {
+    if (error) {
       return;
     }
     if (signal == SIGHUP) {
@@ -322,30 +327,31 @@
 }
 
 void ProxyServer::start_draining(int signal) {
-  log_.info("front", "drains", {{"signal", signal}});
+  log_.info("proxy", "drain started", {{"signal", signal}});
   if (fleet_) {
     fleet_->start_leaving();
   }
   client_connections_.start_draining();
 }
 
-// On SIGHUP. A faulty configuration changes nothing. From a valid one, discovery's address is used, and the
-// peers where the fleet coordination is enabled; other changes need a restart.
+// Reloads the configuration on SIGHUP. If it is not valid, nothing changes. Otherwise the address of
+// discovery is applied, and the list of peers if the fleet coordination is enabled; other changes need a
+// restart.
 void ProxyServer::reload_configuration() {
   try {
     config::InstanceConfig read = config::read_instance_config(environment_, config::ReadMode::reload);
-    log_.info("front", "placement read again", {{"discovery", config::format_endpoint(read.discovery)}});
+    log_.info("proxy", "configuration reloaded", {{"discovery", config::format_endpoint(read.discovery)}});
     if (fleet_) {
       peer_socket_.set_peers(read.peers);
       fleet_->set_fleet_size(static_cast<int>(read.peers.size()));
       read.peers = config_.peers;
     }
     for (const std::string& key : config::keys_requiring_restart(config_, read)) {
-      log_.warn("placement", "change waits for the next start", {{"key", key}});
+      log_.warn("configuration", "change requires a restart", {{"key", key}});
     }
     discovery_client_.set_address(read.discovery);
-  } catch (const std::exception& fault) {
-    log_.warn("placement", "faulty, the old one stays", {{"why", fault.what()}});
+  } catch (const std::exception& error) {
+    log_.warn("configuration", "reload failed, keeping the current configuration", {{"error", error.what()}});
   }
 }
 
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -1,4 +1,4 @@
-// The proxy process: its event loop, the requests that are open, and the execution of the router's decisions.
+// The proxy process: its event loop, the open requests, and the execution of the router's decisions.
 #pragma once
 
 #include <asio.hpp>
@@ -25,30 +25,30 @@
 
 namespace reedspindle::proxy {
 
-// Owns all parts of the proxy and runs them in one thread. Their events are queued, and the router processes
-// them at most once in each turn of the event loop.
+// Owns all parts of the proxy and runs them in one thread. Events are queued, and the router processes them
+// at most once in each turn of the event loop.
 class ProxyServer : private ClientConnections::RequestOwner {
  public:
-  // Throws InvalidInput where the instance's configuration is faulty.
+  // Throws InvalidInput if the configuration of the instance is not valid.
   explicit ProxyServer(config::Environment environment, const ProxyOptions& options = {});
 
-  // Serves until SIGTERM or SIGINT has come and every client connection is closed.
+  // Serves clients until SIGTERM or SIGINT has been received and every client connection is closed.
   void run();
 
  private:
   // A request that has no final answer yet.
   struct Request {
     std::shared_ptr<const std::string> text;  // of the statement
-    std::string id;                           // as the client names it
-    postgres::TextSpan remaining_span;        // where the text states the client's remaining time
+    std::string id;                           // chosen by the client
+    postgres::TextSpan remaining_span;        // the place in the text that states the client's remaining time
     int attempts = 0;
     Millis arrived = 0;  // Unix time
   };
   // An event for the router. A request's remaining time and token age are computed when the router runs.
   struct QueuedEvent {
     Event event;
-    Millis arrived = 0;         // Unix time; of a request
-    Millis token_position = 0;  // Unix time; of a request with a token
+    Millis arrived = 0;         // Unix time; for a request
+    Millis token_position = 0;  // Unix time; for a request with a token
   };
 
   std::optional<postgres::Fault> request_arrived(RequestId request, std::string_view text,
@@ -59,7 +59,7 @@
   void handle_endpoint_list(net::EndpointList list);
   void handle_attempt_completed(AttemptCompleted completed, std::string row);
   void handle_peer_message(int peer, std::string text);
-  // Ends the request; an empty answer is not sent. The reason is for the log.
+  // Ends the request and sends its answer, unless that is empty. The reason appears only in the log.
   void complete_request(RequestId request, std::string answer, std::string_view reason);
 
   void restore_endpoint_list();
@@ -88,7 +88,7 @@
   void execute(const LogMessage& decision);
 
   const config::Environment environment_;
-  std::string saved_endpoint_list_;  // from the configuration; empty once it has been read
+  std::string saved_endpoint_list_;  // from the configuration; empty once it has been used
   const config::InstanceConfig config_;
   const net::Clock clock_;
   TurnGauge turn_gauge_;
@@ -99,19 +99,19 @@
   asio::signal_set signals_;
   std::unique_ptr<Router> router_;
   std::vector<QueuedEvent> queued_events_;
-  bool router_run_needed_ = false;  // peer messages alone wait for their timer
-  bool turn_full_ = false;          // part of an endpoint list is enough work for one turn
+  bool router_run_needed_ = false;  // not set by peer messages, which wait for their timer
+  bool turn_full_ = false;          // set by a part of an endpoint list, which is enough work for one turn
   std::optional<net::Timers::Handle> peer_message_timer_;
   Millis last_run_ = 0;  // Unix time of the router's last run
   std::map<RequestId, Request> requests_;
-  std::set<std::string, std::less<>> open_ids_;  // of the open requests, as clients name them
-  std::set<GroupId> groups_;                     // that discovery has named
-  net::MemoryBudget text_budget_;                // for the texts of the open requests
+  std::set<std::string, std::less<>> open_ids_;  // ids of the open requests, chosen by clients
+  std::set<GroupId> groups_;                     // all groups in endpoint lists so far
+  net::MemoryBudget text_budget_;                // of the texts of the open requests
   upstream::ConnectionPool connection_pool_;
   ClientConnections client_connections_;
   discovery::Client discovery_client_;
   PeerSocket peer_socket_;
-  std::optional<FleetCoordinator> fleet_;  // none: no part of the fleet coordination is enabled
+  std::optional<FleetCoordinator> fleet_;  // none: the fleet coordination is disabled
 };
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/signal_mask.hpp
+++ b/src/proxy/signal_mask.hpp
@@ -1,10 +1,11 @@
-// Signals that end the process or make it read its configuration again, held back until somebody hears them.
+// Blocks the signals that the process handles until its handlers are installed.
 #pragma once
 
 #include <csignal>
 
 namespace reedspindle::proxy {
 
+// Returns the signals that end the process, and SIGHUP, which makes it reload its configuration.
 inline sigset_t handled_signals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -14,13 +15,14 @@
   return signals;
 }
 
-// Guards a process that is just starting against a SIGHUP, which would end it, and against losing one.
+// Blocks the handled signals. Until its handler is installed, a SIGHUP would end the starting process; a
+// blocked one stays pending and is not lost.
 inline void block_signals() {
   const sigset_t signals = handled_signals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-// Those that came meanwhile are delivered now.
+// Unblocks the handled signals; pending ones are delivered.
 inline void unblock_signals() {
   const sigset_t signals = handled_signals();
   pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
--- a/src/proxy/status_file.cpp
+++ b/src/proxy/status_file.cpp
@@ -1,4 +1,5 @@
-// The status file: what this instance holds true of the fleet, as JSON for operators.
+// The status file: this instance's view of the fleet, as JSON for operators. Its field names are a public
+// interface.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -10,13 +11,13 @@
 namespace reedspindle::proxy {
 namespace {
 
-// The file is written after so many milliseconds though nothing has changed: readers see that the process
-// lives.
+// The longest interval between two writes of the file, in milliseconds. It is written even if nothing has
+// changed, so that readers see that the process is running.
 constexpr Millis kMaxWriteInterval = 5000;
 
 }  // namespace
 
-std::string FleetCoordinator::status() const {
+std::string FleetCoordinator::status_json() const {
   const membership::View view = membership_.core->view();
   nlohmann::json peers = nlohmann::json::array();
   for (const membership::PeerView& peer : view.peers) {
@@ -77,7 +78,7 @@
       .dump();
 }
 
-// Whoever reads it finds a whole one: it is written beside and then takes the old one's name.
+// Writes to a temporary file and renames it, so that readers never see an incomplete file.
 void FleetCoordinator::write_status() {
   if (status_path_.empty()) {
     return;
@@ -85,10 +86,10 @@
   status_written_at_ = clock_.now();
   const std::string temporary = status_path_ + ".new";
   std::ofstream file(temporary, std::ios::trunc);
-  file << status() << '\n';
+  file << status_json() << '\n';
   file.close();
   if (!file || std::rename(temporary.c_str(), status_path_.c_str()) != 0) {
-    log_.warn("fleet", "status file can't be written", {{"path", status_path_}});
+    log_.warn("membership", "status file write failed", {{"path", status_path_}});
   }
   status_timer_ =
       timers_.set(status_written_at_ + kMaxWriteInterval, [this] { status_timer_.reset(), write_status(); });
--- a/src/proxy/turn_gauge.hpp
+++ b/src/proxy/turn_gauge.hpp
@@ -1,5 +1,6 @@
-// How long the turns of the event loop take, and which part of the program the longest callback of a turn
-// belongs to. Free of I/O and of clocks: whoever runs the loop says what time it is.
+// Measures how long the turns of the event loop take, and which part of the program the longest callback of a
+// turn belongs to. Has no I/O and no clock: the caller passes the current time. All times are in
+// milliseconds.
 #pragma once
 
 #include <string_view>
@@ -8,55 +9,59 @@
 
 namespace reedspindle::proxy {
 
+// Tracks the duration of the current, the last and the longest turn.
 class TurnGauge {
  public:
-  // A turn over this is worth a line in the log, in milliseconds.
-  static constexpr Millis kHeldUp = 20;
-  // A new longest turn is worth a line from here on, and when it is longer than the last one by a quarter.
-  static constexpr Millis kWorthTelling = 2, kLongerBy = 1.25;
+  // A turn of at least this duration is logged as slow.
+  static constexpr Millis kSlowTurn = 20;
+  // A new longest turn is logged if it takes at least kMinLogged, and at least kMinGrowth times as long as
+  // the one logged last.
+  static constexpr Millis kMinLogged = 2, kMinGrowth = 1.25;
 
   struct Turn {
-    Millis took = 0;              // the whole turn
-    Millis longest_callback = 0;  // the longest callback in it
-    std::string_view part;        // of the program, to which that callback belongs
+    Millis took = 0;              // duration of the whole turn
+    Millis longest_callback = 0;  // duration of its longest callback
+    std::string_view part;        // the part of the program to which that callback belongs
   };
 
+  // Starts a turn.
   void begin(Millis now) {
-    began_ = callback_began_ = now;
+    turn_started_ = callback_started_ = now;
     turn_ = {};
-    part_ = kOther;
+    part_ = kDefaultPart;
   }
-  // The callback that runs now belongs to this part. The text outlives the gauge.
-  void doing(std::string_view part) { part_ = part; }
+  // Names the part of the program to which the running callback belongs. The text has to outlive the gauge.
+  void set_part(std::string_view part) { part_ = part; }
+  // Ends the running callback. The next one starts at once.
   void callback_ended(Millis now) {
-    if (now - callback_began_ > turn_.longest_callback) {
-      turn_.longest_callback = now - callback_began_;
+    if (now - callback_started_ > turn_.longest_callback) {
+      turn_.longest_callback = now - callback_started_;
       turn_.part = part_;
     }
-    callback_began_ = now;
-    part_ = kOther;
+    callback_started_ = now;
+    part_ = kDefaultPart;
   }
-  // True: the turn is the longest by so much that it is to be told.
+  // Ends the turn. Returns whether it has to be logged as the longest one so far.
   bool end(Millis now) {
-    turn_.took = now - began_;
+    turn_.took = now - turn_started_;
     if (turn_.took > longest_.took) {
       longest_ = turn_;
     }
-    if (turn_.took < kWorthTelling || turn_.took < told_ * kLongerBy) {
+    if (turn_.took < kMinLogged || turn_.took < last_logged_ * kMinGrowth) {
       return false;
     }
-    told_ = turn_.took;
+    last_logged_ = turn_.took;
     return true;
   }
 
-  [[nodiscard]] const Turn& turn() const { return turn_; }        // the one that has ended last
+  [[nodiscard]] const Turn& turn() const { return turn_; }        // the current or last turn
   [[nodiscard]] const Turn& longest() const { return longest_; }  // since the start
 
  private:
-  static constexpr std::string_view kOther = "sockets";
-  Millis began_ = 0, callback_began_ = 0, told_ = 0;
+  static constexpr std::string_view kDefaultPart = "sockets";
+  Millis turn_started_ = 0, callback_started_ = 0, last_logged_ = 0;
   Turn turn_, longest_;
-  std::string_view part_ = kOther;
+  std::string_view part_ = kDefaultPart;
 };
 
 }  // namespace reedspindle::proxy
--- a/tests/options.sh
+++ b/tests/options.sh
@@ -36,11 +36,11 @@
 exit code 2
 file.sexp:1: fleet.speed: there is no such key
 exit code 2
-reedspindle: fleet.place: a place in peers was expected, or peer_listen among peers
+reedspindle: fleet.place: a position in peers was expected, or peer_listen among peers
 exit code 2
-reedspindle: fleet.place: a place in peers was expected, or peer_listen among peers
+reedspindle: fleet.place: a position in peers was expected, or peer_listen among peers
 exit code 2
-file.sexp:1: fleet.shares.connections: enough that each front keeps one at least (connections x kept / fleet) was expected
+file.sexp:1: fleet.shares.connections: enough for each instance to keep at least one (connections x kept / fleet) was expected
 exit code 2
 file.sexp:1: fleet.shares.notice: at most half of fleet.shares.lease was expected
 exit code 2
