--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -38,9 +38,9 @@
   // Returns the bytes that have been read and not yet consumed. Valid until the next call of prepare().
   [[nodiscard]] std::string_view data() const { return {bytes_.data() + begin_, end_ - begin_}; }
 
-  // Returns space for the next read: at least `least` bytes, or none if the budget is used up. Valid until
-  // the next call. A buffer that has grown beyond its usual size is freed once it is empty.
-  std::span<char> prepare(std::size_t least) {
+  // Returns space for the next read: at least `min_bytes` bytes, or none if the budget is used up. Valid
+  // until the next call. A buffer that has grown beyond its usual size is freed once it is empty.
+  std::span<char> prepare(std::size_t min_bytes) {
     if (begin_ == end_) {
       begin_ = end_ = 0;
     }
@@ -48,17 +48,17 @@
       budget_.release(bytes_.size());
       std::vector<char>().swap(bytes_);
     }
-    if (bytes_.size() - end_ < least && begin_ > 0) {
+    if (bytes_.size() - end_ < min_bytes && begin_ > 0) {
       std::memmove(bytes_.data(), bytes_.data() + begin_, end_ - begin_);
       end_ -= begin_;
       begin_ = 0;
     }
-    if (bytes_.size() - end_ < least) {
-      const std::size_t wanted = std::max(2 * bytes_.size(), end_ + least);
-      if (!budget_.take(wanted - bytes_.size())) {
+    if (bytes_.size() - end_ < min_bytes) {
+      const std::size_t new_size = std::max(2 * bytes_.size(), end_ + min_bytes);
+      if (!budget_.take(new_size - bytes_.size())) {
         return {};
       }
-      bytes_.resize(wanted);
+      bytes_.resize(new_size);
     }
     return {bytes_.data() + end_, bytes_.size() - end_};
   }
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -35,15 +35,15 @@
   // that took the least time.
   static Start start() {
     Start best;
-    auto least = std::chrono::steady_clock::duration::max();
-    for (int attempt = 0; attempt < 5; ++attempt) {
+    auto shortest = std::chrono::steady_clock::duration::max();
+    for (int i = 0; i < 5; ++i) {
       const Steady before = std::chrono::steady_clock::now();
       const auto unix = std::chrono::system_clock::now().time_since_epoch();
       const auto took = std::chrono::steady_clock::now() - before;
-      if (took >= least) {
+      if (took >= shortest) {
         continue;
       }
-      least = took;
+      shortest = took;
       best = {before + took / 2, std::chrono::duration<double, std::milli>(unix).count()};
     }
     return best;
--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -107,9 +107,9 @@
   }
   connection.deadline =
       timers_.set(clock_.now() + (connection.command_seen ? kCommandTimeout : kFirstCommandTimeout),
-                  [this, held = *connection.place] {
-                    held->deadline.reset();
-                    deadline_passed(*held);
+                  [this, shared = *connection.place] {
+                    shared->deadline.reset();
+                    deadline_passed(*shared);
                   });
 }
 
@@ -308,22 +308,22 @@
   }
   connection.writing = true;
   asio::async_write(connection.socket, asio::buffer(connection.out),
-                    [this, held = *connection.place](const asio::error_code& error, std::size_t) {
-                      held->writing = false;
-                      held->out = {};
-                      if (held->state == ClientConnection::State::closed) {
+                    [this, shared = *connection.place](const asio::error_code& error, std::size_t) {
+                      shared->writing = false;
+                      shared->out = {};
+                      if (shared->state == ClientConnection::State::closed) {
                         return;
                       }
                       if (error) {
-                        return handle_disconnect(*held);
+                        return handle_disconnect(*shared);
                       }
-                      write_completed(*held);
+                      write_completed(*shared);
                     });
   update_deadline(connection);
 }
 
 void ClientConnections::write_completed(ClientConnection& connection) {
-  const ConnectionPtr held = *connection.place;
+  const ConnectionPtr shared = *connection.place;
   if (connection.state == ClientConnection::State::lingering) {
     return begin_close(connection);
   }
@@ -336,7 +336,7 @@
     return;
   }
   handle_commands(connection);
-  read(held);
+  read(shared);
 }
 
 void ClientConnections::close_with_error(ClientConnection& connection, std::string_view code,
@@ -347,7 +347,7 @@
 
 // Stops handling commands, and closes the connection once all pending replies have been written.
 void ClientConnections::close_after_replies(ClientConnection& connection) {
-  const ConnectionPtr held = *connection.place;
+  const ConnectionPtr shared = *connection.place;
   connection.state = ClientConnection::State::closing;
   connection.buffer.consume(connection.buffer.data().size());
   timers_.cancel(connection.deadline);
@@ -356,7 +356,7 @@
     return begin_close(connection);
   }
   update_deadline(connection);
-  read(held);
+  read(shared);
 }
 
 // Closes a connection gracefully: finishes a write in progress, shuts down the sending side, then reads and
@@ -364,15 +364,15 @@
 // the client could lose the last reply. At most the length of one message is read; anything beyond that stays
 // unread until the linger time is over.
 void ClientConnections::begin_close(ClientConnection& connection) {
-  const ConnectionPtr held = *connection.place;
+  const ConnectionPtr shared = *connection.place;
   if (connection.state != ClientConnection::State::lingering) {
     connection.state = ClientConnection::State::lingering;
     ++lingering_;
     connection.buffer.consume(connection.buffer.data().size());
     timers_.cancel(connection.deadline);
-    connection.deadline = timers_.set(clock_.now() + kLingerTime, [this, held] {
-      held->deadline.reset();
-      close(*held);
+    connection.deadline = timers_.set(clock_.now() + kLingerTime, [this, shared] {
+      shared->deadline.reset();
+      close(*shared);
     });
   }
   if (connection.writing) {
@@ -382,7 +382,7 @@
     asio::error_code ignored;
     connection.socket.shutdown(Tcp::socket::shutdown_send, ignored);
   }
-  read(held);
+  read(shared);
 }
 
 // Gives up a client that does not read its replies, or whose input there is no memory for.
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -12,8 +12,8 @@
 // Read buffers and pending replies of client connections may each use one part in kMemoryDivisor of the
 // memory.
 constexpr std::size_t kMemoryDivisor = 8;
-// From the protocol, in milliseconds after SIGTERM: new connections arrive for at most the first time, and a
-// request that arrives within the second still has its full time.
+// From the protocol, in milliseconds after SIGTERM: new connections arrive until the first time, and a
+// request that arrives before the second time still gets its full remaining time.
 constexpr Millis kAcceptAfterDrain = 400;
 constexpr Millis kServeAfterDrain = 700;
 // The delay after which accepting is tried again if no descriptor was free, in milliseconds: many round
@@ -210,7 +210,7 @@
   timers_.cancel(connection.deadline);
   asio::error_code ignored;
   connection.socket.close(ignored);
-  const ConnectionPtr last = *connection.place;
+  const ConnectionPtr last = *connection.place;  // the connection stays valid until this returns
   connections_.erase(connection.place);
 }
 
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -128,7 +128,7 @@
     arrival_bound_.marker_sent(now);
     asio::post(io_, [this] { arrival_bound_.marker_returned(); });
   }
-  for (int taken = 0; taken < kMaxCallbacksPerTurn && now < until && !turn_full_; ++taken) {
+  for (int callbacks = 0; callbacks < kMaxCallbacksPerTurn && now < until && !turn_full_; ++callbacks) {
     const Millis before = now;
     if (io_.poll_one() == 0) {
       return arrival_bound_.none_ready(before);
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -95,14 +95,14 @@
 
 void ConnectionPool::write_rest(ServerConnection& connection, std::size_t written) {
   asio::async_write(connection.socket, asio::buffer(connection.out) + written,
-                    [this, call = connection.call.get(), held = *connection.place](
+                    [this, call = connection.call.get(), shared = *connection.place](
                         const asio::error_code& error, std::size_t) {
-                      if (held->call.get() != call) {
+                      if (shared->call.get() != call) {
                         return;
                       }
-                      held->query_sent = !error;
+                      shared->query_sent = !error;
                       if (error) {
-                        handle_disconnect(*held);
+                        handle_disconnect(*shared);
                       }
                     });
 }
@@ -218,7 +218,7 @@
 // Sends an empty query before a connection is used again, which costs the server nothing. Its response shows
 // that the connection still works and that no more messages of the previous response follow. Without it, a
 // late duplicate could be taken for the response to the next request, and requests could be sent on
-// connections that the server has dropped without a reset.
+// connections that the server has dropped silently.
 void ConnectionPool::reset(ServerConnection& connection) {
   // An incomplete message in the buffer would be read as part of the response to the empty query.
   if (!connection.buffer.data().empty()) {
@@ -230,14 +230,15 @@
   ++connection.server.becoming_ready;
   connection.reset_answered = false;
   connection.out = postgres::query("");
-  const ConnectionPtr held = *connection.place;
+  const ConnectionPtr shared = *connection.place;
   connection.timer =
-      timers_.set(clock_.now() + config_.connect_timeout, [this, held] { reset_timed_out(held); });
+      timers_.set(clock_.now() + config_.connect_timeout, [this, shared] { reset_timed_out(shared); });
   asio::async_write(connection.socket, asio::buffer(connection.out),
-                    [held](const asio::error_code&, std::size_t) {});  // the read reports a failure
+                    [shared](const asio::error_code&, std::size_t) {});  // the read reports a failure
 }
 
-// Closes the server's other idle connections too: they would not respond, either.
+// Handles a server that does not respond to a reset: closes its other idle connections too, since they would
+// not respond either.
 void ConnectionPool::reset_timed_out(const ConnectionPtr& connection) {
   connection->timer.reset();
   for (ServerConnection* idle : std::vector(connection->server.idle)) {
