--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -104,8 +104,8 @@
   timers_.cancel(status_timer_);
 }
 
-// Runs one of the three modules and executes its decisions. Datagrams and wake-ups are the same for all
-// modules.
+// Runs the membership, the quota manager or the consistency monitor, and executes its decisions. Datagrams
+// and wake-ups are the same for all of them.
 template <typename Core>
 void FleetCoordinator::process(TimedCore<Core>& timed) {
   for (const auto& next : timed.core->process(clock_.now())) {
--- a/src/proxy/fleet_coordinator.hpp
+++ b/src/proxy/fleet_coordinator.hpp
@@ -19,8 +19,8 @@
 
 namespace reedspindle::proxy {
 
-// Coordinates this instance with its peers: passes events to the three modules, executes their decisions, and
-// writes the status file.
+// Coordinates this instance with its peers: passes events to the membership, the quota manager and the
+// consistency monitor, executes their decisions, and writes the status file.
 class FleetCoordinator {
  public:
   using FleetViewHandler = std::function<void(FleetViewChanged)>;
@@ -46,7 +46,7 @@
   void stop();
 
  private:
-  // One of the modules that turn events into decisions, with its wake-up timer.
+  // The membership, the quota manager or the consistency monitor, with its wake-up timer.
   template <typename Core>
   struct TimedCore {
     std::unique_ptr<Core> core;  // null: disabled
