--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -1,10 +1,11 @@
 // The part of ClientConnections that accepts connections, limits their number, and drains them.
+#include "proxy/client_connections.hpp"
+
 #include <algorithm>
 #include <utility>
 #include <vector>
 
 #include "proxy/client_connection.hpp"
-#include "proxy/client_connections.hpp"
 
 namespace reedspindle::proxy {
 namespace {
--- a/src/proxy/fleet_coordinator.cpp
+++ b/src/proxy/fleet_coordinator.cpp
@@ -1,3 +1,5 @@
+#include "proxy/fleet_coordinator.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -5,8 +7,6 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "proxy/fleet_coordinator.hpp"
-
 namespace reedspindle::proxy {
 namespace {
 
--- a/src/proxy/options.cpp
+++ b/src/proxy/options.cpp
@@ -1,7 +1,8 @@
+#include "proxy/options.hpp"
+
 #include <algorithm>
 #include <cmath>
 
-#include "proxy/options.hpp"
 #include "quota/usage.hpp"
 #include "settings/settings.hpp"
 
--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -1,3 +1,5 @@
+#include "proxy/peer_socket.hpp"
+
 #include <linux/errqueue.h>
 #include <netinet/in.h>
 #include <netinet/ip_icmp.h>
@@ -6,8 +8,6 @@
 #include <cerrno>
 #include <utility>
 
-#include "proxy/peer_socket.hpp"
-
 namespace reedspindle::proxy {
 
 constexpr std::size_t kMaxDatagramBytes = 256;  // the protocol's limit on a datagram
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -1,8 +1,9 @@
+#include "proxy/proxy_server.hpp"
+
 #include <csignal>
 #include <ctime>
 #include <utility>
 
-#include "proxy/proxy_server.hpp"
 #include "proxy/signal_mask.hpp"
 
 namespace reedspindle::proxy {
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,9 +1,10 @@
 // The part of ConnectionPool that queues attempts and probes and limits the number of connections.
+#include "upstream/connection_pool.hpp"
+
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "upstream/connection_pool.hpp"
 #include "upstream/server_connection.hpp"
 
 namespace reedspindle::upstream {
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -1,11 +1,12 @@
 // The part of ConnectionPool that opens connections, sends queries, reads responses, and resets connections
 // before they are used again.
+#include "upstream/server_connection.hpp"
+
 #include <utility>
 #include <variant>
 #include <vector>
 
 #include "upstream/connection_pool.hpp"
-#include "upstream/server_connection.hpp"
 
 namespace reedspindle::upstream {
 namespace {
