--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -12,13 +12,13 @@
 
 using Tcp = asio::ip::tcp;
 
-// Read at once, so that a turn of the loop stays short: some two hundred servers.
-constexpr std::size_t kReadAtOnce = 32 * 1024;
-// Servers of a list that has been read, handed on in one turn of the loop.
-constexpr std::size_t kRowsOfPart = 256;
-// What a known server takes here, in the links to servers and in the decision module, and the part of the
-// memory that all of them may take.
-constexpr std::size_t kBytesOfServer = 1024, kPartOfMemory = 2;
+// Bytes read at once, about two hundred servers: it bounds the duration of a turn of the event loop.
+constexpr std::size_t kReadBytes = 32 * 1024;
+// Maximum number of servers delivered in one turn of the event loop.
+constexpr std::size_t kRowsPerPart = 256;
+// Memory per known server, counting this table, the connections to servers and the router; and the divisor
+// that gives the part of the memory limit that all servers may take.
+constexpr std::size_t kBytesPerServer = 1024, kMemoryDivisor = 2;
 }  // namespace
 
 struct Client::Connection {
@@ -26,22 +26,22 @@
   Tcp::socket socket;
   http_parser parser;
   std::string request;
-  std::array<char, kReadAtOnce> bytes;
+  std::array<char, kReadBytes> bytes;
   std::size_t body_bytes = 0;
-  std::string fault;  // of the list that is being read, empty: none
-  bool whole = false, closed = false;
-  ListReader* reader = nullptr;  // while an answer is read
+  std::string list_error;  // in the list that is being read; empty if none
+  bool complete = false, closed = false;
+  ListReader* reader = nullptr;  // while a response is being read
 
-  // Bytes of the body go straight into the list's reader.
+  // Passes the bytes of the body on to the list reader.
   static const http_parser_settings& settings() {
     static const http_parser_settings settings = [] {
       http_parser_settings made;
       http_parser_settings_init(&made);
       made.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-        return static_cast<Connection*>(parser->data)->take({at, length});
+        return static_cast<Connection*>(parser->data)->on_body({at, length});
       };
       made.on_message_complete = [](http_parser* parser) {
-        static_cast<Connection*>(parser->data)->whole = true;
+        static_cast<Connection*>(parser->data)->complete = true;
         http_parser_pause(parser, 1);
         return 0;
       };
@@ -50,15 +50,15 @@
     return settings;
   }
 
-  int take(std::string_view body) {
+  int on_body(std::string_view body) {
     body_bytes += body.size();
     if (parser.status_code != 200) {
       return 0;
     }
     try {
       reader->read(body);
-    } catch (const InvalidInput& malformed) {
-      fault = malformed.what();
+    } catch (const InvalidInput& error) {
+      list_error = error.what();
       return 1;
     }
     return 0;
@@ -66,27 +66,27 @@
 };
 
 Client::Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
-               const config::InstanceConfig& config, Delivery delivery, ListCallback told)
+               const config::InstanceConfig& config, Delivery delivery, ListCallback on_list)
     : io_(io),
       timers_(timers),
       clock_(clock),
       log_(log),
       config_(config),
       delivery_(delivery),
-      told_(std::move(told)),
+      on_list_(std::move(on_list)),
       discovery_(config.discovery),
       poller_(config.seed),
-      table_(config.memory_bytes / kPartOfMemory / kBytesOfServer) {}
+      table_(config.memory_bytes / kMemoryDivisor / kBytesPerServer) {}
 
 Client::~Client() = default;
 
 void Client::start() {
-  watch_wanted_ = handing_on_ == EndpointListKind::saved && table_.has_changes();
-  if (watch_wanted_) {
+  start_wanted_ = delivered_kind_ == EndpointListKind::saved && table_.has_changes();
+  if (start_wanted_) {
     return;
   }
   poller_.enqueue(StartPolling{});
-  settle();
+  run_poller();
 }
 
 void Client::load_saved(net::EndpointList saved) {
@@ -95,9 +95,9 @@
     table_.add(std::move(row));
   }
   table_.end_list(true);
-  taken_ = {saved.revision, true};
-  handing_on_ = EndpointListKind::saved;
-  hand_on_part();
+  applied_ = {saved.revision, true};
+  delivered_kind_ = EndpointListKind::saved;
+  deliver_part();
 }
 
 void Client::set_address(const Tcp::endpoint& discovery) {
@@ -106,56 +106,56 @@
   }
   discovery_ = discovery;
   poller_.enqueue(AddressChanged{});
-  settle();
+  run_poller();
 }
 
 void Client::request_full_list() {
   poller_.enqueue(FullListRequested{});
-  settle();
+  run_poller();
 }
 
 void Client::stop() {
   poller_.enqueue(StopPolling{});
-  settle();
-  timers_.cancel(wake_);
+  run_poller();
+  timers_.cancel(wakeup_);
 }
 
-void Client::settle() {
+void Client::run_poller() {
   for (const PollDecision& decision : poller_.process(clock_.now())) {
-    std::visit([this](const auto& one) { carry_out(one); }, decision);
+    std::visit([this](const auto& each) { execute(each); }, decision);
   }
 }
 
-void Client::carry_out(const RequestWakeup& wake) {
-  timers_.cancel(wake_);
-  wake_ = timers_.set(wake.at, [this] {
-    wake_.reset();
-    // Guards against calling a discovery silent whose bytes wait in the kernel, where the process was held
-    // up.
-    asio::error_code fault;
+void Client::execute(const RequestWakeup& wakeup) {
+  timers_.cancel(wakeup_);
+  wakeup_ = timers_.set(wakeup.at, [this] {
+    wakeup_.reset();
+    // If the process was stalled, bytes from discovery may still wait in the kernel: the poll must not time
+    // out then.
+    asio::error_code error;
     if (poller_.poll_in_flight() && connection_ && connection_->socket.is_open() &&
-        connection_->socket.available(fault) > 0) {
+        connection_->socket.available(error) > 0) {
       poller_.enqueue(BytesReceived{});
     }
-    settle();
+    run_poller();
   });
 }
 
-void Client::carry_out(const AbortPoll& /*unused*/) { close(); }
+void Client::execute(const AbortPoll& /*unused*/) { close(); }
 
-void Client::carry_out(const ReportFailure& failure) {
-  log_.warn("list", "no answer, what is known stays",
-            {{"why", failure.why},
+void Client::execute(const ReportFailure& failure) {
+  log_.warn("discovery", "endpoint list fetch failed, keeping known servers",
+            {{"error", failure.error},
              {"consecutive_failures", failure.consecutive_failures},
-             {"next_in_ms", failure.retry_in}});
-  told_({EndpointListKind::failed, poller_.revision(), {}, true});
+             {"retry_in_ms", failure.retry_in}});
+  on_list_({EndpointListKind::failed, poller_.revision(), {}, true});
 }
 
-void Client::carry_out(const SendPoll& call) {
+void Client::execute(const SendPoll& poll) {
   const std::string path =
-      call.since ? fmt::format("/discovery/hosts?since={}&timeout_ms={:.0f}", *call.since, call.wait)
+      poll.since ? fmt::format("/discovery/hosts?since={}&timeout_ms={:.0f}", *poll.since, poll.wait)
                  : "/discovery/hosts";
-  log_.debug("list", "call", {{"path", path}, {"connection", connection_ ? "kept" : "new"}});
+  log_.debug("discovery", "request sent", {{"path", path}, {"connection", connection_ ? "reused" : "new"}});
   const std::string request = fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
                                           path, config::format_endpoint(discovery_));
   begin_list();
@@ -165,160 +165,165 @@
   }
   connection_ = std::make_shared<Connection>(io_);
   connection_->request = request;
-  connection_->socket.async_connect(discovery_, [this, held = connection_](const asio::error_code& fault) {
-    if (held->closed) {
-      return;
-    }
-    if (fault) {
-      return fail(fault.message(), false);
-    }
-    write(held);
-  });
+  connection_->socket.async_connect(discovery_,
+                                    [this, connection = connection_](const asio::error_code& error) {
+                                      if (connection->closed) {
+                                        return;
+                                      }
+                                      if (error) {
+                                        return fail(error.message(), false);
+                                      }
+                                      write(connection);
+                                    });
 }
 
 void Client::begin_list() {
   table_.begin_list();
-  as_read_ = {};
+  unmodified_list_ = {};
   reader_ = std::make_unique<ListReader>(
       config_.names,
-      [this](net::ListedEndpoint row, const ListReader::Head& head) { take_row(std::move(row), head); });
+      [this](net::ListedEndpoint row, const ListReader::Head& head) { add_row(std::move(row), head); });
 }
 
-void Client::take_row(net::ListedEndpoint row, const ListReader::Head& /*unused*/) {
+void Client::add_row(net::ListedEndpoint row, const ListReader::Head& /*unused*/) {
   if (delivery_ == Delivery::per_list) {
-    return as_read_.servers.push_back(std::move(row));
+    return unmodified_list_.servers.push_back(std::move(row));
   }
-  if (std::optional<net::ListedEndpoint> now = table_.add(std::move(row))) {
-    at_once_.push_back(std::move(*now));
+  if (std::optional<net::ListedEndpoint> change = table_.add(std::move(row))) {
+    immediate_changes_.push_back(std::move(*change));
   }
 }
 
-void Client::write(const Connected& connection) {
-  connection->whole = false;
+void Client::write(const ConnectionPtr& connection) {
+  connection->complete = false;
   connection->body_bytes = 0;
-  connection->fault.clear();
+  connection->list_error.clear();
   connection->reader = reader_.get();
   http_parser_init(&connection->parser, HTTP_RESPONSE);
   connection->parser.data = connection.get();
   asio::async_write(connection->socket, asio::buffer(connection->request),
-                    [this, connection](const asio::error_code& fault, std::size_t) {
-                      if (!connection->closed && fault) {
-                        fail(fault.message(), false);
+                    [this, connection](const asio::error_code& error, std::size_t) {
+                      if (!connection->closed && error) {
+                        fail(error.message(), false);
                       }
                     });
   read(connection);
 }
 
-void Client::read(const Connected& connection) {
+void Client::read(const ConnectionPtr& connection) {
   connection->socket.async_read_some(asio::buffer(connection->bytes),
-                                     [this, connection](const asio::error_code& fault, std::size_t count) {
+                                     [this, connection](const asio::error_code& error, std::size_t count) {
                                        if (!connection->closed) {
-                                         received(connection, fault, count);
+                                         received(connection, error, count);
                                        }
                                      });
 }
 
-void Client::received(const Connected& connection, const asio::error_code& fault, std::size_t count) {
-  // An answer without a length ends with its connection, which the parser is told as no bytes.
-  if (fault && fault != asio::error::eof) {
-    return fail(fault.message(), false);
+void Client::received(const ConnectionPtr& connection, const asio::error_code& error, std::size_t count) {
+  // A response without a length ends with its connection; the parser is called with 0 bytes for that.
+  if (error && error != asio::error::eof) {
+    return fail(error.message(), false);
   }
   poller_.enqueue(BytesReceived{count});
   const std::size_t parsed = http_parser_execute(&connection->parser, &Connection::settings(),
-                                                 connection->bytes.data(), fault ? 0 : count);
-  if (!at_once_.empty()) {
-    told_({EndpointListKind::changes, poller_.revision(), std::exchange(at_once_, {}), false});
+                                                 connection->bytes.data(), error ? 0 : count);
+  if (!immediate_changes_.empty()) {
+    on_list_({EndpointListKind::changes, poller_.revision(), std::exchange(immediate_changes_, {}), false});
   }
   if (connection->closed) {
     return;
   }
-  if (!connection->fault.empty()) {
-    return fail(connection->fault, true);
+  if (!connection->list_error.empty()) {
+    return fail(connection->list_error, true);
   }
-  if (connection->whole) {
-    // What stands behind the answer belongs to none that was asked for: it must not be taken for the next
-    // one.
-    if (fault || parsed < count || !http_should_keep_alive(&connection->parser)) {
+  if (connection->complete) {
+    // Bytes behind the response belong to no request: the connection is closed so that they are not parsed as
+    // the next response.
+    if (error || parsed < count || !http_should_keep_alive(&connection->parser)) {
       asio::error_code ignored;
       connection->socket.close(ignored);
     }
-    return answered(connection);
+    return response_completed(connection);
   }
   if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK) {
     return fail(http_errno_description(HTTP_PARSER_ERRNO(&connection->parser)), false);
   }
-  if (fault) {
-    return fail("discovery ended the connection", false);
+  if (error) {
+    return fail("discovery closed the connection", false);
   }
-  settle();
+  run_poller();
   if (!connection->closed) {
     read(connection);
   }
 }
 
-void Client::answered(const Connected& connection) {
+void Client::response_completed(const ConnectionPtr& connection) {
   if (connection->parser.status_code != 200) {
-    return fail(fmt::format("status {}", static_cast<int>(connection->parser.status_code)), false);
+    return fail(fmt::format("HTTP status {}, expected 200", static_cast<int>(connection->parser.status_code)),
+                false);
   }
   try {
     const ListReader::Head head = reader_->finish();
-    taken_ = {*head.revision, *head.whole};
-  } catch (const InvalidInput& malformed) {
-    return fail(malformed.what(), true);
+    applied_ = {*head.revision, *head.complete};
+  } catch (const InvalidInput& error) {
+    return fail(error.what(), true);
   }
   http_parser_pause(&connection->parser, 0);
   if (!connection->socket.is_open()) {
     close();
   }
-  log_.debug("list", "answer",
-             {{"revision", taken_.revision}, {"whole", taken_.whole}, {"bytes", connection->body_bytes}});
-  // Of changes to another list than the one that is held nothing counts but what drains.
-  if (!taken_.whole && taken_.revision < poller_.revision()) {
-    poller_.enqueue(taken_);
-    return settle();
+  log_.debug(
+      "discovery", "endpoint list received",
+      {{"revision", applied_.revision}, {"complete", applied_.complete}, {"bytes", connection->body_bytes}});
+  // The changes are relative to another list than the known one: only draining, gone or restarted servers,
+  // which were delivered while reading, are used.
+  if (!applied_.complete && applied_.revision < poller_.revision()) {
+    poller_.enqueue(applied_);
+    return run_poller();
   }
   if (delivery_ == Delivery::per_list) {
-    as_read_.kind = taken_.whole ? EndpointListKind::complete : EndpointListKind::changes;
-    as_read_.revision = taken_.revision;
-    poller_.enqueue(taken_);
-    told_(std::exchange(as_read_, {}));
-    return settle();
+    unmodified_list_.kind = applied_.complete ? EndpointListKind::complete : EndpointListKind::changes;
+    unmodified_list_.revision = applied_.revision;
+    poller_.enqueue(applied_);
+    on_list_(std::exchange(unmodified_list_, {}));
+    return run_poller();
   }
   poller_.enqueue(ResponseCompleted{});
-  table_.end_list(taken_.whole);
+  table_.end_list(applied_.complete);
   if (table_.skipped() > 0) {
-    log_.warn("list", "servers left out for want of memory",
-              {{"servers", table_.skipped()}, {"kept", table_.size()}});
+    log_.warn("discovery", "servers skipped, memory limit reached",
+              {{"skipped", table_.skipped()}, {"kept", table_.size()}});
   }
-  handing_on_ = EndpointListKind::changes;
-  hand_on_part();
+  delivered_kind_ = EndpointListKind::changes;
+  deliver_part();
 }
 
-// A part of what the list has changed each turn of the loop; then the next call.
-void Client::hand_on_part() {
-  std::vector<net::ListedEndpoint> rows = table_.next_changes(kRowsOfPart);
+// Delivers one part of the list's changes in each turn of the event loop. The next poll follows the last
+// part.
+void Client::deliver_part() {
+  std::vector<net::ListedEndpoint> rows = table_.next_changes(kRowsPerPart);
   const bool last = !table_.has_changes();
-  told_({handing_on_, last ? taken_.revision : poller_.revision(), std::move(rows), last});
+  on_list_({delivered_kind_, last ? applied_.revision : poller_.revision(), std::move(rows), last});
   if (!last) {
-    asio::post(io_, [this] { hand_on_part(); });
+    asio::post(io_, [this] { deliver_part(); });
     return;
   }
-  if (handing_on_ == EndpointListKind::saved) {
-    if (std::exchange(watch_wanted_, false)) {
+  if (delivered_kind_ == EndpointListKind::saved) {
+    if (std::exchange(start_wanted_, false)) {
       start();
     }
     return;
   }
-  poller_.enqueue(taken_);
-  settle();
+  poller_.enqueue(applied_);
+  run_poller();
 }
 
-void Client::fail(std::string why, bool spoilt) {
-  poller_.enqueue(PollFailed{std::move(why), spoilt});
-  settle();
+void Client::fail(std::string error, bool invalid_list) {
+  poller_.enqueue(PollFailed{std::move(error), invalid_list});
+  run_poller();
 }
 
-// The connection to discovery is given back here and nowhere else.
+// Closes the connection. No other function releases it.
 void Client::close() {
   if (!connection_) {
     return;
--- a/src/discovery/client.hpp
+++ b/src/discovery/client.hpp
@@ -1,6 +1,6 @@
-// Carries calls to discovery over HTTP/1.1 and hands on what its lists say. When to call, and when to give a
-// call up, is decided by Poller; what a list changes, by ServerTable. Silence takes nothing away from what is
-// known.
+// Polls discovery over HTTP/1.1 and delivers what its endpoint lists say. Poller decides when to poll and
+// when to abort a poll; ServerTable determines what a list changes. While discovery does not answer, all
+// known servers are kept.
 #pragma once
 
 #include <asio.hpp>
@@ -19,43 +19,45 @@
 
 class Client {
  public:
-  // How lists are handed on: as what they change, in short parts, what drains at once; or each list as it was
-  // read, whole at a time.
+  // How lists are delivered. changes: as what each list changes, in short parts, and servers that are
+  // draining, gone or restarted at once. per_list: each list unmodified, in one piece.
   enum class Delivery { changes, per_list };
+  // Called for each delivery; also, with kind failed and no servers, after each failed poll.
   using ListCallback = std::function<void(net::EndpointList)>;
 
   Client(asio::io_context& io, net::Timers& timers, const net::Clock& clock, logging::Log& log,
-         const config::InstanceConfig& config, Delivery delivery, ListCallback told);
+         const config::InstanceConfig& config, Delivery delivery, ListCallback on_list);
   ~Client();
 
-  // Calls begin, and go on by themselves.
+  // Starts polling, which then continues by itself. If a saved list is still being delivered, polling starts
+  // after it.
   void start();
-  // What was known before the start is handed on like a list, of the kind saved.
+  // Delivers a list that was saved before the start, with kind saved.
   void load_saved(net::EndpointList saved);
-  // TestDiscovery is at another address from now on. What is known stays until its whole list comes.
+  // Sets the address of discovery. The known servers stay until the full list from there has been read.
   void set_address(const asio::ip::tcp::endpoint& discovery);
-  // What is known is in doubt: the whole list, now.
+  // Requests the full list at once, since the known one may be wrong.
   void request_full_list();
   void stop();
 
  private:
   struct Connection;
-  using Connected = std::shared_ptr<Connection>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
-  void settle();
-  void carry_out(const SendPoll& call);
-  void carry_out(const AbortPoll& decision);
-  void carry_out(const ReportFailure& failure);
-  void carry_out(const RequestWakeup& wake);
+  void run_poller();
+  void execute(const SendPoll& poll);
+  void execute(const AbortPoll& decision);
+  void execute(const ReportFailure& failure);
+  void execute(const RequestWakeup& wakeup);
 
-  void write(const Connected& connection);
-  void read(const Connected& connection);
-  void received(const Connected& connection, const asio::error_code& fault, std::size_t count);
+  void write(const ConnectionPtr& connection);
+  void read(const ConnectionPtr& connection);
+  void received(const ConnectionPtr& connection, const asio::error_code& error, std::size_t count);
   void begin_list();
-  void take_row(net::ListedEndpoint row, const ListReader::Head& head);
-  void answered(const Connected& connection);
-  void hand_on_part();
-  void fail(std::string why, bool spoilt);
+  void add_row(net::ListedEndpoint row, const ListReader::Head& head);
+  void response_completed(const ConnectionPtr& connection);
+  void deliver_part();
+  void fail(std::string error, bool invalid_list);
   void close();
 
   asio::io_context& io_;
@@ -64,19 +66,19 @@
   logging::Log& log_;
   const config::InstanceConfig& config_;
   const Delivery delivery_;
-  const ListCallback told_;
+  const ListCallback on_list_;
   asio::ip::tcp::endpoint discovery_;
   Poller poller_;
   ServerTable table_;
   std::unique_ptr<ListReader> reader_;
-  net::EndpointList as_read_;  // with that delivery
-  std::vector<net::ListedEndpoint>
-      at_once_;        // rows of the bytes read last that count before their list has ended
-  ListApplied taken_;  // of the list whose changes are being handed on
-  EndpointListKind handing_on_ = EndpointListKind::changes;
-  bool watch_wanted_ = false;  // once the saved list has been handed on
-  Connected connection_;       // the one owner of the connection to discovery
-  std::optional<net::Timers::Handle> wake_;
+  net::EndpointList unmodified_list_;  // with Delivery::per_list
+  // Changes in the bytes read last that are delivered before the list ends.
+  std::vector<net::ListedEndpoint> immediate_changes_;
+  ListApplied applied_;  // the list whose changes are being delivered
+  EndpointListKind delivered_kind_ = EndpointListKind::changes;
+  bool start_wanted_ = false;  // polling starts once the saved list has been delivered
+  ConnectionPtr connection_;   // the only owner of the connection to discovery
+  std::optional<net::Timers::Handle> wakeup_;
 };
 
 }  // namespace reedspindle::discovery
--- a/src/discovery/list_reader.hpp
+++ b/src/discovery/list_reader.hpp
@@ -1,5 +1,5 @@
-// Reads a list in discovery's form as its bytes come, a server at a time: the document is never in memory as
-// a whole. Free of I/O.
+// Parses an endpoint list in discovery's JSON form while its bytes arrive, one server at a time: the document
+// is never held in memory as a whole. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,29 +17,30 @@
 
 using net::ListedEndpoint, net::EndpointList;
 
-// Bytes from one server's end to the next: over three hundred times what a server takes in the protocol's
-// example.
+// Maximum number of bytes between the ends of two servers in the list: over three hundred times the size of a
+// server in the protocol's example.
 constexpr std::size_t kMaxTargetBytes = 64 * 1024;
-// Objects and arrays inside one another, in what discovery may say beyond the protocol.
+// Maximum nesting of objects and arrays, including fields that the protocol does not define.
 constexpr int kMaxDepth = 32;
 
 class ListReader {
  public:
   struct Head {
     std::optional<long long> revision;
-    std::optional<bool> whole;
+    std::optional<bool> complete;  // a full list, not changes to one
   };
-  // Called for each server as soon as its last byte is read, with as much of the list's head as stood before
-  // it.
-  using Row = std::function<void(net::ListedEndpoint, const Head&)>;
+  // Called for each server as soon as its last byte has been read, with those fields of the head that precede
+  // it in the document.
+  using RowCallback = std::function<void(net::ListedEndpoint, const Head&)>;
 
-  ListReader(const config::NameTable& names, Row row);
+  ListReader(const config::NameTable& names, RowCallback on_row);
   ~ListReader();
   ListReader(const ListReader&) = delete;
 
-  // Throws InvalidInput, which names what is faulty; nothing more is to be read then.
+  // Parses the next bytes. Throws InvalidInput, which names the faulty field; the reader must not be used
+  // after that.
   void read(std::string_view bytes);
-  // The list has ended. Throws InvalidInput where it is not whole.
+  // Ends the list and returns its head. Throws InvalidInput if the document is incomplete.
   Head finish();
 
  private:
@@ -47,7 +48,7 @@
   std::unique_ptr<Document> document_;
 };
 
-// The whole of a list that is at hand. Throws InvalidInput; nothing of such a list counts.
+// Parses a list that is in memory as a whole. Throws InvalidInput, in which case no part of the list is used.
 net::EndpointList parse_endpoint_list(std::string_view json, const config::NameTable& names);
 
 }  // namespace reedspindle::discovery
--- a/src/discovery/server_table.cpp
+++ b/src/discovery/server_table.cpp
@@ -8,7 +8,7 @@
 namespace reedspindle::discovery {
 
 void ServerTable::begin_list() {
-  ++list_;
+  ++list_number_;
   staged_.clear();
   skipped_ = 0;
 }
@@ -21,9 +21,9 @@
       return std::nullopt;
     }
     if (staged_.contains(id)) {
-      throw InvalidInput("targets: uid is there twice: " + id);
+      throw InvalidInput("targets[].uid: duplicate value " + id);
     }
-    if (known_.size() + staged_.size() >= most_) {
+    if (known_.size() + staged_.size() >= max_servers_) {
       ++skipped_;
     } else {
       staged_.emplace(id, std::move(row));
@@ -31,55 +31,55 @@
     return std::nullopt;
   }
   Known& known = found->second;
-  if (std::exchange(known.seen_in, list_) == list_) {
-    throw InvalidInput("targets: uid is there twice: " + id);
+  if (std::exchange(known.seen_in, list_number_) == list_number_) {
+    throw InvalidInput("targets[].uid: duplicate value " + id);
   }
   if (row == known.row) {
     return std::nullopt;
   }
 
-  // One that is gone comes back, if only to drain, with a list that has been read to its end.
+  // A server that is gone comes back, even as draining, only with a list that has been read to its end.
   const ServerState before = known.row.entry.state;
-  const bool is_there = before != ServerState::gone;
-  const bool leaves = is_there && row.entry.state != ServerState::ready && row.entry.state != before;
-  const bool started = is_there && row.entry.started_at > known.row.entry.started_at;
-  if (!leaves && !started) {
+  const bool was_present = before != ServerState::gone;
+  const bool leaving = was_present && row.entry.state != ServerState::ready && row.entry.state != before;
+  const bool restarted = was_present && row.entry.started_at > known.row.entry.started_at;
+  if (!leaving && !restarted) {
     staged_.emplace(id, std::move(row));
     return std::nullopt;
   }
-  // Only this much of the row counts before the list has been read to its end.
-  if (leaves) {
+  // Only the state and the start time of the row take effect before the list has been read to its end.
+  if (leaving) {
     known.row.entry.state = row.entry.state;
   }
   if (row.entry.state == ServerState::gone) {
     gone_.push_back(id);
   }
-  if (started) {
+  if (restarted) {
     known.row.entry.started_at = row.entry.started_at;
   }
-  const net::ListedEndpoint now = known.row;
-  if (row != now) {
+  const net::ListedEndpoint updated = known.row;
+  if (row != updated) {
     staged_.emplace(id, std::move(row));
   }
-  return now;
+  return updated;
 }
 
-void ServerTable::end_list(bool whole) {
-  if (whole) {
+void ServerTable::end_list(bool complete) {
+  if (complete) {
     for (auto& [id, known] : known_) {
-      if (known.seen_in == list_ || known.row.entry.state == ServerState::gone) {
+      if (known.seen_in == list_number_ || known.row.entry.state == ServerState::gone) {
         continue;
       }
       known.row.entry.state = ServerState::gone;
       gone_.push_back(id);
-      change(known.row);
+      add_change(known.row);
     }
   }
   for (auto& [id, row] : staged_) {
     Known& known = known_[id];
-    known.seen_in = list_;
+    known.seen_in = list_number_;
     known.row = row;
-    change(row);
+    add_change(row);
   }
   staged_.clear();
   for (const std::string& id : std::exchange(gone_, {})) {
--- a/src/discovery/server_table.hpp
+++ b/src/discovery/server_table.hpp
@@ -1,6 +1,6 @@
-// What is known of the servers, and what a list that is being read changes in it. That a known server drains,
-// is gone or has started anew counts as soon as its row is read; all else waits until the list has been read
-// to its end without a fault, and is then handed out in parts. Free of I/O.
+// The known servers, and what a list that is being read changes in them. If a row says that a known server is
+// draining, gone or has restarted, this takes effect as soon as the row is read; everything else takes effect
+// only when the list has been read to its end without an error, and is then returned in parts. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -19,43 +19,43 @@
 
 class ServerTable {
  public:
-  // How many servers are kept at the most.
-  explicit ServerTable(std::size_t most) : most_(most) {}
+  // Keeps at most this many servers.
+  explicit ServerTable(std::size_t max_servers) : max_servers_(max_servers) {}
 
-  // A list begins; what was read of one that did not end is forgotten.
+  // Begins a list and discards what was read of a list that was not ended.
   void begin_list();
-  // The row, if it counts at once, as it is to be handed on. Throws InvalidInput where the list has that
-  // server twice.
+  // Adds a row of the list. If part of it takes effect at once, returns the server as it is known from now
+  // on. Throws InvalidInput if the list has the server twice.
   std::optional<net::ListedEndpoint> add(net::ListedEndpoint row);
-  // The list has ended: what it changes is there for next_changes. A whole list leaves out the servers that
-  // are gone.
-  void end_list(bool whole);
-  // The next of what the last list has changed, so many rows at the most, servers that leave first; empty:
-  // that was all.
+  // Ends the list: its changes are now available from next_changes. Servers that a complete list does not
+  // name become gone.
+  void end_list(bool complete);
+  // Returns the next changes of the last list, at most so many rows, servers that are draining or gone first.
+  // Empty when there are no more.
   std::vector<net::ListedEndpoint> next_changes(std::size_t rows);
   [[nodiscard]] bool has_changes() const { return !changes_.empty(); }
 
   [[nodiscard]] std::size_t size() const { return known_.size(); }
-  // Servers of the last list for which there was no room.
+  // Returns how many servers of the last list were skipped because the table was full.
   [[nodiscard]] std::size_t skipped() const { return skipped_; }
 
  private:
   struct Known {
     net::ListedEndpoint row;
-    std::uint64_t seen_in = 0;  // the list that named it last
+    std::uint64_t seen_in = 0;  // the number of the last list that named it
   };
 
-  void change(const net::ListedEndpoint& row) {
+  void add_change(const net::ListedEndpoint& row) {
     changes_[{row.entry.state == ServerState::ready, row.entry.id.address}] = row;
   }
 
-  const std::size_t most_;
-  std::uint64_t list_ = 0;
+  const std::size_t max_servers_;
+  std::uint64_t list_number_ = 0;
   std::map<std::string, Known> known_;
-  std::map<std::string, net::ListedEndpoint> staged_;  // rows that wait for the end of their list
-  std::map<std::pair<bool, std::string>, net::ListedEndpoint>
-      changes_;                    // by whether the server is ready, and its id
-  std::vector<std::string> gone_;  // forgotten once the list has ended, unless it has them again
+  std::map<std::string, net::ListedEndpoint> staged_;  // rows that take effect at the end of their list
+  // By whether the server is ready, and its id.
+  std::map<std::pair<bool, std::string>, net::ListedEndpoint> changes_;
+  std::vector<std::string> gone_;  // removed at the end of the list unless it names them again
   std::size_t skipped_ = 0;
 };
 
--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -149,7 +149,7 @@
     try {
       ListReader reader(names_, [this](ListedEndpoint row, const ListReader::Head& head) {
         digest_.add(fmt::format("row {} {}: {}", head.revision.value_or(-1),
-                                head.whole ? static_cast<int>(*head.whole) : -1, text_of(row)));
+                                head.complete ? static_cast<int>(*head.complete) : -1, text_of(row)));
         const auto immediate = table_.add(std::move(row));
         if (immediate) {
           digest_.add("at once " + text_of(*immediate));
@@ -162,8 +162,8 @@
         offset += chunk_size;
       }
       const ListReader::Head head = reader.finish();
-      digest_.add(fmt::format("list {} {}", *head.revision, *head.whole));
-      table_.end_list(*head.whole);
+      digest_.add(fmt::format("list {} {}", *head.revision, *head.complete));
+      table_.end_list(*head.complete);
     } catch (const InvalidInput&) {
       digest_.add("no list");
     }
