--- a/src/config/instance_config.cpp
+++ b/src/config/instance_config.cpp
@@ -11,13 +11,13 @@
 
 using Json = nlohmann::json;
 
-[[noreturn]] void wrong(const std::string& key, const std::string& expected) {
-  throw InvalidInput(fmt::format("{}: {} was expected", key, expected));
+[[noreturn]] void throw_invalid(const std::string& key, const std::string& expected) {
+  throw InvalidInput(fmt::format("{}: expected {}", key, expected));
 }
 
-// A value of the configuration, with the key as messages name it.
+// A value of the configuration and the full key under which error messages name it.
 struct Key {
-  const Json* value = nullptr;  // null: missing
+  const Json* value = nullptr;  // null if the key is missing
   std::string name;
 
   [[nodiscard]] Key in(const std::string& inner) const {
@@ -26,14 +26,14 @@
       return {nullptr, full};
     }
     if (!value->is_object()) {
-      wrong(name, "an object");
+      throw_invalid(name, "an object");
     }
     const auto found = value->find(inner);
     return {found == value->end() || found->is_null() ? nullptr : &*found, full};
   }
   std::vector<Key> rows(const char* expected) const {
     if (!value || !value->is_array()) {
-      wrong(name, expected);
+      throw_invalid(name, expected);
     }
     std::vector<Key> rows;
     for (const Json& row : *value) {
@@ -43,45 +43,46 @@
   }
   std::string text(const char* expected) const {
     if (!value || !value->is_string() || value->get<std::string>().empty()) {
-      wrong(name, expected);
+      throw_invalid(name, expected);
     }
     return value->get<std::string>();
   }
-  [[nodiscard]] double number(double other, double least) const {
+  [[nodiscard]] double number(double default_value, double minimum) const {
     if (!value) {
-      return other;
+      return default_value;
     }
-    const std::string expected = fmt::format("a number of at least {}", least);
-    if (!value->is_number() || value->get<double>() < least) {
-      wrong(name, expected);
+    const std::string expected = fmt::format("a number of at least {}", minimum);
+    if (!value->is_number() || value->get<double>() < minimum) {
+      throw_invalid(name, expected);
     }
     return value->get<double>();
   }
 };
 
 template <typename Endpoint>
-Endpoint endpoint_of(const std::string& text, const std::string& key) {
+Endpoint endpoint_from(const std::string& text, const std::string& key) {
   const auto endpoint = parse_endpoint(text);
   if (!endpoint) {
-    wrong(key, "an address and a port such as 10.0.0.4:6432");
+    throw_invalid(key, "an address and a port such as 10.0.0.4:6432");
   }
   return {endpoint->address(), endpoint->port()};
 }
 
-// The environment's word comes first; the file holds the same and more.
-std::string told(const Environment& environment, const char* variable, const Key& key, const char* expected) {
+// Returns a value that both the environment and the file can set; the environment takes precedence.
+std::string environment_or_file(const Environment& environment, const char* variable, const Key& key,
+                                const char* expected) {
   const char* text = environment(variable);
   if (text && *text) {
     return text;
   }
   if (!key.value) {
-    throw InvalidInput(fmt::format("{} and {}: {} was expected in one", variable, key.name, expected));
+    throw InvalidInput(fmt::format("{} or {}: expected {}", variable, key.name, expected));
   }
   return key.text(expected);
 }
 
 template <typename T>
-std::map<std::string, T, std::less<>> names_of(const Key& list, const char* inner) {
+std::map<std::string, T, std::less<>> parse_names(const Key& list, const char* inner) {
   std::map<std::string, T, std::less<>> names;
   if (!list.value) {
     return names;
@@ -100,12 +101,12 @@
   if (colon == std::string::npos) {
     return std::nullopt;
   }
-  asio::error_code fault;
+  asio::error_code error;
   const bool bracketed = colon > 1 && text.front() == '[' && text[colon - 1] == ']';
   const auto address =
-      asio::ip::make_address(bracketed ? text.substr(1, colon - 2) : text.substr(0, colon), fault);
+      asio::ip::make_address(bracketed ? text.substr(1, colon - 2) : text.substr(0, colon), error);
   const std::string port = text.substr(colon + 1);
-  if (fault || port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos) {
+  if (error || port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos) {
     return std::nullopt;
   }
   const unsigned long number = std::stoul(port);
@@ -124,39 +125,39 @@
 InstanceConfig read_instance_config(const Environment& environment, ReadMode mode) {
   const char* path = environment("ROUTER_CONFIG");
   if (!path || !*path) {
-    wrong("ROUTER_CONFIG", "the path of the configuration file");
+    throw_invalid("ROUTER_CONFIG", "the path of the configuration file");
   }
   std::ifstream file(path);
   if (!file) {
-    wrong("ROUTER_CONFIG", fmt::format("a file that can be read, not {},", path));
+    throw_invalid("ROUTER_CONFIG", fmt::format("a readable file, got {}", path));
   }
-  // The saved list counts at the start alone, and may be most of the file.
+  // The saved list is used only at the start and may be most of the file.
   const Json::parser_callback_t without_list = [](int depth, Json::parse_event_t event, Json& key) {
     return depth != 1 || event != Json::parse_event_t::key || key != "known";
   };
   const Json json = Json::parse(file, mode == ReadMode::reload ? without_list : nullptr, false);
   if (json.is_discarded() || !json.is_object()) {
-    wrong("ROUTER_CONFIG", "a file that holds a JSON object");
+    throw_invalid("ROUTER_CONFIG", "the path of a file with a JSON object");
   }
   const Key top{&json, ""};
 
   InstanceConfig config;
-  const char* address = "an address and a port";
-  config.name = told(environment, "ROUTER_NAME", top.in("name"), "a name");
-  config.listen = endpoint_of<asio::ip::tcp::endpoint>(
-      told(environment, "ROUTER_LISTEN", top.in("listen"), address), "listen");
-  const Key discovery_at = top.in("discovery");
-  config.discovery =
-      endpoint_of<asio::ip::tcp::endpoint>(mode == ReadMode::reload && discovery_at.value
-                                               ? discovery_at.text(address)
-                                               : told(environment, "ROUTER_DISCOVERY", discovery_at, address),
-                                           "discovery");
+  const char* endpoint_form = "an address and a port";
+  config.name = environment_or_file(environment, "ROUTER_NAME", top.in("name"), "a name");
+  config.listen = endpoint_from<asio::ip::tcp::endpoint>(
+      environment_or_file(environment, "ROUTER_LISTEN", top.in("listen"), endpoint_form), "listen");
+  const Key discovery_key = top.in("discovery");
+  config.discovery = endpoint_from<asio::ip::tcp::endpoint>(
+      mode == ReadMode::reload && discovery_key.value
+          ? discovery_key.text(endpoint_form)
+          : environment_or_file(environment, "ROUTER_DISCOVERY", discovery_key, endpoint_form),
+      "discovery");
 
   const Key seed = top.in("seed");
   if (seed.value) {
     const std::string text = seed.text("up to 16 hexadecimal digits");
     if (text.size() > 16 || text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-      wrong(seed.name, "up to 16 hexadecimal digits");
+      throw_invalid(seed.name, "up to 16 hexadecimal digits");
     }
     config.seed = std::stoull(text, nullptr, 16);
   }
@@ -165,10 +166,10 @@
   if (top.in("peer_listen").value) {
     using Endpoint = asio::ip::udp::endpoint;
     config.peers_enabled = true;
-    config.peer_listen = endpoint_of<Endpoint>(top.in("peer_listen").text(address), "peer_listen");
-    config.peers_all = endpoint_of<Endpoint>(top.in("peers_all").text(address), "peers_all");
+    config.peer_listen = endpoint_from<Endpoint>(top.in("peer_listen").text(endpoint_form), "peer_listen");
+    config.peers_all = endpoint_from<Endpoint>(top.in("peers_all").text(endpoint_form), "peers_all");
     for (const Key& peer : top.in("peers").rows("an array of addresses")) {
-      config.peers.push_back(endpoint_of<Endpoint>(peer.text(address), peer.name));
+      config.peers.push_back(endpoint_from<Endpoint>(peer.text(endpoint_form), peer.name));
     }
   }
   if (const Key known = top.in("known"); known.value) {
@@ -177,38 +178,39 @@
 
   const Key settings = top.in("settings");
   if (!settings.value || !settings.value->is_object()) {
-    wrong("settings", "an object");
+    throw_invalid("settings", "an object");
   }
   try {
     config.router_settings = parse_router_settings(*settings.value);
-  } catch (const std::exception& fault) {
-    throw InvalidInput(fmt::format("settings: {}", fault.what()));
+  } catch (const std::exception& error) {
+    throw InvalidInput(fmt::format("settings: {}", error.what()));
   }
-  const Key types = settings.in("requestClasses");
-  const auto is = [&](RequestClassId type, const char* key, const char* word) {
+  const Key classes = settings.in("requestClasses");
+  const auto setting_is = [&](RequestClassId type, const char* key, const char* expected) {
     const auto found = config.router_settings.find(fmt::format("op_type.{}.{}", type.number, key));
-    return found != config.router_settings.end() && found->second == decltype(found->second)(word);
+    return found != config.router_settings.end() && found->second == decltype(found->second)(expected);
   };
-  for (const auto& [name, type] : names_of<RequestClassId>(types, "name")) {
-    config.names.request_classes[name] = {type, is(type, "needs", "write"), is(type, "effect", "tokened")};
+  for (const auto& [name, type] : parse_names<RequestClassId>(classes, "name")) {
+    config.names.request_classes[name] = {type, setting_is(type, "needs", "write"),
+                                          setting_is(type, "effect", "tokened")};
   }
   if (config.names.request_classes.empty()) {
-    wrong(types.name, "at least one op type");
+    throw_invalid(classes.name, "at least one request class");
   }
-  for (const Key& type : types.rows("an array")) {
-    for (const char* of : {"goalTime", "deadline", "dedupWindow", "importance", "lateValue"}) {
-      static_cast<void>(type.in(of).number(0, 0));
+  for (const Key& type : classes.rows("an array")) {
+    for (const char* field : {"goalTime", "deadline", "dedupWindow", "importance", "lateValue"}) {
+      static_cast<void>(type.in(field).number(0, 0));
     }
   }
-  config.names.zones = names_of<ZoneId>(settings.in("zones"), nullptr);
-  config.names.kinds = names_of<int>(settings.in("shapes"), nullptr);
+  config.names.zones = parse_names<ZoneId>(settings.in("zones"), nullptr);
+  config.names.kinds = parse_names<int>(settings.in("shapes"), nullptr);
   const Key discovery = settings.in("discovery");
   config.polls_endpoints = discovery.value && discovery.text("push or ask") == "ask";
 
-  const Key allowed = settings.in("ceilings");
-  config.max_open_requests = static_cast<std::size_t>(allowed.in("maxOpen").number(20000, 1));
-  config.connect_timeout = allowed.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
-  config.connection_idle = allowed.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
+  const Key limits = settings.in("ceilings");
+  config.max_open_requests = static_cast<std::size_t>(limits.in("maxOpen").number(20000, 1));
+  config.connect_timeout = limits.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
+  config.connection_idle = limits.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
   return config;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -8,18 +8,20 @@
 
 using Json = nlohmann::json;
 
-std::string router_term_of(const std::string& wire) {
-  static const std::map<std::string, std::string> words = {
+// Returns the router's term for a value of the settings object; values without one keep their text.
+std::string router_term_of(const std::string& value) {
+  static const std::map<std::string, std::string> terms = {
       {"repeatable", "retryable"}, {"by_key", "tokened"},     {"once", "non-retryable"}, {"update", "write"},
       {"latest", "current"},       {"own_writes", "session"}, {"recent", "bounded"},     {"loose", "any"},
       {"cell", "group"},           {"reject", "turns_away"},  {"hold", "waits"},         {"silent", "none"},
       {"client", "carried"},       {"router", "remembered"},  {"initial", "start"},      {"delayed", "late"},
       {"pull", "probes"},          {"piggyback", "answers"}};
-  const auto found = words.find(wire);
-  return found == words.end() ? wire : found->second;
+  const auto found = terms.find(value);
+  return found == terms.end() ? value : found->second;
 }
 
-void put(Settings& values, const std::string& name, const Json& value, double per_unit) {
+// Sets a setting from a string, number or boolean; ignores other values.
+void set_value(Settings& values, const std::string& name, const Json& value, double per_unit) {
   if (value.is_string()) {
     values[name] = router_term_of(value.get<std::string>());
   } else if (value.is_number() || value.is_boolean()) {
@@ -27,38 +29,40 @@
   }
 }
 
+// A key of the settings object with dots between levels, the router's name for it, and what its value is
+// divided by.
 struct Setting {
-  const char* wire;
+  const char* key;
   const char* name;
   double per_unit;
 };
 
 }  // namespace
 
-const Json& element_or_null(const Json& list, std::size_t place) {
+const Json& element_or_null(const Json& list, std::size_t index) {
   static const Json null;
-  return place < list.size() ? list[place] : null;
+  return index < list.size() ? list[index] : null;
 }
 
-double number_or_default(const Json& value, double other) {
+double number_or_default(const Json& value, double default_value) {
   if (value.is_null()) {
-    return other;
+    return default_value;
   }
   if (value.is_boolean()) {
     return value.get<bool>() ? 1 : 0;
   }
   if (!value.is_number()) {
-    throw InvalidInput("a number was expected, not " + value.dump());
+    throw InvalidInput("expected a number, got " + value.dump());
   }
   return value.get<double>();
 }
 
-std::string string_or_default(const Json& value, const std::string& other) {
+std::string string_or_default(const Json& value, const std::string& default_value) {
   if (value.is_null()) {
-    return other;
+    return default_value;
   }
   if (!value.is_string()) {
-    throw InvalidInput("a text was expected, not " + value.dump());
+    throw InvalidInput("expected a string, got " + value.dump());
   }
   return value.get<std::string>();
 }
@@ -102,46 +106,46 @@
       {"rules.fallMultiple", "rule.fall_multiple", 1},
       {"rules.fall", "rule.fall", kNsPerMs},
       {"rules.droppedStayOpen", "rule.only_draining_binds", 1}};
-  static const std::vector<Setting> of_op_type = {{"aimStretch", "target_stretch", 1},
-                                                  {"goalTime", "latency_target", kNsPerMs},
-                                                  {"deadline", "op_timeout", kNsPerMs},
-                                                  {"effect", "effect", 1},
-                                                  {"keyScope", "token_scope", 1},
-                                                  {"lateValue", "late_value", 1},
-                                                  {"dedupWindow", "token_memory", kNsPerMs},
-                                                  {"importance", "value", 1}};
+  static const std::vector<Setting> per_class = {{"aimStretch", "target_stretch", 1},
+                                                 {"goalTime", "latency_target", kNsPerMs},
+                                                 {"deadline", "op_timeout", kNsPerMs},
+                                                 {"effect", "effect", 1},
+                                                 {"keyScope", "token_scope", 1},
+                                                 {"lateValue", "late_value", 1},
+                                                 {"dedupWindow", "token_memory", kNsPerMs},
+                                                 {"importance", "value", 1}};
 
   Settings values;
   if (!settings.is_object()) {
-    throw InvalidInput("the settings are no object");
+    throw InvalidInput("settings: expected an object");
   }
   for (const Setting& setting : general) {
     const Json* at = &settings;
-    std::string path = setting.wire;
+    std::string path = setting.key;
     for (std::size_t dot; at && (dot = path.find('.')) != std::string::npos; path = path.substr(dot + 1)) {
       const auto inner = at->find(path.substr(0, dot));
       at = inner != at->end() && inner->is_object() ? &*inner : nullptr;
     }
     if (at && at->contains(path)) {
-      put(values, setting.name, (*at)[path], setting.per_unit);
+      set_value(values, setting.name, (*at)[path], setting.per_unit);
     }
   }
-  const Json types = settings.value("requestClasses", Json::array());
+  const Json classes = settings.value("requestClasses", Json::array());
   const Json family = settings.contains("familyInfo") && settings["familyInfo"].is_object()
                           ? settings["familyInfo"]
                           : Json::object();
   const Json needs = family.value("needsByClass", Json::array());
   const Json bounds = family.value("oldestData", Json::array());
-  values["op_types"] = static_cast<double>(types.size());
-  for (std::size_t i = 0; i < types.size(); ++i) {
+  values["op_types"] = static_cast<double>(classes.size());
+  for (std::size_t i = 0; i < classes.size(); ++i) {
     const std::string prefix = "op_type." + std::to_string(i) + ".";
-    for (const Setting& setting : of_op_type) {
-      if (types[i].contains(setting.wire)) {
-        put(values, prefix + setting.name, types[i][setting.wire], setting.per_unit);
+    for (const Setting& setting : per_class) {
+      if (classes[i].contains(setting.key)) {
+        set_value(values, prefix + setting.name, classes[i][setting.key], setting.per_unit);
       }
     }
-    put(values, prefix + "needs", element_or_null(needs, i), 1);
-    put(values, prefix + "bound", element_or_null(bounds, i), kNsPerMs);
+    set_value(values, prefix + "needs", element_or_null(needs, i), 1);
+    set_value(values, prefix + "bound", element_or_null(bounds, i), kNsPerMs);
   }
   return values;
 }
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,5 +1,5 @@
-// The settings object that an instance is handed at start, on the simulator's wire as in a front's
-// placement, turned into the module's Values. It only translates: words, units and places.
+// Translates the settings object that an instance is given at start, by the simulator or in its configuration
+// file, into the router's Settings: names, values and units.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,20 +10,23 @@
 
 namespace reedspindle {
 
-// What was handed over does not read as it should; the message says where.
+// Input that does not have the expected form. The message says where and what was expected.
 struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-constexpr double kNsPerMs = 1e6;  // times are whole ns there, ms with fractions here
+// Times are integers in nanoseconds in the settings object, and milliseconds with fractions in the router.
+constexpr double kNsPerMs = 1e6;
 
-// A value of an array by its place; null beyond the end.
-const nlohmann::json& element_or_null(const nlohmann::json& list, std::size_t place);
-// Missing values become the other; a value of another kind is malformed.
-double number_or_default(const nlohmann::json& value, double other);
-std::string string_or_default(const nlohmann::json& value, const std::string& other);
+// Returns an element of an array, or a JSON null beyond its end.
+const nlohmann::json& element_or_null(const nlohmann::json& list, std::size_t index);
+// Returns a number, or 1 and 0 for booleans; the default for null. Throws InvalidInput for other values.
+double number_or_default(const nlohmann::json& value, double default_value);
+// Returns a string; the default for null. Throws InvalidInput for other values.
+std::string string_or_default(const nlohmann::json& value, const std::string& default_value);
 
-// The settings under the module's names (times in ms).
+// Returns the settings under the router's names, with times in milliseconds. Throws InvalidInput if they are
+// not an object; keys that are not known are ignored.
 Settings parse_router_settings(const nlohmann::json& settings);
 
 }  // namespace reedspindle
