--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -609,7 +609,7 @@
   }
   for (int front = 0; front < plan_.fronts; ++front) {
     for (const Json& line : process(front).log_lines()) {
-      if (line.value("kind", "") == "fleet" && line.value("event", "") == "failed" &&
+      if (line.value("component", "") == "fleet" && line.value("event", "") == "failed" &&
           spared.contains(line.value("front", ""))) {
         return fmt::format("{} came to hold {} failed", name_of(front), line["front"].get<std::string>());
       }
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -13,32 +13,37 @@
 
 namespace reedspindle::logging {
 namespace {
-constexpr Millis kSpan = 10000;          // in which a kind may write so many lines
-constexpr std::size_t kWaiting = 65536;  // what waits for a slow reader at most
-constexpr std::size_t kAtomic = 4096;    // a pipe that is writable takes as much at once
-
-bool is_control(char letter) { return static_cast<unsigned char>(letter) < ' ' || letter == 0x7f; }
-
-// What peers sent may stand in a value: nothing in it ends a line or a value.
-std::string plain(std::string_view value) {
+// Length of the span in which the lines of a component are limited.
+constexpr Millis kRateLimitSpan = 10000;
+// Maximum number of bytes that wait for a slow reader.
+constexpr std::size_t kMaxBufferBytes = 65536;
+// A pipe that is writable accepts this many bytes without blocking.
+constexpr std::size_t kMaxWriteBytes = 4096;
+
+bool is_control(char character) { return static_cast<unsigned char>(character) < ' ' || character == 0x7f; }
+
+// Formats a value of a text line. It may have come from the network: control characters are replaced and
+// quotes escaped, so that it can end neither the line nor the value.
+std::string quote_text(std::string_view value) {
   std::string text(value);
   std::ranges::replace_if(text, is_control, ' ');
   if (text.find_first_of(" \"=") == std::string::npos && !text.empty()) {
     return text;
   }
   std::string quoted = "\"";
-  for (const char letter : text) {
-    if (letter == '"' || letter == '\\') {
+  for (const char character : text) {
+    if (character == '"' || character == '\\') {
       quoted += '\\';
     }
-    quoted += letter;
+    quoted += character;
   }
   return quoted + '"';
 }
 
-// As a JSON text. What is no UTF-8 is told byte by byte as the letters of Latin-1.
-std::string in_json(std::string_view value) {
-  const auto follows = [&value](std::size_t at, std::size_t count) {
+// Formats a JSON string. Bytes that are not valid UTF-8 are written as the Latin-1 characters with their
+// codes.
+std::string quote_json(std::string_view value) {
+  const auto continues = [&value](std::size_t at, std::size_t count) {
     if (at + count >= value.size()) {
       return false;
     }
@@ -51,31 +56,32 @@
   };
   std::string quoted = "\"";
   for (std::size_t at = 0; at < value.size(); ++at) {
-    const auto letter = static_cast<unsigned char>(value[at]);
-    const std::size_t more = letter >= 0xf0 && letter < 0xf5   ? 3
-                             : letter >= 0xe0 && letter < 0xf0 ? 2
-                             : letter >= 0xc2 && letter < 0xe0 ? 1
-                                                               : 0;
-    if (letter == '"' || letter == '\\') {
+    const auto character = static_cast<unsigned char>(value[at]);
+    const std::size_t continuation = character >= 0xf0 && character < 0xf5   ? 3
+                                     : character >= 0xe0 && character < 0xf0 ? 2
+                                     : character >= 0xc2 && character < 0xe0 ? 1
+                                                                             : 0;
+    if (character == '"' || character == '\\') {
       quoted += '\\', quoted += value[at];
-    } else if (is_control(value[at]) || (letter >= 0x80 && (more == 0 || !follows(at, more)))) {
-      quoted += fmt::format("\\u{:04x}", letter);
+    } else if (is_control(value[at]) ||
+               (character >= 0x80 && (continuation == 0 || !continues(at, continuation)))) {
+      quoted += fmt::format("\\u{:04x}", character);
     } else {
-      quoted.append(value.substr(at, more + 1)), at += more;
+      quoted.append(value.substr(at, continuation + 1)), at += continuation;
     }
   }
   return quoted + '"';
 }
 
-spdlog::level::level_enum level_of(LogLevel level) {
+spdlog::level::level_enum spdlog_level(LogLevel level) {
   constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
                                                   spdlog::level::warn, spdlog::level::err};
   return levels[static_cast<int>(level)];
 }
 }  // namespace
 
-// Takes finished lines and holds them until standard error does.
-class Log::Waiting final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+// Holds formatted lines until standard error accepts them.
+class Log::BufferedSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   void write() {
     while (!text_.empty()) {
@@ -83,29 +89,29 @@
       if (poll(&out, 1, 0) != 1 || !(out.revents & POLLOUT)) {
         return;
       }
-      const ssize_t written = ::write(STDERR_FILENO, text_.data(), std::min(text_.size(), kAtomic));
+      const ssize_t written = ::write(STDERR_FILENO, text_.data(), std::min(text_.size(), kMaxWriteBytes));
       if (written <= 0) {
         return;
       }
       text_.erase(0, static_cast<std::size_t>(written));
     }
   }
-  // Lines lost since it was asked last, once there is room to tell.
-  int lost() { return text_.size() < kWaiting / 2 ? std::exchange(lost_, 0) : 0; }
+  // Returns the number of lines dropped since the last call; 0 as long as the buffer is at least half full.
+  int take_dropped() { return text_.size() < kMaxBufferBytes / 2 ? std::exchange(dropped_, 0) : 0; }
 
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (text_.size() + line.size() > kWaiting) {
-      return void(++lost_);
+    if (text_.size() + line.size() > kMaxBufferBytes) {
+      return void(++dropped_);
     }
     text_.append(line.data(), line.size());
   }
   void flush_() override { write(); }
 
   std::string text_;
-  int lost_ = 0;
+  int dropped_ = 0;
 };
 
 LogOptions parse_log_options(const nlohmann::json& log) {
@@ -120,8 +126,8 @@
 
 Log::Log(const net::Clock& clock)
     : clock_(clock),
-      waiting_(std::make_shared<Waiting>()),
-      logger_(std::make_unique<spdlog::logger>("", waiting_)) {
+      sink_(std::make_shared<BufferedSink>()),
+      logger_(std::make_unique<spdlog::logger>("", sink_)) {
   set_options({});
 }
 
@@ -132,62 +138,67 @@
   const char* pattern =
       options.format == LogFormat::json ? "{\"time\":%E.%e,\"level\":\"%l\",%v}" : "%E.%e %l %v";
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(pattern));
-  logger_->set_level(level_of(options.level));
+  logger_->set_level(spdlog_level(options.level));
 }
 
-void Log::line(LogLevel level, std::string_view kind, std::string_view event, Fields fields) {
+void Log::write(LogLevel level, std::string_view component, std::string_view event, Fields fields) {
   if (level < options_.level) {
     return;
   }
   const Millis now = clock_.now();
-  auto of = kinds_.find(kind);
-  if (of == kinds_.end()) {
-    of = kinds_.emplace(kind, Kind{}).first;
+  auto found = components_.find(component);
+  if (found == components_.end()) {
+    found = components_.emplace(component, Component{}).first;
   }
-  int left_out = 0;
-  if (now - of->second.since > kSpan) {
-    left_out = of->second.dropped;
-    of->second = {now, 0, 0};
+  int suppressed = 0;
+  if (now - found->second.since > kRateLimitSpan) {
+    suppressed = found->second.suppressed;
+    found->second = {now, 0, 0};
   }
-  if (++of->second.written > options_.max_lines_per_component) {
-    return void(++of->second.dropped);
+  if (++found->second.written > options_.max_lines_per_component) {
+    return void(++found->second.suppressed);
   }
-  const auto write = [this](LogLevel at, const std::string& text) {
-    logger_->log(level_of(at), spdlog::string_view_t(text));
+  const auto write_line = [this](LogLevel at, const std::string& text) {
+    logger_->log(spdlog_level(at), spdlog::string_view_t(text));
   };
-  const auto put = [&](LogLevel at, std::string_view part, std::string_view what, Fields told, int missing) {
-    write(at, options_.format == LogFormat::json ? json_of(part, what, told, missing)
-                                                 : text_of(part, what, told, missing));
+  const auto format_and_write = [&](LogLevel line_level, std::string_view line_component,
+                                    std::string_view line_event, Fields line_fields, int line_suppressed) {
+    write_line(line_level, options_.format == LogFormat::json
+                               ? format_json(line_component, line_event, line_fields, line_suppressed)
+                               : format_text(line_component, line_event, line_fields, line_suppressed));
   };
-  if (const int lost = waiting_->lost(); lost > 0) {
-    put(LogLevel::warn, "log", "lines lost", {{"lines", lost}}, 0);
+  if (const int dropped = sink_->take_dropped(); dropped > 0) {
+    format_and_write(LogLevel::warn, "log", "lines dropped", {{"lines", dropped}}, 0);
   }
-  put(level, kind, event, fields, left_out);
+  format_and_write(level, component, event, fields, suppressed);
 }
 
-std::string Log::text_of(std::string_view kind, std::string_view event, Fields fields, int left_out) const {
-  std::string text = fmt::format("{}: {}", kind, event);
+std::string Log::format_text(std::string_view component, std::string_view event, Fields fields,
+                             int suppressed) const {
+  std::string text = fmt::format("{}: {}", component, event);
   for (const Field& field : fields) {
-    text += fmt::format(" {}={}", field.name, plain(field.value));
+    text += fmt::format(" {}={}", field.name, quote_text(field.value));
   }
-  if (left_out > 0) {
-    text += fmt::format(" left_out={}", left_out);
+  if (suppressed > 0) {
+    text += fmt::format(" suppressed={}", suppressed);
   }
   return text;
 }
 
-std::string Log::json_of(std::string_view kind, std::string_view event, Fields fields, int left_out) const {
-  std::string text = fmt::format("\"kind\":{},\"event\":{}", in_json(kind), in_json(event));
+std::string Log::format_json(std::string_view component, std::string_view event, Fields fields,
+                             int suppressed) const {
+  std::string text = fmt::format("\"component\":{},\"event\":{}", quote_json(component), quote_json(event));
   for (const Field& field : fields) {
-    const bool bare = field.number && field.value.find_first_not_of("+-.0123456789e") == std::string::npos;
-    text += fmt::format(",{}:{}", in_json(field.name), bare ? field.value : in_json(field.value));
+    const bool unquoted =
+        field.is_number && field.value.find_first_not_of("+-.0123456789e") == std::string::npos;
+    text += fmt::format(",{}:{}", quote_json(field.name), unquoted ? field.value : quote_json(field.value));
   }
-  if (left_out > 0) {
-    text += fmt::format(",\"left_out\":{}", left_out);
+  if (suppressed > 0) {
+    text += fmt::format(",\"suppressed\":{}", suppressed);
   }
   return text;
 }
 
-void Log::flush() { waiting_->write(); }
+void Log::flush() { sink_->write(); }
 
 }  // namespace reedspindle::logging
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,6 +1,7 @@
-// The log of all programs: structured lines to standard error through spdlog, as text or as JSON. It never
-// blocks: what standard error does not take waits in a bounded text, and lines beyond it are counted. Each
-// kind of line is limited in number, so that a fault that repeats does not flood it.
+// Structured logging of all programs: lines as text or JSON to standard error, through spdlog. Logging never
+// blocks: lines that standard error does not accept wait in a bounded buffer, and lines beyond its size are
+// dropped and counted. The rate of lines per component is limited, so that a repeating fault does not flood
+// the log.
 #pragma once
 
 #include <fmt/format.h>
@@ -21,14 +22,14 @@
 
 namespace reedspindle::logging {
 
-// What a line tells of: "member", "group", "version", "peer", "why", ...
+// A named value of a log line, such as "server", "group", "peer" or "error".
 struct Field {
   template <typename T>
-  Field(std::string_view of, const T& told)
-      : name(of), value(fmt::format("{}", told)), number(std::is_arithmetic_v<T>) {}
+  Field(std::string_view field_name, const T& field_value)
+      : name(field_name), value(fmt::format("{}", field_value)), is_number(std::is_arithmetic_v<T>) {}
   std::string_view name;
   std::string value;
-  bool number;
+  bool is_number;
 };
 
 enum class LogFormat { text, json };
@@ -36,9 +37,10 @@
 struct LogOptions {
   LogFormat format = LogFormat::text;
   LogLevel level = LogLevel::info;
-  int max_lines_per_component = 5;  // in ten seconds: enough to see what it is and that it goes on
+  // Per ten seconds: enough to recognize a fault and to see that it goes on.
+  int max_lines_per_component = 5;
 };
-// Of the operators' file, complete and checked.
+// Reads the options from the log section of the operators' file, which must be complete and checked.
 LogOptions parse_log_options(const nlohmann::json& log);
 
 class Log {
@@ -49,46 +51,48 @@
   ~Log();
   Log(const Log&) = delete;
 
-  // From now on.
+  // Applies to all later lines.
   void set_options(const LogOptions& options);
 
-  // The kind says what part of the program speaks, the event what happened, in one word or two.
-  void debug(std::string_view kind, std::string_view event, Fields fields = {}) {
-    line(LogLevel::debug, kind, event, fields);
+  // Each writes one line. The component is the part of the program that logs, the event a short phrase that
+  // says what happened.
+  void debug(std::string_view component, std::string_view event, Fields fields = {}) {
+    write(LogLevel::debug, component, event, fields);
   }
-  void info(std::string_view kind, std::string_view event, Fields fields = {}) {
-    line(LogLevel::info, kind, event, fields);
+  void info(std::string_view component, std::string_view event, Fields fields = {}) {
+    write(LogLevel::info, component, event, fields);
   }
-  void warn(std::string_view kind, std::string_view event, Fields fields = {}) {
-    line(LogLevel::warn, kind, event, fields);
+  void warn(std::string_view component, std::string_view event, Fields fields = {}) {
+    write(LogLevel::warn, component, event, fields);
   }
-  void error(std::string_view kind, std::string_view event, Fields fields = {}) {
-    line(LogLevel::error, kind, event, fields);
+  void error(std::string_view component, std::string_view event, Fields fields = {}) {
+    write(LogLevel::error, component, event, fields);
   }
 
-  // Whether lines of this level are written: for those whose fields cost something to make.
+  // Returns whether lines of this level are written. Callers check it where the fields are costly to compute.
   [[nodiscard]] bool enabled(LogLevel level) const { return level >= options_.level; }
 
-  // Writes what standard error takes now.
+  // Writes as much of the buffer as standard error accepts without blocking.
   void flush();
 
  private:
-  class Waiting;  // spdlog's sink
+  class BufferedSink;  // spdlog's sink
 
-  void line(LogLevel level, std::string_view kind, std::string_view event, Fields fields);
-  [[nodiscard]] std::string text_of(std::string_view kind, std::string_view event, Fields fields,
-                                    int left_out) const;
-  [[nodiscard]] std::string json_of(std::string_view kind, std::string_view event, Fields fields,
-                                    int left_out) const;
+  void write(LogLevel level, std::string_view component, std::string_view event, Fields fields);
+  [[nodiscard]] std::string format_text(std::string_view component, std::string_view event, Fields fields,
+                                        int suppressed) const;
+  [[nodiscard]] std::string format_json(std::string_view component, std::string_view event, Fields fields,
+                                        int suppressed) const;
 
-  struct Kind {
+  // Lines of a component in the current span of ten seconds.
+  struct Component {
     Millis since = 0;
-    int written = 0, dropped = 0;
+    int written = 0, suppressed = 0;
   };
   const net::Clock& clock_;
   LogOptions options_;
-  std::map<std::string, Kind, std::less<>> kinds_;
-  std::shared_ptr<Waiting> waiting_;
+  std::map<std::string, Component, std::less<>> components_;
+  std::shared_ptr<BufferedSink> sink_;
   std::unique_ptr<spdlog::logger> logger_;
 };
 
