--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// The simulator's adapter: batches on standard input, replies on standard output.
+// Adapter for the simulator: reads batches from standard input and writes replies to standard output.
 #include <iostream>
 #include <string>
 
@@ -15,8 +15,8 @@
       if (!reply.empty()) {
         std::cout << reply << std::flush;
       }
-    } catch (const reedspindle::InvalidInput& fault) {
-      std::cerr << "line " << number << ": " << fault.what() << '\n';
+    } catch (const reedspindle::InvalidInput& error) {
+      std::cerr << "line " << number << ": " << error.what() << '\n';
       return 2;
     }
   }
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -1,5 +1,6 @@
-// Between the simulator's wire and the module's interface: words, units and numbered lists. It only
-// translates.
+// Translates between the simulator's line protocol and the router's interface: names, units and numbered
+// lists. A line is a JSON array of the message's name and its values; a batch runs from Frame to Flush. Times
+// on the wire are in nanoseconds.
 #pragma once
 
 #include <map>
@@ -13,9 +14,11 @@
 
 namespace reedspindle::simulator {
 
+// Runs the routers of all simulated instances.
 class Host {
  public:
-  // Takes one line; at the end of a batch it returns the whole reply, else nothing. Throws InvalidInput.
+  // Handles one line. Returns the reply to the whole batch at its end, otherwise nothing. Throws
+  // InvalidInput.
   std::string handle_line(const std::string& line);
 
  private:
@@ -23,18 +26,18 @@
 
   struct Instance {
     std::unique_ptr<Router> router;
-    double zero_ms = 0;
-    bool touched = false;
-    std::string fault;
+    double zero_ms = 0;     // position zero of the replicas
+    bool in_order = false;  // is in order_
+    std::string error;      // of the router; reported by Die at the end of the batch
   };
 
-  void born(const Json& line);
-  void manifest(const Json& line);
-  void event(const std::string& name, const Json& line);
-  [[nodiscard]] Event membership(const Json& line) const;
-  [[nodiscard]] Event result(const Instance& at, const Json& line) const;
-  Instance& instance(const Json& line);
-  void touch(const std::string& name, Instance& instance);
+  void create_instance(const Json& line);
+  void set_list(const Json& line);
+  void handle_event(const std::string& name, const Json& line);
+  [[nodiscard]] Event membership_event(const Json& line) const;
+  [[nodiscard]] Event result_event(const Instance& instance, const Json& line) const;
+  Instance& find_instance(const Json& line);
+  void add_to_order(const std::string& name, Instance& instance);
   std::string reply();
 
   bool in_batch_ = false;
