--- a/tests/discovery_properties.cpp
+++ b/tests/discovery_properties.cpp
@@ -1,4 +1,5 @@
-// The calls to discovery and the table of servers, beside plain models, over drawn sequences.
+// Property tests of the poller, the server table and the list reader, which are compared with simple models
+// over random sequences.
 #include <fmt/format.h>
 #include <rapidcheck.h>
 
@@ -18,105 +19,104 @@
 
 namespace {
 
-constexpr Millis kCountsAsTold =
-    6000;  // after discovery had a change and could be reached: the platform's rule
+constexpr Millis kDelayLimit = 6000;  // after discovery had a change and was reachable: the platform's rule
 constexpr Millis kStep = 10;
 
-// TestDiscovery as a poller meets it. What it does with a call is decided when the call comes; one that it
-// takes while it is silent is never answered.
+// Model of discovery. Its behavior when a poll arrives determines how it handles that poll: a poll that
+// arrives while it is silent is never answered.
 struct Service {
-  enum class Manner { answers, silent, refuses, turns_away, slow };
-  Manner manner = Manner::answers;
+  enum class Behavior { answers, silent, refuses, rejects, slow };
+  Behavior behavior = Behavior::answers;
   long long revision = 1;
-  struct Open {
-    SendPoll call;
-    Millis asked = 0;
-    Manner manner = Manner::answers;
-    std::optional<Millis> done;  // its answer has come whole
+  struct Poll {
+    SendPoll request;
+    Millis sent_at = 0;
+    Behavior behavior = Behavior::answers;
+    std::optional<Millis> completed_at;  // when its response is complete
   };
-  std::unique_ptr<Open> call;
+  std::unique_ptr<Poll> poll;
 };
 
-// A change is there and discovery has been reachable without a break since `since`: how long may it still
-// take?
-bool every_change_arrives_in_time() {
-  return rc::check("a change is known 6 s after discovery had it and could be reached", [] {
+// A change has to be known kDelayLimit after it is there and discovery has been reachable without a break.
+// The number of useless polls per second is limited.
+bool changes_arrive_in_time() {
+  return rc::check("a change is known 6 s after discovery had it and was reachable", [] {
     Poller poller(*rc::gen::inRange<std::uint64_t>(1, 100000));
     Service service;
     poller.enqueue(StartPolling{});
     Millis now = 0;
     Millis reachable_since = 0;
     std::map<long long, Millis> changed_at{{1, 0}};
-    Millis second = 0;
-    int calls_for_nothing = 0;  // in a second: failed, or with no news
-    const auto for_nothing = [&] {
-      if (now - second >= 1000) {
-        second = now, calls_for_nothing = 0;
+    Millis second_start = 0;
+    int useless_polls = 0;  // in the current second: failed, or without a change
+    const auto count_useless = [&] {
+      if (now - second_start >= 1000) {
+        second_start = now, useless_polls = 0;
       }
-      ++calls_for_nothing;
+      ++useless_polls;
     };
     const int steps = *rc::gen::inRange(500, 4000);
     Millis next_change = *rc::gen::inRange(0, 4000);
-    Millis next_manner = *rc::gen::inRange(0, 4000);
+    Millis next_behavior = *rc::gen::inRange(0, 4000);
     for (int step = 0; step < steps; ++step, now += kStep) {
       if (now >= next_change) {
         changed_at[++service.revision] = now;
         next_change = now + *rc::gen::inRange(10, 6000);
       }
-      if (now >= next_manner) {
-        const auto before = service.manner;
-        service.manner = static_cast<Service::Manner>(*rc::gen::inRange(0, 5));
-        const auto reachable = [](Service::Manner manner) {
-          return manner == Service::Manner::answers || manner == Service::Manner::slow;
+      if (now >= next_behavior) {
+        const auto before = service.behavior;
+        service.behavior = static_cast<Service::Behavior>(*rc::gen::inRange(0, 5));
+        const auto reachable = [](Service::Behavior behavior) {
+          return behavior == Service::Behavior::answers || behavior == Service::Behavior::slow;
         };
-        if (reachable(service.manner) && !reachable(before)) {
+        if (reachable(service.behavior) && !reachable(before)) {
           reachable_since = now;
         }
-        if (!reachable(service.manner)) {
+        if (!reachable(service.behavior)) {
           reachable_since = 1e18;
         }
-        next_manner = now + *rc::gen::inRange(100, 12000);
+        next_behavior = now + *rc::gen::inRange(100, 12000);
       }
       if (*rc::gen::inRange(0, 2000) == 0) {
         poller.enqueue(FullListRequested{});
       }
-      if (Service::Open* const open = service.call.get()) {
-        using Manner = Service::Manner;
-        const bool news = !open->call.since || *open->call.since < service.revision;
-        const bool due = news || now >= open->asked + open->call.wait;
-        if (open->manner == Manner::refuses || open->manner == Manner::turns_away) {
-          service.call.reset();
-          for_nothing();
+      if (Service::Poll* const poll = service.poll.get()) {
+        using Behavior = Service::Behavior;
+        const bool has_change = !poll->request.since || *poll->request.since < service.revision;
+        const bool due = has_change || now >= poll->sent_at + poll->request.wait;
+        if (poll->behavior == Behavior::refuses || poll->behavior == Behavior::rejects) {
+          service.poll.reset();
+          count_useless();
           poller.enqueue(PollFailed{"no", false});
-        } else if (open->manner != Manner::silent && due) {
-          const Millis takes = open->manner == Manner::slow ? 1500 : 20;
-          if (!open->done) {
-            open->done = now + takes;
+        } else if (poll->behavior != Behavior::silent && due) {
+          const Millis takes = poll->behavior == Behavior::slow ? 1500 : 20;
+          if (!poll->completed_at) {
+            poll->completed_at = now + takes;
           }
           poller.enqueue(BytesReceived{64 * 1024});
-          if (now >= *open->done) {
-            const bool whole = !open->call.since;
-            if (!news) {
-              for_nothing();
+          if (now >= *poll->completed_at) {
+            const bool complete = !poll->request.since;
+            if (!has_change) {
+              count_useless();
             }
-            service.call.reset();
+            service.poll.reset();
             poller.enqueue(ResponseCompleted{});
-            poller.enqueue(ListApplied{service.revision, whole});
+            poller.enqueue(ListApplied{service.revision, complete});
           }
         }
       }
       for (const PollDecision& decision : poller.process(now)) {
-        if (const auto* call = std::get_if<SendPoll>(&decision)) {
-          RC_ASSERT(!service.call);
-          service.call = std::make_unique<Service::Open>(*call, now, service.manner, std::nullopt);
+        if (const auto* send = std::get_if<SendPoll>(&decision)) {
+          RC_ASSERT(!service.poll);
+          service.poll = std::make_unique<Service::Poll>(*send, now, service.behavior, std::nullopt);
         }
         if (std::holds_alternative<AbortPoll>(decision)) {
-          service.call.reset();
+          service.poll.reset();
         }
       }
-      RC_ASSERT(calls_for_nothing <= 12);
+      RC_ASSERT(useless_polls <= 12);
       for (const auto& [revision, at] : changed_at) {
-        if (now - std::max(at, reachable_since) > kCountsAsTold) {
+        if (now - std::max(at, reachable_since) > kDelayLimit) {
           RC_ASSERT(poller.revision() >= revision);
         }
       }
@@ -144,24 +144,24 @@
   }
 }
 
-bool table_follows_lists() {
-  return rc::check("what the table hands on makes the lists that ended, and of others just what leaves", [] {
+bool table_matches_lists() {
+  return rc::check("finished lists are returned as changes, unfinished ones only as leaving servers", [] {
     ServerTable table(1000);
-    View held;
-    View wanted;
+    View actual;
+    View expected;
     const int lists = *rc::gen::inRange(1, 12);
     for (int list = 0; list < lists; ++list) {
-      const bool whole = *rc::gen::arbitrary<bool>();
-      const bool ends = *rc::gen::inRange(0, 4) > 0;
+      const bool complete = *rc::gen::arbitrary<bool>();
+      const bool completes = *rc::gen::inRange(0, 4) > 0;
       table.begin_list();
-      View next = whole ? View{} : wanted;
-      View leaving = wanted;
+      View next = complete ? View{} : expected;
+      View leaving = expected;
       const int rows = *rc::gen::inRange(0, 12);
       for (int number = 0; number < 12; ++number) {
         if (*rc::gen::inRange(0, 12) >= rows) {
           continue;
         }
-        const auto state = static_cast<ServerState>(*rc::gen::inRange(0, whole ? 2 : 3));
+        const auto state = static_cast<ServerState>(*rc::gen::inRange(0, complete ? 2 : 3));
         const ListedEndpoint row = server(number, state, *rc::gen::inRange(1, 3));
         apply(next, row);
         if (const auto known = leaving.find(row.entry.id.address);
@@ -173,28 +173,28 @@
         }
         if (const auto now = table.add(row)) {
           RC_ASSERT(now->entry.state != ServerState::ready);
-          apply(held, *now);
+          apply(actual, *now);
         }
       }
-      if (ends) {
-        table.end_list(whole);
+      if (completes) {
+        table.end_list(complete);
       }
       while (table.has_changes()) {
         const auto part = table.next_changes(3);
         RC_ASSERT(!part.empty() && part.size() <= 3);
         for (const ListedEndpoint& row : part) {
-          apply(held, row);
+          apply(actual, row);
         }
       }
-      wanted = ends ? next : leaving;
-      RC_ASSERT(held == wanted);
+      expected = completes ? next : leaving;
+      RC_ASSERT(actual == expected);
     }
   });
 }
 
-bool reading_in_pieces() {
+bool list_parses_in_pieces() {
   const config::NameTable names;
-  return rc::check("a list reads the same however its bytes are cut, and its prefixes are no lists",
+  return rc::check("a list parses the same however its bytes are split, and its prefixes are rejected",
                    [&names] {
                      std::string text = R"({"rev": 7, "all": true, "more": [{"x": [1, null]}], "targets": [)";
                      const int rows = *rc::gen::inRange(0, 6);
@@ -226,6 +226,6 @@
 }  // namespace
 
 int main() {
-  const bool held[] = {every_change_arrives_in_time(), table_follows_lists(), reading_in_pieces()};
-  return held[0] && held[1] && held[2] ? 0 : 1;
+  const bool passed[] = {changes_arrive_in_time(), table_matches_lists(), list_parses_in_pieces()};
+  return passed[0] && passed[1] && passed[2] ? 0 : 1;
 }
