--- a/src/config/instance_config.cpp
+++ b/src/config/instance_config.cpp
@@ -20,7 +20,8 @@
   const Json* value = nullptr;  // null if the key is missing
   std::string name;
 
-  [[nodiscard]] Key in(const std::string& inner) const {
+  // Returns the value of a key in this object; it is missing if this object is.
+  [[nodiscard]] Key child(const std::string& inner) const {
     const std::string full = name.empty() ? inner : name + "." + inner;
     if (!value) {
       return {nullptr, full};
@@ -31,22 +32,25 @@
     const auto found = value->find(inner);
     return {found == value->end() || found->is_null() ? nullptr : &*found, full};
   }
-  std::vector<Key> rows(const char* expected) const {
+  // Returns the elements of an array.
+  std::vector<Key> elements(const char* expected) const {
     if (!value || !value->is_array()) {
       throw_invalid(name, expected);
     }
-    std::vector<Key> rows;
-    for (const Json& row : *value) {
-      rows.push_back({&row, fmt::format("{}[{}]", name, rows.size())});
+    std::vector<Key> elements;
+    for (const Json& element : *value) {
+      elements.push_back({&element, fmt::format("{}[{}]", name, elements.size())});
     }
-    return rows;
+    return elements;
   }
+  // Returns a non-empty string; throws InvalidInput with what was expected otherwise.
   std::string text(const char* expected) const {
     if (!value || !value->is_string() || value->get<std::string>().empty()) {
       throw_invalid(name, expected);
     }
     return value->get<std::string>();
   }
+  // Returns a number of at least the minimum, or the default if the key is missing.
   [[nodiscard]] double number(double default_value, double minimum) const {
     if (!value) {
       return default_value;
@@ -59,6 +63,7 @@
   }
 };
 
+// Parses an endpoint; throws InvalidInput for the key if the text is none.
 template <typename Endpoint>
 Endpoint endpoint_from(const std::string& text, const std::string& key) {
   const auto endpoint = parse_endpoint(text);
@@ -81,15 +86,17 @@
   return key.text(expected);
 }
 
+// Returns the names in a list, numbered by their positions. The elements are objects that have the name under
+// name_key, or, if that is null, the names themselves.
 template <typename T>
-std::map<std::string, T, std::less<>> parse_names(const Key& list, const char* inner) {
+std::map<std::string, T, std::less<>> parse_names(const Key& list, const char* name_key) {
   std::map<std::string, T, std::less<>> names;
   if (!list.value) {
     return names;
   }
   int number = 0;
-  for (const Key& row : list.rows("an array")) {
-    names[(inner ? row.in(inner) : row).text("a name")] = T{number++};
+  for (const Key& element : list.elements("an array")) {
+    names[(name_key ? element.child(name_key) : element).text("a name")] = T{number++};
   }
   return names;
 }
@@ -143,17 +150,17 @@
 
   InstanceConfig config;
   const char* endpoint_form = "an address and a port";
-  config.name = environment_or_file(environment, "ROUTER_NAME", top.in("name"), "a name");
+  config.name = environment_or_file(environment, "ROUTER_NAME", top.child("name"), "a name");
   config.listen = endpoint_from<asio::ip::tcp::endpoint>(
-      environment_or_file(environment, "ROUTER_LISTEN", top.in("listen"), endpoint_form), "listen");
-  const Key discovery_key = top.in("discovery");
+      environment_or_file(environment, "ROUTER_LISTEN", top.child("listen"), endpoint_form), "listen");
+  const Key discovery_key = top.child("discovery");
   config.discovery = endpoint_from<asio::ip::tcp::endpoint>(
       mode == ReadMode::reload && discovery_key.value
           ? discovery_key.text(endpoint_form)
           : environment_or_file(environment, "ROUTER_DISCOVERY", discovery_key, endpoint_form),
       "discovery");
 
-  const Key seed = top.in("seed");
+  const Key seed = top.child("seed");
   if (seed.value) {
     const std::string text = seed.text("up to 16 hexadecimal digits");
     if (text.size() > 16 || text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
@@ -161,22 +168,22 @@
     }
     config.seed = std::stoull(text, nullptr, 16);
   }
-  config.max_descriptors = static_cast<std::size_t>(top.in("limits").in("sockets").number(1024, 64));
-  config.memory_bytes = static_cast<std::size_t>(top.in("limits").in("memory_mb").number(64, 16)) << 20;
-  if (top.in("peer_listen").value) {
+  config.max_descriptors = static_cast<std::size_t>(top.child("limits").child("sockets").number(1024, 64));
+  config.memory_bytes = static_cast<std::size_t>(top.child("limits").child("memory_mb").number(64, 16)) << 20;
+  if (top.child("peer_listen").value) {
     using Endpoint = asio::ip::udp::endpoint;
     config.peers_enabled = true;
-    config.peer_listen = endpoint_from<Endpoint>(top.in("peer_listen").text(endpoint_form), "peer_listen");
-    config.peers_all = endpoint_from<Endpoint>(top.in("peers_all").text(endpoint_form), "peers_all");
-    for (const Key& peer : top.in("peers").rows("an array of addresses")) {
+    config.peer_listen = endpoint_from<Endpoint>(top.child("peer_listen").text(endpoint_form), "peer_listen");
+    config.peers_all = endpoint_from<Endpoint>(top.child("peers_all").text(endpoint_form), "peers_all");
+    for (const Key& peer : top.child("peers").elements("an array of addresses")) {
       config.peers.push_back(endpoint_from<Endpoint>(peer.text(endpoint_form), peer.name));
     }
   }
-  if (const Key known = top.in("known"); known.value) {
+  if (const Key known = top.child("known"); known.value) {
     config.saved_list = known.value->dump();
   }
 
-  const Key settings = top.in("settings");
+  const Key settings = top.child("settings");
   if (!settings.value || !settings.value->is_object()) {
     throw_invalid("settings", "an object");
   }
@@ -185,32 +192,33 @@
   } catch (const std::exception& error) {
     throw InvalidInput(fmt::format("settings: {}", error.what()));
   }
-  const Key classes = settings.in("requestClasses");
-  const auto setting_is = [&](RequestClassId type, const char* key, const char* expected) {
-    const auto found = config.router_settings.find(fmt::format("op_type.{}.{}", type.number, key));
+  const Key classes = settings.child("requestClasses");
+  const auto setting_is = [&](RequestClassId id, const char* key, const char* expected) {
+    const auto found = config.router_settings.find(fmt::format("op_type.{}.{}", id.number, key));
     return found != config.router_settings.end() && found->second == decltype(found->second)(expected);
   };
-  for (const auto& [name, type] : parse_names<RequestClassId>(classes, "name")) {
-    config.names.request_classes[name] = {type, setting_is(type, "needs", "write"),
-                                          setting_is(type, "effect", "tokened")};
+  for (const auto& [name, id] : parse_names<RequestClassId>(classes, "name")) {
+    config.names.request_classes[name] = {id, setting_is(id, "needs", "write"),
+                                          setting_is(id, "effect", "tokened")};
   }
   if (config.names.request_classes.empty()) {
     throw_invalid(classes.name, "at least one request class");
   }
-  for (const Key& type : classes.rows("an array")) {
+  // parse_router_settings does not check that these numbers are not negative.
+  for (const Key& request_class : classes.elements("an array")) {
     for (const char* field : {"goalTime", "deadline", "dedupWindow", "importance", "lateValue"}) {
-      static_cast<void>(type.in(field).number(0, 0));
+      static_cast<void>(request_class.child(field).number(0, 0));
     }
   }
-  config.names.zones = parse_names<ZoneId>(settings.in("zones"), nullptr);
-  config.names.kinds = parse_names<int>(settings.in("shapes"), nullptr);
-  const Key discovery = settings.in("discovery");
+  config.names.zones = parse_names<ZoneId>(settings.child("zones"), nullptr);
+  config.names.kinds = parse_names<int>(settings.child("shapes"), nullptr);
+  const Key discovery = settings.child("discovery");
   config.polls_endpoints = discovery.value && discovery.text("push or ask") == "ask";
 
-  const Key limits = settings.in("ceilings");
-  config.max_open_requests = static_cast<std::size_t>(limits.in("maxOpen").number(20000, 1));
-  config.connect_timeout = limits.in("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
-  config.connection_idle = limits.in("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
+  const Key limits = settings.child("ceilings");
+  config.max_open_requests = static_cast<std::size_t>(limits.child("maxOpen").number(20000, 1));
+  config.connect_timeout = limits.child("connectTimeout").number(250 * kNsPerMs, 1) / kNsPerMs;
+  config.connection_idle = limits.child("connIdle").number(15000 * kNsPerMs, 1) / kNsPerMs;
   return config;
 }
 
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -31,13 +31,15 @@
     std::string error;      // of the router; reported by Die at the end of the batch
   };
 
-  void create_instance(const Json& line);
-  void set_list(const Json& line);
+  void create_instance(const Json& line);  // Born
+  void set_list(const Json& line);         // Manifest
+  // Handles Detach and the events for an instance's router, which are enqueued there.
   void handle_event(const std::string& name, const Json& line);
   [[nodiscard]] Event membership_event(const Json& line) const;
   [[nodiscard]] Event result_event(const Instance& instance, const Json& line) const;
   Instance& find_instance(const Json& line);
   void add_to_order(const std::string& name, Instance& instance);
+  // Runs the router of each instance with an event in this batch and returns the decisions of all of them.
   std::string reply();
 
   bool in_batch_ = false;
