--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -609,7 +609,7 @@
   }
   for (int front = 0; front < plan_.fronts; ++front) {
     for (const Json& line : process(front).log_lines()) {
-      if (line.value("kind", "") == "membership" && line.value("event", "") == "peer failed" &&
+      if (line.value("component", "") == "membership" && line.value("event", "") == "peer failed" &&
           spared.contains(line.value("peer", ""))) {
         return fmt::format("{} came to hold {} failed", name_of(front), line["peer"].get<std::string>());
       }
