--- a/src/core/datagram.hpp
+++ b/src/core/datagram.hpp
@@ -1,4 +1,4 @@
-// Events and decisions that all cores which speak to other instances have in common.
+// Events and decisions shared by all event cores that exchange datagrams with other instances.
 #pragma once
 
 #include <compare>
@@ -8,8 +8,8 @@
 
 namespace reedspindle {
 
-// The position of an instance in the fleet's list of peers, from 0; the same number everywhere, whatever
-// address each instance reaches it by. Below 0: none.
+// Identifies an instance by its index in the fleet's peer list, counting from 0. The number is the same at
+// every instance, whatever address each one reaches the peer by. A negative number means no instance.
 struct SlotId {
   int number = -1;
   auto operator<=>(const SlotId&) const = default;
@@ -27,7 +27,7 @@
   std::string bytes;
 };
 
-// Decision: process again at that time at the latest, though nothing happens.
+// Decision: call process() again no later than `at` (milliseconds, see Millis), even if no event arrives.
 struct RequestWakeup {
   Millis at = 0;
 };
--- a/src/core/event_core.hpp
+++ b/src/core/event_core.hpp
@@ -1,4 +1,5 @@
-// The frame of every subsystem that decides: events in, decisions out, no I/O and no clock of its own.
+// Base class of the decision-making subsystems: events go in, decisions come out. A core does no I/O and
+// reads no clock.
 #pragma once
 
 #include <vector>
@@ -7,7 +8,8 @@
 
 namespace reedspindle {
 
-// Queue the events of a batch in order, then call process once with the clock of that batch.
+// Event-driven core. Callers enqueue the events of a batch in order, then call process() once with the time
+// of the batch.
 template <typename Event, typename Decision>
 class EventCore {
  public:
@@ -16,9 +18,10 @@
   EventCore& operator=(const EventCore&) = delete;
   virtual ~EventCore() = default;
 
-  // Takes note of what happened; nothing is decided yet.
+  // Queues an event. Decisions are made only in process().
   virtual void enqueue(Event event) = 0;
-  // Handles all queued events and returns what is to be done, in order.
+  // Handles all queued events and returns the resulting decisions in the order in which they are to be
+  // carried out.
   [[nodiscard]] virtual std::vector<Decision> process(Millis now) = 0;
 };
 
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -1,4 +1,4 @@
-// The vocabulary that all packages share: identifiers, servers and what is known of them. No logic.
+// Types shared by all packages: identifiers, servers and samples of their state. Contains no logic.
 #pragma once
 
 #include <compare>
@@ -7,68 +7,74 @@
 
 namespace reedspindle {
 
-// Milliseconds. As a time point: since the Unix epoch, on a clock that never goes back.
+// Milliseconds. As a time point: since the Unix epoch, on a clock that never goes backwards.
 using Millis = double;
 
-// A server as discovery names it; the same at every instance.
+// Identifies a server by the address that discovery lists. Identical at every instance.
 struct ServerId {
   std::string address;
   auto operator<=>(const ServerId&) const = default;
 };
 
-// A request that a client has made of this instance. Numbers are not used again while a process lives.
+// Identifies a request that a client has made to this instance. Numbers are not reused within the lifetime of
+// a process.
 struct RequestId {
   std::uint64_t number = 0;
   auto operator<=>(const RequestId&) const = default;
 };
 
-// A replica group: a primary and its replicas, which hold the same data.
+// Identifies a replica group: a primary and its replicas, which hold the same data.
 struct GroupId {
   int number = 0;
   auto operator<=>(const GroupId&) const = default;
 };
 
-// A class of requests as the settings state them, by its place among them.
+// Identifies a request class by its index in the settings.
 struct RequestClassId {
   int number = 0;
   auto operator<=>(const RequestClassId&) const = default;
 };
 
+// Identifies an availability zone.
 struct ZoneId {
   int number = 0;
   auto operator<=>(const ZoneId&) const = default;
 };
 
+// Identifies a timer that an event core has set.
 struct TimerId {
   std::int64_t number = 0;
   auto operator<=>(const TimerId&) const = default;
 };
 
-// The attempts of one request, counted from 0.
+// The index of an attempt among the attempts of one request, counting from 0.
 struct AttemptNumber {
   int number = 0;
   auto operator<=>(const AttemptNumber&) const = default;
 };
 
+// The state of a server as listed by discovery.
 enum class ServerState { ready, draining, gone };
 
-// What a list from discovery holds: changes to the one before, every server, or the list saved from an
-// earlier run. Failed: discovery did not answer.
+// The contents of a list from discovery: changes since the previous list, every server, or the list saved by
+// an earlier run. `failed` means that discovery did not answer.
 enum class EndpointListKind { changes, complete, saved, failed };
 
-// How an attempt ended.
+// The result of an attempt.
 enum class AttemptOutcome {
   acknowledged,
   failed,               // the server answered with an error; the request may have had an effect
-  rejected_overloaded,  // shed by the server, without an effect
+  rejected_overloaded,  // the server shed the request, without any effect
   timed_out,
   connect_failed,
   reset,
   cancelled,
   not_sent,
-  rejected_not_executed,  // refused by the server for what it is, for instance a replica that lags
+  rejected_not_executed,  // the server refused the request because of its own state, for example a lagging
+                          // replica
 };
 
+// The replication role that a server claims to have.
 enum class Role { unknown, primary, replica };
 
 // One server of an endpoint list.
@@ -78,17 +84,17 @@
   int kind = 0;
   GroupId group;
   ServerState state = ServerState::ready;
-  double relative_capacity = 1;  // capacity relative to the other servers'
+  double relative_capacity = 1;  // capacity relative to that of the other servers
   Millis started_at = 0;         // 0: long ago
   bool primary = false;
   bool operator==(const ServerEntry&) const = default;
 };
 
-// What a server's answer or the answer to a probe says of it.
+// The state that a server reports about itself in an answer to a request or to a probe.
 struct ReplicaSample {
   Role role = Role::unknown;
-  Millis position = -1;     // time up to which it has applied all commits; below 0: not stated
-  double utilization = -1;  // share of its processors in use; below 0: not stated
+  Millis position = -1;     // time up to which it has applied all commits; negative: not reported
+  double utilization = -1;  // fraction of its processors in use; negative: not reported
 };
 
 }  // namespace reedspindle
--- a/src/routing/address_hash_index.hpp
+++ b/src/routing/address_hash_index.hpp
@@ -1,5 +1,6 @@
-// Replicas by the short marks by which instances name them to one another. Many are added one after the other
-// as a list is read, then looked up often: new ones are sorted in at the next look-up.
+// Index of replicas by the short address hash by which instances name them to one another. While a list is
+// read, many replicas are added in a row and then looked up often; new entries are therefore sorted in at the
+// next look-up.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +9,7 @@
 
 namespace reedspindle::routing {
 
+// Maps address hashes to replicas; several replicas may share a hash.
 template <typename Replica>
 class AddressHashIndex {
  public:
@@ -23,7 +25,7 @@
     --sorted_;
   }
 
-  // None where no replica has that address hash, or more than one.
+  // Returns the replica with the hash, or null if no replica or more than one has it.
   Replica* find(long address_hash) {
     sort();
     const auto found = std::ranges::equal_range(entries_, address_hash, {}, &Entry::first);
@@ -44,7 +46,7 @@
   }
 
   std::vector<Entry> entries_;
-  std::size_t sorted_ = 0;  // of them, from the front
+  std::size_t sorted_ = 0;  // number of sorted entries at the front of entries_
 };
 
 }  // namespace reedspindle::routing
--- a/src/routing/attempts.cpp
+++ b/src/routing/attempts.cpp
@@ -1,9 +1,10 @@
-// Only idempotent requests are cancelled for an unresponsive server: they are tried elsewhere.
+// Only idempotent requests are cancelled when their server is unresponsive; they are then retried at another
+// server.
 #include "routing/attempts.hpp"
 
 namespace reedspindle::routing {
 
-// A repeat must not wait for its connection until servers no longer recognise it.
+// Limits the time to connect, so that a repeat does not start after servers have ceased to recognise it.
 void Attempts::start(RequestId id, Request& request, std::vector<Decision>& decisions) {
   const RequestClass& request_class = context_.class_of(request.request_class);
   std::optional<Millis> start_within;
--- a/src/routing/attempts.hpp
+++ b/src/routing/attempts.hpp
@@ -1,4 +1,4 @@
-// The attempts in flight, and cancelling those at servers that hang.
+// Tracks the attempts in flight and cancels those at unresponsive servers.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace reedspindle::routing {
 
-// An attempt in flight; it may outlive its request.
+// An attempt in flight. It may outlive its request.
 struct Attempt {
   Server* server = nullptr;  // owned by the registry, which keeps it while attempts are in flight
   RequestClassId request_class;
@@ -29,22 +29,25 @@
   bool cancelled = false;
 };
 
+// Owns the attempts in flight of all requests.
 class Attempts {
  public:
   Attempts(const RouterContext& context, ServerRegistry& registry, const ServerHealth& health,
            SlowStart& slow_start)
       : context_(context), registry_(registry), health_(health), slow_start_(slow_start) {}
 
-  // Starts the next attempt of a request at its target; the server has already counted it.
+  // Starts the next attempt of a request at its target. The attempt is already included in the server's
+  // in_flight.
   void start(RequestId id, Request& request, std::vector<Decision>& decisions);
 
-  // Ends an attempt; none where it is not known.
+  // Removes an attempt that has ended and returns it, or nothing if it is unknown.
   [[nodiscard]] std::optional<Attempt> take(RequestId id, AttemptNumber number);
 
-  // Finds the attempts at unresponsive servers that may be cancelled; once a batch, after all events.
+  // Determines which attempts at unresponsive servers are to be cancelled. Called once per batch, after all
+  // events.
   void check_servers();
 
-  // Cancels what check_servers() has found.
+  // Cancels the attempts determined by check_servers() and records the failure at their servers.
   void cancel_due(std::vector<Decision>& decisions);
 
  private:
--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -1,6 +1,7 @@
-// Limits shrink while answers take too large a part of their latency objective and grow while they take a
-// small one. That keeps queues at servers short and slow servers little used; a minimum keeps requests going
-// when all servers are slow. Objectives that say little of the work of a class mislead it.
+// A limit shrinks while answers take a large part of their latency objective, and grows while they take a
+// small part. That keeps the queues at servers short and diverts load from slow servers; a minimum lets
+// requests continue when all servers are slow. If the objective of a class does not correspond to the work
+// that its requests cause, the limit adapts wrongly.
 #include "routing/concurrency_limit.hpp"
 
 #include <algorithm>
@@ -13,12 +14,13 @@
 namespace reedspindle::routing {
 namespace {
 
-// Attempts in flight at a server over all instances: what a new one gets, and what is never taken from it.
+// Attempts in flight at one server, summed over all instances: the limit of a new server, and the minimum
+// limit.
 constexpr double kInitialOfFleet = 8;
 constexpr double kMinimumOfFleet = 4;
 
-// The mean ratio of latency to objective, over so many answers, above which the limit shrinks and below which
-// it grows if it is nearly used up.
+// The mean ratio of latency to objective over kAnswersPerStep answers: above kHighRatio the limit shrinks;
+// below kLowRatio it grows, provided that it is nearly used up.
 constexpr std::size_t kAnswersPerStep = 10;
 constexpr double kHighRatio = 0.35;
 constexpr double kLowRatio = 0.25;
@@ -26,13 +28,14 @@
 constexpr double kGrow = 1;
 constexpr double kNearlyUsedUp = 0.7;
 
-// Limits below 1 follow single answers.
+// Limits below 1 are adjusted after every single answer.
 constexpr double kBackOffFactor = 0.3;
 constexpr double kFastRatio = 0.5;
 constexpr double kFastGrow = 0.3;
 constexpr double kFreeUtilization = 0.7;
 
-// In milliseconds: no attempts after shed load; and a limit below 1 grows back to it without any answer.
+// In milliseconds: no attempts are sent for kPauseAfterShed after the server has shed one; the admission
+// probability of a limit below 1 rises by 1 per kRecovery without any answer.
 constexpr Millis kPauseAfterShed = 100;
 constexpr Millis kRecovery = 100000;
 
@@ -64,8 +67,8 @@
   server.latency_ratios.clear();
 }
 
-// A late answer may be due to its request alone: from a server that reports processors free only a second one
-// in a row counts against the server.
+// A late answer may be due to the request alone. If the server reports free processors, only a second late
+// answer in a row counts against it.
 void ConcurrencyLimits::follow_short_answer(Server& server, const RequestClass& request_class,
                                             Millis latency) const {
   const bool processors_free =
@@ -80,16 +83,17 @@
   }
 }
 
-// A server that sheds faster than others answer would otherwise draw ever more requests.
+// Without a pause, a server that sheds load faster than others answer would attract ever more requests.
 void ConcurrencyLimits::record_shed(Server& server) const {
   back_off(server);
   server.concurrency_limit = std::max(minimum_limit(), server.concurrency_limit * kShrink);
   server.back_off_until = context_.now + kPauseAfterShed;
 }
 
-// Where instances are many, each has too few attempts at a server to limit them by their number: a limit
-// under 1 is the chance that a request may go there, so that the sum over all instances follows what the
-// server can do. A server with one slow answer by chance is spared for a while, too.
+// With many instances, each one has too few attempts at a server to limit them by number. A limit below 1 is
+// therefore the probability that a request may be sent there, so that the sum over all instances follows the
+// server's capacity. One late answer also reduces the load on the server for a while, even if it was late by
+// chance.
 void ConcurrencyLimits::back_off(Server& server) const {
   if (minimum_limit() >= 1) {
     return;
--- a/src/routing/concurrency_limit.hpp
+++ b/src/routing/concurrency_limit.hpp
@@ -1,4 +1,5 @@
-// The limit on this instance's attempts in flight at a server, which follows the latency of its answers.
+// The limit on the attempts that this instance has in flight at a server. It adapts to the latency of the
+// server's answers.
 #pragma once
 
 #include "core/types.hpp"
@@ -8,22 +9,24 @@
 
 namespace reedspindle::routing {
 
+// Adapts the concurrency limit of each server and admits attempts by it.
 class ConcurrencyLimits {
  public:
   ConcurrencyLimits(const RouterContext& context, SlowStart& slow_start)
       : context_(context), slow_start_(slow_start) {}
 
-  // The limit that a newly listed server begins with.
+  // Returns the initial limit of a newly listed server.
   [[nodiscard]] double initial_limit() const;
 
-  // An attempt took so long, be it answered or timed out.
+  // Records that an attempt took `latency` milliseconds, whether it was answered or timed out.
   void record_latency(Server& server, const RequestClass& request_class, Millis latency) const;
 
-  // The server has shed an attempt.
+  // Records that the server has shed an attempt.
   void record_shed(Server& server) const;
 
-  // Whether one more attempt may go to the server. `admission_draw` is the request's, 0 to 1; `share` is the
-  // part of the limit that is open to it. Counts the server's slow-start credit anew.
+  // Returns whether one more attempt may be sent to the server. `admission_draw` is the request's random
+  // number from 0 to 1; `share` is the fraction of the limit that is open to the request. Updates the
+  // server's slow-start credit.
   bool has_room(Server& server, const RequestClass& request_class, double admission_draw,
                 double share = 1) const;
 
--- a/src/routing/due_times.hpp
+++ b/src/routing/due_times.hpp
@@ -1,5 +1,4 @@
-// When something is due for each of many keys, one time a key at the most. What is due is found without a
-// look at the others.
+// Due times by key, at most one per key. Due keys are found without looking at the others.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +12,11 @@
 
 namespace reedspindle::routing {
 
+// Holds at most one due time for each key. Times are in milliseconds.
 template <typename Key>
 class DueTimes {
  public:
-  // In the place of the time that the key had. None: nothing is due for it.
+  // Sets the due time of a key, replacing its previous one; std::nullopt removes it.
   void set(const Key& key, std::optional<Millis> at) {
     const auto found = by_key_.find(key);
     if (found != by_key_.end()) {
@@ -37,6 +37,7 @@
     }
   }
 
+  // Returns the earliest due time, or nothing if no key is due.
   [[nodiscard]] std::optional<Millis> next() const {
     if (by_time_.empty()) {
       return std::nullopt;
@@ -44,7 +45,7 @@
     return by_time_.begin()->first;
   }
 
-  // The keys that are due by now, in their own order; they have no time any more.
+  // Removes the keys that are due by `now` and returns them in ascending order of key.
   std::vector<Key> take_due(Millis now) {
     std::vector<Key> due;
     while (!by_time_.empty() && by_time_.begin()->first <= now) {
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -1,4 +1,5 @@
-// The freshness tests. Times are rounded by a millisecond to the cautious side.
+// The freshness tests. Times are rounded by kRounding (milliseconds) in the direction that makes the tests
+// stricter.
 #include "routing/eligibility.hpp"
 
 #include <algorithm>
--- a/src/routing/eligibility.hpp
+++ b/src/routing/eligibility.hpp
@@ -1,5 +1,5 @@
-// Whether a replica is fresh enough for a request: its sample is recent, its replication lag is under the
-// threshold, and the session's last write is applied. Pure functions.
+// Decides whether a replica is fresh enough for a request: its sample is recent, its replication lag is below
+// the threshold, and the session's last write has been applied. Pure functions.
 #pragma once
 
 #include "core/types.hpp"
@@ -8,25 +8,29 @@
 
 namespace reedspindle::routing {
 
-// The oldest sample by which a replica may be judged, in milliseconds.
+// The maximum age, in milliseconds, of a sample by which a replica is judged.
 constexpr Millis kMaxSampleAge = 1000;
-// The staleness bound of reads that state none, in milliseconds.
+// The staleness bound, in milliseconds, of reads that state none.
 constexpr Millis kDefaultStalenessBound = 2000;
 
-// The staleness bound that a replica must keep for requests of a class, in milliseconds.
+// Returns the staleness bound, in milliseconds, that a replica must keep for requests of a class.
 [[nodiscard]] Millis staleness_bound_of(const RequestClass& request_class);
 
-// Until when a server with a sample is proven to be within a staleness bound, if nothing more is heard of it.
+// Returns the time until which a server that has a sample is proven to be within a staleness bound, if no
+// newer sample arrives.
 [[nodiscard]] Millis fresh_until(const Server& server, Millis staleness_bound);
 
-// All three tests. `session_token`: the date of the session's last write, kNever where there is none.
+// Applies all three tests. `session_token` is the commit time of the session's last write, kNever if there is
+// none.
 [[nodiscard]] bool is_fresh(const Server& server, const RequestClass& request_class, Millis session_token,
                             Millis now);
 
-// How far a replica may be behind at a time and still serve a request; kForever: any lag will do.
+// Returns the maximum replication lag, in milliseconds, with which a replica may serve a request at time
+// `at`; kForever if any lag is allowed.
 [[nodiscard]] Millis allowed_lag(const RequestClass& request_class, Millis session_token, Millis at);
 
-// The smallest replication lag among the server's last samples, 0 where there is none.
+// Returns the smallest replication lag, in milliseconds, among the server's latest samples; 0 if there are
+// none.
 [[nodiscard]] Millis smallest_sampled_lag(const Server& server);
 
 }  // namespace reedspindle::routing
--- a/src/routing/endpoint_list.cpp
+++ b/src/routing/endpoint_list.cpp
@@ -1,4 +1,5 @@
-// A complete list replaces the state of all servers; a list of changes only that of the servers it names.
+// A complete list replaces the state of all servers; a list of changes affects only the servers that it
+// names.
 #include "routing/endpoint_list.hpp"
 
 #include <algorithm>
@@ -8,11 +9,12 @@
 namespace reedspindle::routing {
 namespace {
 
-// A server is forgotten so long after it went, in milliseconds: by then nothing late arrives that names it.
+// Milliseconds after which a server that is gone is deleted: no event that names it can arrive that late.
 constexpr Millis kForgetAfter = 30000;
-// At most so many are looked at in one batch, which has to stay short where thousands go at once.
+// The maximum number of servers checked for deletion in one batch, which must stay short even if thousands of
+// servers go at once.
 constexpr int kForgottenPerBatch = 64;
-// A new server's place in the order of selection is drawn among so many before the last.
+// The position of a new server in the selection order is drawn from this range before the latest selection.
 constexpr double kSelectionSpread = 100;
 
 }  // namespace
@@ -67,8 +69,8 @@
   }
 }
 
-// Credit and order are drawn: instances must not all begin with the same server, nor spend all credit at
-// once.
+// Draws the slow-start credit and the position in the selection order at random, so that instances neither
+// all begin with the same server nor all spend their credit at the same time.
 void EndpointLists::add(Server& server) {
   const ServerId& id = server.entry.id;
   server.listed_at = context_.now;
@@ -82,20 +84,21 @@
   server.last_selected = registry_.last_selection() - back;
 }
 
-// The list has said something of the server, or has it no more.
+// Called once a list has named the server or has omitted it.
 void EndpointLists::update_listing(Server& server) {
   slow_start_.update_capacity(server);
   const bool gone = server.entry.state == ServerState::gone;
   if (!gone || std::exchange(server.was_gone, true) || !context_.options.gone_is_excluded) {
     return;
   }
-  // One that was listed as gone from the first is forgotten at once.
+  // A server that was already gone when it was first listed is deleted at once.
   const bool was_in_use = server.listed_at < context_.now || server.in_flight > 0;
   server.gone_since = was_in_use ? context_.now : context_.now - kForgetAfter;
   gone_.emplace(server.gone_since, server.entry.id);
 }
 
-// Where servers are replaced all day, memory must not grow.
+// Deletes servers that have been gone for long, so that memory does not grow where servers are replaced
+// continually.
 void EndpointLists::forget_gone() {
   const Millis now = context_.now;
   for (int count = 0; count < kForgottenPerBatch; ++count) {
--- a/src/routing/endpoint_list.hpp
+++ b/src/routing/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// Lists from discovery: servers are added, change, drain, go and are forgotten.
+// Processes the lists from discovery: adds, updates and removes servers.
 #pragma once
 
 #include <map>
@@ -16,6 +16,7 @@
 
 namespace reedspindle::routing {
 
+// Applies endpoint lists to the registry, and deletes servers that discovery has stopped listing.
 class EndpointLists {
  public:
   EndpointLists(RouterContext& context, ServerRegistry& registry, SlowStart& slow_start,
@@ -26,10 +27,11 @@
         limits_(limits),
         exchange_(exchange) {}
 
-  // Takes in a list that discovery has answered with, of any kind but `failed`.
+  // Applies a list that discovery has answered with, of any kind except `failed`.
   void handle_endpoint_list(const EndpointListReceived& list);
 
-  // The servers that were forgotten since the last call and have not been listed again.
+  // Returns the servers that have been removed from memory since the last call and have not been listed
+  // again.
   [[nodiscard]] std::vector<ServerId> take_forgotten() { return std::exchange(forgotten_, {}); }
 
  private:
@@ -44,7 +46,7 @@
   SlowStart& slow_start_;
   const ConcurrencyLimits& limits_;
   SampleExchange& exchange_;
-  std::multimap<Millis, ServerId> gone_;  // by when they went
+  std::multimap<Millis, ServerId> gone_;  // ordered by the time since which they are gone
   std::vector<ServerId> forgotten_;
 };
 
--- a/src/routing/endpoint_polling.cpp
+++ b/src/routing/endpoint_polling.cpp
@@ -1,4 +1,4 @@
-// Calls of the instances are spread, for discovery is one service for all.
+// Spreads the calls of the instances over time, because they all use the same discovery service.
 #include "routing/endpoint_polling.hpp"
 
 #include <algorithm>
@@ -6,13 +6,13 @@
 namespace reedspindle::routing {
 namespace {
 
-// The wait after a failed call, before it is spread (in milliseconds).
+// Milliseconds to wait after a failed call, before the random spread is added.
 constexpr Millis kRetryDelay = 200;
-// Calls of two instances are so far apart on average (in milliseconds).
+// The average interval between the calls of two instances, in milliseconds.
 constexpr Millis kSpreadPerInstance = 25;
-// The spread is at most this part of the time within which a call is wanted, so that a lost call, the wait
-// and the next call fit into it.
-constexpr double kPartsOfLimit = 4;
+// The spread is at most 1/kSpreadDivisor of the time within which a list is required, so that a lost call,
+// the wait and the next call fit into that time.
+constexpr double kSpreadDivisor = 4;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 
 Millis EndpointPolling::draw_delay() {
   const Millis spread =
-      std::min(kSpreadPerInstance * (context_.instances - 1), context_.options.poll_within / kPartsOfLimit);
+      std::min(kSpreadPerInstance * (context_.instances - 1), context_.options.poll_within / kSpreadDivisor);
   return context_.draw() * spread;
 }
 
--- a/src/routing/endpoint_polling.hpp
+++ b/src/routing/endpoint_polling.hpp
@@ -1,4 +1,4 @@
-// When discovery is asked for a list, where it does not push.
+// Schedules the calls to discovery, where discovery does not push its lists.
 #pragma once
 
 #include "core/types.hpp"
@@ -6,24 +6,26 @@
 
 namespace reedspindle::routing {
 
+// Schedules calls to discovery, spread at random over time.
 class EndpointPolling {
  public:
   explicit EndpointPolling(RouterContext& context) : context_(context) {}
 
-  // Discovery did not answer.
+  // Schedules the next call after discovery did not answer.
   void handle_failure();
 
-  // Whether a call is due, once a batch; none is due any more after that until the call has failed.
+  // Returns whether a call is due. Called once per batch. After it has returned true, no call is due until
+  // that call has failed.
   bool take_due();
 
-  // When the next call is due; kForever where none is.
+  // Returns the time of the next call, or kForever if none is scheduled.
   [[nodiscard]] Millis next_at() const;
 
  private:
   Millis draw_delay();
 
   RouterContext& context_;
-  Millis next_poll_at_ = kNever;  // kNever: not yet decided
+  Millis next_poll_at_ = kNever;  // kNever: not yet drawn
 };
 
 }  // namespace reedspindle::routing
--- a/src/routing/first_try_estimate.cpp
+++ b/src/routing/first_try_estimate.cpp
@@ -1,5 +1,5 @@
-// First tries of a class arrive with the same remaining time; any other remaining time is what a retry has
-// left of the client's timeout. Without this retries would crowd out first tries.
+// The first tries of a class arrive with the same remaining time; any other remaining time is what a retry
+// has left of the client's timeout. Without this estimate, retries would crowd out first tries.
 #include "routing/first_try_estimate.hpp"
 
 #include <algorithm>
@@ -11,21 +11,24 @@
 namespace reedspindle::routing {
 namespace {
 
-constexpr std::size_t kTimesKept = 64;
-// By how much the network varies remaining times, in milliseconds.
+constexpr std::size_t kMaxRemainingTimes = 64;
+// The variation of remaining times that is due to the network, in milliseconds.
 constexpr Millis kJitter = 10;
-// A remaining time that differs by more than so many times the jitter is a retry's.
+// A remaining time that differs from the common one by more than this many times the jitter belongs to a
+// retry.
 constexpr double kRetryJitters = 3;
-// A remaining time is common if it occurs so often, and in this part of the last requests.
+// A remaining time is common if it occurs at least kMinOccurrences times and in at least 1/kCommonDivisor of
+// the latest requests.
 constexpr std::size_t kMinOccurrences = 3;
-constexpr std::size_t kCommonPart = 4;
+constexpr std::size_t kCommonDivisor = 4;
 
 struct CommonTime {
   std::size_t occurrences = 0;
   Millis time = 0;
 };
 
-// The largest number of times that lie within the jitter of one another, and the longest of them.
+// Returns the largest number of times that lie within the jitter of one another, and the longest of these
+// times.
 CommonTime most_common(std::deque<Millis> times) {
   std::ranges::sort(times);
   CommonTime common;
@@ -45,9 +48,9 @@
 
 Millis FirstTryEstimate::elapsed(const RequestReceived& event, const RequestClass& request_class) {
   std::deque<Millis>& times = remaining_times_[event.request_class];
-  keep_last(times, event.remaining, kTimesKept);
+  keep_last(times, event.remaining, kMaxRemainingTimes);
   const CommonTime common = most_common(times);
-  if (common.occurrences < kMinOccurrences || kCommonPart * common.occurrences < times.size()) {
+  if (common.occurrences < kMinOccurrences || kCommonDivisor * common.occurrences < times.size()) {
     return 0;
   }
   if (std::abs(event.remaining - common.time) > kRetryJitters * kJitter) {
--- a/src/routing/first_try_estimate.hpp
+++ b/src/routing/first_try_estimate.hpp
@@ -1,4 +1,5 @@
-// How long a client has been asking already: its latency objective runs from its first try.
+// Estimates how long a client has already been trying: the latency objective runs from the client's first
+// try.
 #pragma once
 
 #include <deque>
@@ -10,14 +11,15 @@
 
 namespace reedspindle::routing {
 
+// Estimates the time since the first try of a request from the remaining times of its class.
 class FirstTryEstimate {
  public:
-  // The time since the client's first try, in milliseconds; 0 where nothing can be concluded. Takes the
-  // request's remaining time into account for later ones.
+  // Returns the time since the client's first try, in milliseconds, or 0 if nothing can be concluded. Also
+  // records the request's remaining time for later estimates.
   Millis elapsed(const RequestReceived& event, const RequestClass& request_class);
 
  private:
-  std::map<RequestClassId, std::deque<Millis>> remaining_times_;  // of the last requests
+  std::map<RequestClassId, std::deque<Millis>> remaining_times_;  // of the latest requests
 };
 
 }  // namespace reedspindle::routing
--- a/src/routing/group_usage.cpp
+++ b/src/routing/group_usage.cpp
@@ -1,4 +1,4 @@
-// A group should cost what its requests cost, and nothing for being listed.
+// A group that receives no requests should cause no work merely because it is listed.
 #include "routing/group_usage.hpp"
 
 #include <algorithm>
--- a/src/routing/group_usage.hpp
+++ b/src/routing/group_usage.hpp
@@ -1,5 +1,5 @@
-// How many requests a group has had of late. They are counted only where the setting allow.connection_idle
-// states how long a connection may stand idle: that is the time in which a count decays.
+// Counts the recent requests of a group. Requests are counted only if the setting allow.connection_idle
+// states how long a connection may be idle; the counts decay with that time constant.
 #pragma once
 
 #include "routing/replica_state.hpp"
@@ -7,13 +7,14 @@
 
 namespace reedspindle::routing {
 
-// A request for the group has arrived.
+// Records a request for the group.
 void record_request(Group& group, const RouterContext& context);
 
-// The decayed number of its requests.
+// Returns the group's exponentially decayed request count.
 [[nodiscard]] double recent_requests(const Group& group, const RouterContext& context);
 
-// Whether the group is to be probed: it has requests here, or this instance leads its probing for others.
+// Returns whether the group is to be probed: it has recent requests at this instance, or this instance leads
+// its probing.
 [[nodiscard]] bool is_in_use(const Group& group, const RouterContext& context);
 
 }  // namespace reedspindle::routing
--- a/src/routing/latency_stats.cpp
+++ b/src/routing/latency_stats.cpp
@@ -1,4 +1,4 @@
-// Windows of the last latencies, short enough to follow a change of load.
+// The windows are short enough to follow a change of load.
 #include "routing/latency_stats.hpp"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 namespace reedspindle::routing {
 namespace {
 
-constexpr std::size_t kKeptOfClass = 32;
-constexpr std::size_t kKeptOfServer = 16;
-constexpr std::size_t kKeptOfAllServers = 32;
-constexpr std::size_t kKeptWork = 256;
+constexpr std::size_t kAnswersPerClass = 32;
+constexpr std::size_t kAnswersPerServer = 16;
+constexpr std::size_t kAnswersOfAllServers = 32;
+constexpr std::size_t kWorkItems = 256;
 constexpr double kUpperQuartile = 0.75;
 constexpr Millis kUnknownAnswerTime = 100;
 constexpr double kMaxLongRunningShare = 0.5;
@@ -22,12 +22,12 @@
 void LatencyStats::record(Server& server, RequestClassId id, const RequestClass& request_class,
                           Millis latency) {
   std::deque<Millis>& of_class = by_class_[id];
-  keep_last(of_class, latency, kKeptOfClass);
+  keep_last(of_class, latency, kAnswersPerClass);
   upper_quartiles_[id] = quantile(of_class, kUpperQuartile, 0);
-  keep_last(work_, {request_class.long_running, latency}, kKeptWork);
+  keep_last(work_, {request_class.long_running, latency}, kWorkItems);
   if (!request_class.long_running) {
-    keep_last(server.recent_latencies, latency, kKeptOfServer);
-    keep_last(short_latencies_, latency, kKeptOfAllServers);
+    keep_last(server.recent_latencies, latency, kAnswersPerServer);
+    keep_last(short_latencies_, latency, kAnswersOfAllServers);
   }
 }
 
@@ -42,7 +42,7 @@
 }
 
 double LatencyStats::long_running_share() const {
-  Millis total = 1;  // not 0
+  Millis total = 1;  // avoids a division by zero
   Millis long_running = 0;
   for (const Work& work : work_) {
     total += work.latency;
--- a/src/routing/latency_stats.hpp
+++ b/src/routing/latency_stats.hpp
@@ -1,4 +1,4 @@
-// Latencies of the last answers: by class, of each server, and the share of long-running work.
+// Latencies of the latest answers, by request class and by server, and the share of long-running work.
 #pragma once
 
 #include <deque>
@@ -10,18 +10,20 @@
 
 namespace reedspindle::routing {
 
-// All latencies are in milliseconds.
+// Collects latencies. All latencies are in milliseconds.
 class LatencyStats {
  public:
+  // Records the latency of an attempt that was answered or timed out.
   void record(Server& server, RequestClassId id, const RequestClass& request_class, Millis latency);
 
-  // The upper quartile of the last answers of a class; 0 where there are none.
+  // Returns the upper quartile of the latest answers of a class; 0 if there are none.
   [[nodiscard]] Millis upper_quartile(RequestClassId id) const;
 
-  // The upper quartile of a server's last short answers, or of all servers' where it has given none.
+  // Returns the upper quartile of a server's latest answers to requests that are not long-running, or that of
+  // all servers if this one has given none.
   [[nodiscard]] Millis usual_answer_time(const Server& server) const;
 
-  // The share of long-running requests in all recent work, by latency; at most one half.
+  // Returns the share of long-running requests in all recent work, weighted by latency; at most one half.
   [[nodiscard]] double long_running_share() const;
 
  private:
--- a/src/routing/probe_leader.cpp
+++ b/src/routing/probe_leader.cpp
@@ -1,4 +1,4 @@
-// Weights by hash of group and instance.
+// Weights are hashes of the group and the instance.
 #include "routing/probe_leader.hpp"
 
 #include <utility>
@@ -6,9 +6,9 @@
 namespace reedspindle::consistency {
 namespace {
 
-// The finalizer of MurmurHash3 (Appleby, in the public domain): each input bit changes half of the output
-// bits, so that instances with consecutive numbers get groups evenly.
-std::uint64_t mixed(std::uint64_t key) {
+// The finalizer of MurmurHash3 (Appleby, public domain): each input bit changes half of the output bits on
+// average, so that groups are distributed evenly among instances with consecutive numbers.
+std::uint64_t murmur_finalize(std::uint64_t key) {
   key ^= key >> 33;
   key *= 0xff51afd7ed558ccdULL;
   key ^= key >> 33;
@@ -17,7 +17,8 @@
 }
 
 std::uint64_t weight(GroupId group, int instance) {
-  return mixed(mixed(static_cast<std::uint64_t>(group.number)) + static_cast<std::uint64_t>(instance) + 1);
+  return murmur_finalize(murmur_finalize(static_cast<std::uint64_t>(group.number)) +
+                         static_cast<std::uint64_t>(instance) + 1);
 }
 
 }  // namespace
--- a/src/routing/probe_leader.hpp
+++ b/src/routing/probe_leader.hpp
@@ -1,6 +1,7 @@
-// Which instance leads the probing of a group, by rendezvous hashing over the live instances (highest random
-// weight: Thaler, Ravishankar 1998): all that see the same instances name the same leader without a message,
-// and an instance that joins or leaves moves only the groups that it leads. Free of I/O.
+// Chooses the instance that leads the probing of a group, by rendezvous hashing over the live instances
+// (highest random weight: Thaler, Ravishankar 1998). All instances that see the same live instances choose
+// the same leader without exchanging messages, and an instance that joins or leaves affects only the groups
+// that it leads. Does no I/O.
 #pragma once
 
 #include <compare>
@@ -11,9 +12,11 @@
 
 namespace reedspindle::consistency {
 
-// Whether the first of two instances comes before the second for a group; the same wherever it is asked.
+// Returns whether the first of two instances is preferred to the second as the leader of a group. The result
+// is the same at every instance.
 [[nodiscard]] bool precedes(GroupId group, int first, int second);
-// How many of the others come before an instance, up to `most`: 0 leads the group, 1 takes over from it.
+// Returns the number of other instances that precede an instance, counted up to `most`. The instance with
+// rank 0 leads the group; the one with rank 1 takes over from it.
 [[nodiscard]] int leadership_rank(GroupId group, int instance, const std::set<int>& others, int most);
 
 }  // namespace reedspindle::consistency
--- a/src/routing/probe_leadership.cpp
+++ b/src/routing/probe_leadership.cpp
@@ -1,5 +1,5 @@
-// Leadership by the rank that rendezvous hashing gives among the live instances (probe_leader.hpp), or by who
-// was first to tell where there is no fleet view.
+// Leadership follows the rank that rendezvous hashing gives among the live instances (probe_leader.hpp).
+// Without a fleet view, the instance whose gossip arrives first leads.
 #include "routing/probe_leadership.hpp"
 
 #include <algorithm>
@@ -10,21 +10,21 @@
 namespace reedspindle::routing {
 namespace {
 
-// The leader and the one that takes over: two that fail within one period are rare.
+// The leader and its successor: that both fail within one period is rare.
 constexpr int kRankedInstances = 2;
-// The longest way of a message, in milliseconds.
+// The maximum delivery time of a message, in milliseconds.
 constexpr Millis kMessageDelay = 50;
-// Delays that are drawn set two instances so far apart on average, in milliseconds.
+// Randomly drawn delays set two instances this far apart on average, in milliseconds.
 constexpr Millis kDelayPerInstance = 10;
-// Without a message for so long nobody is heard, in milliseconds.
+// Peers count as unheard if no message has arrived for this long, in milliseconds.
 constexpr Millis kPeerSilence = 2 * kProbePeriod + kMessageDelay;
-// A fleet view that has grown counts as settled after so long, in milliseconds.
+// A fleet view to which an instance has been added counts as settled after this time, in milliseconds.
 constexpr Millis kViewSettles = kMaxSampleAge;
 
 }  // namespace
 
-// Instances that start or reconnect together know few of the others at first, and each would take itself for
-// the leader: ranks wait until the view has settled.
+// Instances that start or reconnect together know few of the others at first, and each would consider itself
+// the leader. Ranks are therefore determined only once the view has settled.
 void ProbeLeadership::handle_fleet_view(const FleetViewChanged& view) {
   const auto& known = context_.fleet_view;
   if (!known || !std::ranges::includes(known->alive_peers, view.alive_peers)) {
@@ -44,8 +44,8 @@
   peer_heard_at_ = context_.now;
 }
 
-// Instances that don't hear each other would each lead all groups and send gossip to all others. One that
-// leads every group need not hear anybody.
+// Instances that do not hear each other would each lead all groups and send gossip to all others. An instance
+// that leads every group does not need to hear others.
 bool ProbeLeadership::hears_peers() const {
   if (!context_.options.may_gossip) {
     return false;
@@ -81,14 +81,14 @@
   return context_.fleet_view ? consistency::precedes(group.id, rank, peer) : rank < peer;
 }
 
-// By rank where it is known; otherwise, and behind the ranked instances, drawn so that few tell at once.
-// Where nobody can be told, and for a server that did not answer who probed it first, all instances together
-// keep the probe period.
+// The delay follows the rank if that is known. Otherwise, and for instances of lower rank, it is drawn at
+// random, so that few instances send gossip at the same time. If no gossip can arrive, and for a server that
+// did not answer the instance that probed it first, all instances together keep the probe period.
 Millis ProbeLeadership::probe_delay(const Group& group, const Server& server) const {
   if (!hears_peers() || server.probe_unanswered) {
-    return 2 * kProbePeriod * (context_.instances - 1) * group.probe_delay_share;
+    return 2 * kProbePeriod * (context_.instances - 1) * group.probe_delay_draw;
   }
-  const Millis drawn = kMessageDelay + kDelayPerInstance * context_.instances * group.probe_delay_share;
+  const Millis drawn = kMessageDelay + kDelayPerInstance * context_.instances * group.probe_delay_draw;
   if (group.leader_rank < 0) {
     return drawn;
   }
--- a/src/routing/probing.cpp
+++ b/src/routing/probing.cpp
@@ -35,7 +35,7 @@
   server.probe_sent_at = kNever;
   Group& group = registry_.mark_changed(server);
   if (!leadership_.hears_peers()) {
-    group.probe_delay_share = context_.draw();
+    group.probe_delay_draw = context_.draw();
   }
   const Millis now = context_.now;
   if (!event.answered) {
@@ -85,8 +85,8 @@
 }
 
 void Probing::decide(Group& group) {
-  if (group.probe_delay_share == 0) {
-    group.probe_delay_share = context_.draw();
+  if (group.probe_delay_draw == 0) {
+    group.probe_delay_draw = context_.draw();
   }
   leadership_.update(group);
   const Millis now = context_.now;
--- a/src/routing/replica_state.hpp
+++ b/src/routing/replica_state.hpp
@@ -88,7 +88,7 @@
   bool sample_wanted = false;    // a request waits for a sample
   bool leads_probing = false;    // this instance probes it for all others
   int leader_rank = -1;          // live instances before this one as its leader; below 0: not known
-  double probe_delay_share = 0;  // drawn, 0 to 1: how long this instance waits for others to probe
+  double probe_delay_draw = 0;  // drawn, 0 to 1: how long this instance waits for others to probe
   double recent_requests = 0;    // older ones count less, by the time a connection may stand idle
   Millis requests_counted_at = kNever;
 };
--- a/src/routing/request_state.cpp
+++ b/src/routing/request_state.cpp
@@ -4,7 +4,7 @@
 namespace reedspindle::routing {
 namespace {
 
-// A repeat may be on its way for so long, in milliseconds.
+// The longest time that a repeat may be in transit, in milliseconds.
 constexpr Millis kDeliveryDelay = 50;
 
 }  // namespace
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -9,31 +9,32 @@
 
 namespace reedspindle::routing {
 
-// Requests that wait are looked at again after so many ticks.
+// Waiting requests are checked again after this many ticks.
 constexpr double kRecheckTicks = 3;
 
-// What becomes of a request in this batch.
+// The next step decided for a request in this batch.
 enum class NextStep { wait, attempt, reject, fail };
 
-// Time points are in milliseconds.
+// A request that waits for its answer. Time points are in milliseconds.
 struct Request {
   RequestClassId request_class;
   GroupId group;
   std::string session;
-  Millis objective_deadline = 0;         // the end of its latency objective
-  Millis half_deadline = 0;              // when half of its remaining time on arrival is over
+  Millis objective_deadline = 0;         // end of the latency objective
+  Millis half_deadline = 0;              // when half of the time that remained on arrival has elapsed
   Millis deadline = 0;                   // the client's
-  Millis session_token = kNever;         // the date of the session's last write
-  double admission_draw = 0;             // 0 to 1: compared with concurrency limits below 1
-  Millis possibly_executed_at = kNever;  // when the first attempt started that may have run
-  int attempts = 0;                      // started
+  Millis session_token = kNever;         // commit time of the session's last write
+  double admission_draw = 0;             // random, 0 to 1; compared with concurrency limits below 1
+  Millis possibly_executed_at = kNever;  // start of the first attempt that may have been executed
+  int attempts = 0;                      // started so far
   int in_flight = 0;
-  int not_executed = 0;  // attempts that a server refused without an effect
+  int not_executed = 0;  // attempts that a server refused without any effect
   NextStep next_step = NextStep::wait;
-  Server* target = nullptr;  // of the next attempt; owned by the registry
+  Server* target = nullptr;  // server of the next attempt; owned by the registry
 };
 
-// For how long servers still recognise a repeat of what may have run, in milliseconds.
+// Returns the time, in milliseconds, for which servers still recognise a repeat of a request that may have
+// been executed. Not positive once the window has passed.
 [[nodiscard]] Millis remaining_idempotency_window(const Request& request, const RequestClass& request_class,
                                                   Millis now);
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,4 +1,4 @@
-// The decision module: takes in the events of a batch, then decides once and returns the decisions.
+// The routing decision module: handles the events of a batch, then decides once and returns the decisions.
 #include "routing/router.hpp"
 
 #include <algorithm>
@@ -31,7 +31,8 @@
 namespace reedspindle::routing {
 namespace {
 
-// Positions are rounded down, and ages either way: tokens are rounded up by so much, in milliseconds.
+// Milliseconds by which session tokens are rounded up: positions are rounded down, and token ages may be
+// rounded either way.
 constexpr Millis kTokenRounding = 1;
 // The longest time between two batches, in milliseconds.
 constexpr Millis kMaxTimer = 1000;
@@ -92,11 +93,11 @@
   ServerSelection selection_{context_, registry_, health_, limits_};
   RequestDecisions request_decisions_{context_, registry_, latencies_, slow_start_, selection_};
 
-  std::vector<Event> events_;  // of the batch
+  std::vector<Event> events_;  // of the current batch
   std::map<RequestId, Request> requests_;
   bool poll_due_ = false;
   Millis timer_at_ = kNever;  // kNever: no timer is set
-  TimerId timer_;             // the last one set
+  TimerId timer_;             // the timer set last
 };
 
 std::vector<Decision> RouterImpl::process(Millis now) {
@@ -158,7 +159,7 @@
   update_request(*attempt, event);
 }
 
-// What any answer of the server shows, an error included.
+// Records what any answer of the server shows, errors included.
 void RouterImpl::record_answer(const Attempt& attempt, const AttemptCompleted& event) {
   using enum AttemptOutcome;
   Server& server = *attempt.server;
@@ -166,7 +167,7 @@
   if (is_any_of(event.outcome, {acknowledged, failed, rejected_overloaded, rejected_not_executed})) {
     health_.record_answer(server);
     slow_start_.update_capacity(server);
-    // A primary's position is the present: the position it claims dates the claim.
+    // A primary's position is the present time, so the position it reports dates its claim to be the primary.
     const bool dated = event.sample.role == Role::primary && event.sample.position >= 0;
     const bool is_write = context_.class_of(attempt.request_class).consistency == Consistency::write;
     record_sample(server, event.sample, dated ? event.sample.position : now, now,
@@ -177,7 +178,7 @@
   server.connection_answered_at = connection_kept ? now : kNever;
 }
 
-// What the outcome shows of the server's health and load.
+// Records what the outcome shows of the server's health and load.
 void RouterImpl::record_outcome(const Attempt& attempt, const AttemptCompleted& event) {
   using enum AttemptOutcome;
   Server& server = *attempt.server;
@@ -187,7 +188,8 @@
     slow_start_.record_acknowledged(server);
   }
   if (is_any_of(event.outcome, {reset, connect_failed})) {
-    // A single connection may end for a reason of its own: two errors with no answer between count.
+    // A single connection may end for a reason unrelated to the server: only two errors without an answer
+    // between them count as a failure.
     const Millis last_error_at = std::exchange(server.last_error_at, context_.now);
     if (last_error_at > server.last_answer_at) {
       server.request_failed_at = context_.now;
@@ -203,8 +205,8 @@
   }
 }
 
-// The server has refused the attempt for what it is: it is not the primary, or it lags. That replaces what
-// was known of its lag.
+// Handles a refusal that is due to the server's own state: it is not the primary, or it lags. The refusal
+// replaces the lag that was known of the server.
 void RouterImpl::record_refusal(const Attempt& attempt, const AttemptCompleted& event) {
   Server& server = *attempt.server;
   const RequestClass& request_class = context_.class_of(attempt.request_class);
--- a/src/routing/sample_exchange.cpp
+++ b/src/routing/sample_exchange.cpp
@@ -61,7 +61,7 @@
     const Millis wait = kProbePeriod * std::min(kMaxPeriodsBeforeProbe, context_.instances);
     server.next_probe_at = std::max(context_.now, server.last_probe_at + wait);
   }
-  group.probe_delay_share = context_.draw();
+  group.probe_delay_draw = context_.draw();
   record_sample(server, gossiped.sample, gossiped.sample.position, sent_at);
   slow_start_.record_utilization(server, gossiped.sample);
 }
