--- a/src/routing/concurrency_limit.cpp
+++ b/src/routing/concurrency_limit.cpp
@@ -83,7 +83,7 @@
   }
 }
 
-// Without a pause, a server that sheds load faster than others answer would attract ever more requests.
+// Without this back-off, a server that sheds load faster than others answer would attract ever more requests.
 void ConcurrencyLimits::record_shed(Server& server) const {
   back_off(server);
   server.concurrency_limit = std::max(minimum_limit(), server.concurrency_limit * kShrink);
--- a/src/routing/replica_samples.hpp
+++ b/src/routing/replica_samples.hpp
@@ -23,7 +23,7 @@
 };
 // A decoded gossip message.
 struct SampleGossip {
-  // The sender's clock, rounded down and not later than the local clock.
+  // The time of sending by the sender's clock, less 1 ms as a margin, and not later than the local clock.
   Millis sent_at = 0;
   std::vector<GossipedSample> samples;
 };
