--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -40,7 +40,7 @@
   bool is_retry = false;  // the client states that this is not its first try
 };
 
-// An attempt has ended. `request_completed` is set if the client has its answer.
+// An attempt has ended. `request_completed` is set if its request no longer waits for an answer.
 struct AttemptCompleted {
   RequestId request;
   AttemptNumber attempt;
@@ -182,7 +182,7 @@
   [[nodiscard]] virtual std::vector<ServerView> view() const = 0;
 };
 
-// Creates a router. `seed` initialises its random numbers; equal settings, seeds and events give equal
+// Creates a router. `seed` initialises its random numbers; equal settings, seeds, events and times give equal
 // decisions.
 std::unique_ptr<Router> make_router(const Settings& settings, std::uint64_t seed);
 
