--- a/src/consistency/message.hpp
+++ b/src/consistency/message.hpp
@@ -41,8 +41,8 @@
   // Upper bound, in ms, of the time since discovery last answered any instance, as far as the sender knows;
   // -1: unknown.
   Millis discovery_age = -1;
-  // Marks of servers, 24-bit identifiers (mark_of in routing/replica_samples.hpp). check: servers that are
-  // ready in the sender's list. removed: those of the checked servers that are not ready in the sender's
+  // Marks of servers, 24-bit identifiers (hash_address in routing/replica_samples.hpp). check: servers that
+  // are ready in the sender's list. removed: those of the checked servers that are not ready in the sender's
   // list.
   std::vector<std::uint32_t> marks;
 };
