--- a/src/proxy/client_commands.cpp
+++ b/src/proxy/client_commands.cpp
@@ -107,7 +107,7 @@
   }
   connection.deadline =
       timers_.set(clock_.now() + (connection.command_seen ? kCommandTimeout : kFirstCommandTimeout),
-                  [this, shared = *connection.place] {
+                  [this, shared = *connection.list_position] {
                     shared->deadline.reset();
                     deadline_passed(*shared);
                   });
@@ -308,7 +308,7 @@
   }
   connection.writing = true;
   asio::async_write(connection.socket, asio::buffer(connection.out),
-                    [this, shared = *connection.place](const asio::error_code& error, std::size_t) {
+                    [this, shared = *connection.list_position](const asio::error_code& error, std::size_t) {
                       shared->writing = false;
                       shared->out = {};
                       if (shared->state == ClientConnection::State::closed) {
@@ -323,7 +323,7 @@
 }
 
 void ClientConnections::write_completed(ClientConnection& connection) {
-  const ConnectionPtr shared = *connection.place;
+  const ConnectionPtr shared = *connection.list_position;
   if (connection.state == ClientConnection::State::lingering) {
     return begin_close(connection);
   }
@@ -347,7 +347,7 @@
 
 // Stops handling commands, and closes the connection once all pending replies have been written.
 void ClientConnections::close_after_replies(ClientConnection& connection) {
-  const ConnectionPtr shared = *connection.place;
+  const ConnectionPtr shared = *connection.list_position;
   connection.state = ClientConnection::State::closing;
   connection.buffer.consume(connection.buffer.data().size());
   timers_.cancel(connection.deadline);
@@ -364,7 +364,7 @@
 // the client could lose the last reply. At most the length of one message is read; anything beyond that stays
 // unread until the linger time is over.
 void ClientConnections::begin_close(ClientConnection& connection) {
-  const ConnectionPtr shared = *connection.place;
+  const ConnectionPtr shared = *connection.list_position;
   if (connection.state != ClientConnection::State::lingering) {
     connection.state = ClientConnection::State::lingering;
     ++lingering_;
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -47,7 +47,7 @@
   std::size_t discarded = 0;  // bytes read while closing or lingering, which were dropped
   Millis last_activity = 0;   // Unix time at which it was accepted, or last read from or replied to
   std::optional<net::Timers::Handle> deadline;  // for the client's next action, or the end of lingering
-  std::list<std::shared_ptr<ClientConnection>>::iterator place;  // in the list of ClientConnections
+  std::list<std::shared_ptr<ClientConnection>>::iterator list_position;  // in the list of ClientConnections
 };
 
 }  // namespace reedspindle::proxy
--- a/src/proxy/client_connections.cpp
+++ b/src/proxy/client_connections.cpp
@@ -137,7 +137,7 @@
   const auto connection = std::make_shared<ClientConnection>(std::move(socket), budget_, reply_budget_);
   connection->last_activity = clock_.now();
   const bool has_capacity = active_connections() < config_.client_connections() || free_capacity();
-  connection->place = connections_.insert(connections_.end(), connection);
+  connection->list_position = connections_.insert(connections_.end(), connection);
   if (!has_capacity) {
     log_.warn("clients", "client connection rejected", {{"reason", "limit on client connections reached"}});
     close_with_error(*connection, "53300", "too many connections");
@@ -211,8 +211,8 @@
   timers_.cancel(connection.deadline);
   asio::error_code ignored;
   connection.socket.close(ignored);
-  const ConnectionPtr last = *connection.place;  // the connection stays valid until this returns
-  connections_.erase(connection.place);
+  const ConnectionPtr last = *connection.list_position;  // the connection stays valid until this returns
+  connections_.erase(connection.list_position);
 }
 
 void ClientConnections::start_draining() {
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -254,8 +254,8 @@
   asio::error_code ignored;
   connection.socket.close(ignored);
   CallPtr call = std::move(connection.call);
-  const ConnectionPtr last = *connection.place;  // the connection stays valid until this returns
-  connections_.erase(connection.place);
+  const ConnectionPtr last = *connection.list_position;  // the connection stays valid until this returns
+  connections_.erase(connection.list_position);
   --server.connections;
   // If the limit has kept calls queued, a connection can be opened for one of them now.
   const bool limited = open_limit_ != kUnlimited && server.connections < open_limit_;
@@ -271,7 +271,7 @@
 
 void ConnectionPool::remove_from_idle(ServerConnection& connection) {
   std::erase(connection.server.idle, &connection);
-  idle_.erase(connection.idle_place);
+  idle_.erase(connection.idle_position);
 }
 
 // Returns false if no connection is idle.
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -30,7 +30,7 @@
     return complete(take_first_queued(server), AttemptOutcome::connect_failed);
   }
   const auto connection = std::make_shared<ServerConnection>(io_, server, budget_);
-  connection->place = connections_.insert(connections_.end(), connection);
+  connection->list_position = connections_.insert(connections_.end(), connection);
   connection->opened = clock_.now();
   ++server.becoming_ready;
   ++server.connections;
@@ -96,7 +96,7 @@
 
 void ConnectionPool::write_rest(ServerConnection& connection, std::size_t written) {
   asio::async_write(connection.socket, asio::buffer(connection.out) + written,
-                    [this, call = connection.call.get(), shared = *connection.place](
+                    [this, call = connection.call.get(), shared = *connection.list_position](
                         const asio::error_code& error, std::size_t) {
                       if (shared->call.get() != call) {
                         return;
@@ -231,7 +231,7 @@
   ++connection.server.becoming_ready;
   connection.reset_answered = false;
   connection.out = postgres::query("");
-  const ConnectionPtr shared = *connection.place;
+  const ConnectionPtr shared = *connection.list_position;
   connection.timer =
       timers_.set(clock_.now() + config_.connect_timeout, [this, shared] { reset_timed_out(shared); });
   asio::async_write(connection.socket, asio::buffer(connection.out),
@@ -265,7 +265,7 @@
   connection.state = ServerConnection::State::idle;
   connection.idle_since = clock_.now();
   server.idle.push_back(&connection);
-  connection.idle_place = idle_.insert(idle_.end(), &connection);
+  connection.idle_position = idle_.insert(idle_.end(), &connection);
   if (is_stale(connection) || (server.connections > open_limit_ && server.queue.empty())) {
     close(connection);
   }
--- a/src/upstream/server_connection.hpp
+++ b/src/upstream/server_connection.hpp
@@ -59,15 +59,15 @@
   net::Buffer buffer;
   std::string out;  // the bytes being written
   State state = State::opening;
-  Millis opened = 0;                                  // Unix time
-  Millis idle_since = 0;                              // Unix time
-  std::list<ServerConnection*>::iterator idle_place;  // valid while it is idle
-  bool query_sent = false;                            // the last byte of the call's query has been written
-  bool reset_answered = false;                        // EmptyQueryResponse has been received
-  std::unique_ptr<PendingCall> call;                  // set while it is busy
-  std::optional<net::Timers::Handle> timer;           // set while it is opening or resetting
-  std::optional<std::string> startup_error;           // SQLSTATE of an error received while opening
-  std::list<std::shared_ptr<ServerConnection>>::iterator place;  // in the pool's list
+  Millis opened = 0;                                     // Unix time
+  Millis idle_since = 0;                                 // Unix time
+  std::list<ServerConnection*>::iterator idle_position;  // valid while it is idle
+  bool query_sent = false;                               // the last byte of the call's query has been written
+  bool reset_answered = false;                           // EmptyQueryResponse has been received
+  std::unique_ptr<PendingCall> call;                     // set while it is busy
+  std::optional<net::Timers::Handle> timer;              // set while it is opening or resetting
+  std::optional<std::string> startup_error;              // SQLSTATE of an error received while opening
+  std::list<std::shared_ptr<ServerConnection>>::iterator list_position;  // in the pool's list
 };
 
 }  // namespace reedspindle::upstream
