--- a/tests/digests/discovery.cpp
+++ b/tests/digests/discovery.cpp
@@ -75,8 +75,8 @@
       list_in_progress_ = false;
     }
   }
-  void add(const SendPoll& call) {
-    digest_.add(fmt::format("{} call {} {:.3f}", now_, call.since.value_or(-1), call.wait));
+  void add(const SendPoll& poll) {
+    digest_.add(fmt::format("{} call {} {:.3f}", now_, poll.since.value_or(-1), poll.wait));
   }
   void add(const AbortPoll& /*unused*/) { digest_.add(fmt::format("{} give up", now_)); }
   void add(const ReportFailure& failure) {
--- a/tests/digests/membership.cpp
+++ b/tests/digests/membership.cpp
@@ -1,8 +1,9 @@
 // Runs the membership protocol of five instances in a simulated network with faults, and prints a digest of
 // all decisions and views.
+#include "membership/membership.hpp"
+
 #include <variant>
 
-#include "membership/membership.hpp"
 #include "network.hpp"
 
 namespace {
--- a/tests/routing_properties.cpp
+++ b/tests/routing_properties.cpp
@@ -57,32 +57,32 @@
   });
 }
 
-bool mark_index() {
-  return rc::check("a mark finds its replica if exactly one replica has it", [] {
+bool address_hash_index() {
+  return rc::check("an address hash finds its replica if exactly one replica has it", [] {
     std::array<int, 12> replicas{};
-    std::map<std::size_t, long> marks;
+    std::map<std::size_t, long> hashes;
     AddressHashIndex<int> index;
     const int steps = *rc::gen::inRange(1, 80);
     for (int step = 0; step < steps; ++step) {
       const auto which = *rc::gen::inRange<std::size_t>(0, replicas.size());
-      if (const auto found = marks.find(which); found != marks.end()) {
+      if (const auto found = hashes.find(which); found != hashes.end()) {
         index.remove(found->second, replicas[which]);
-        marks.erase(found);
+        hashes.erase(found);
       } else {
-        index.add(marks[which] = *rc::gen::inRange(0, 9), replicas[which]);
+        index.add(hashes[which] = *rc::gen::inRange(0, 9), replicas[which]);
       }
       if (*rc::gen::arbitrary<bool>()) {
         continue;
       }
-      for (long mark = 0; mark < 9; ++mark) {
+      for (long hash = 0; hash < 9; ++hash) {
         int* expected = nullptr;
         int count = 0;
-        for (const auto& [number, assigned_mark] : marks) {
-          if (assigned_mark == mark) {
+        for (const auto& [number, assigned_hash] : hashes) {
+          if (assigned_hash == hash) {
             expected = &replicas[number], ++count;
           }
         }
-        RC_ASSERT(index.find(mark) == (count == 1 ? expected : nullptr));
+        RC_ASSERT(index.find(hash) == (count == 1 ? expected : nullptr));
       }
     }
   });
@@ -125,6 +125,6 @@
 }  // namespace
 
 int main() {
-  const bool passed[] = {warm_capacity(), mark_index(), due_times()};
+  const bool passed[] = {warm_capacity(), address_hash_index(), due_times()};
   return passed[0] && passed[1] && passed[2] ? 0 : 1;
 }
--- a/tests/routing_units/replica_state.cpp
+++ b/tests/routing_units/replica_state.cpp
@@ -1,7 +1,8 @@
 // Tests how samples are recorded, and how the primary is determined from the roles that servers report.
+#include "routing/replica_state.hpp"
+
 #include <vector>
 
-#include "routing/replica_state.hpp"
 #include "routing_units/builders.hpp"
 
 namespace reedspindle::routing::tests {
@@ -12,7 +13,7 @@
   server.probe_unanswered = true;
   record_sample(server, {Role::replica, kNow - 50, 0.4}, kNow, kNow);
   expect("a sample sets the applied position", server.applied_position, kNow - 50);
-  expect("a sample clears the mark of an unanswered probe", server.probe_unanswered, false);
+  expect("a sample clears the flag of an unanswered probe", server.probe_unanswered, false);
   record_sample(server, {Role::replica, kNow - 80, -1}, kNow, kNow + 10);
   expect("an earlier position does not replace a later one", server.applied_position, kNow - 50);
   expect("a sample without a utilization leaves the last one in place", server.utilization_seen_at, kNow);
@@ -46,20 +47,20 @@
 
 void order() {
   Group group;
-  Server low_mark;
-  Server high_mark;
-  Server same_mark;
-  low_mark.address_hash = 1;
-  high_mark.address_hash = 2;
-  same_mark.address_hash = 2;
-  high_mark.entry.id = {"a"};
-  same_mark.entry.id = {"b"};
-  for (Server* const server : {&same_mark, &high_mark, &low_mark}) {
+  Server low_hash;
+  Server high_hash;
+  Server same_hash;
+  low_hash.address_hash = 1;
+  high_hash.address_hash = 2;
+  same_hash.address_hash = 2;
+  high_hash.entry.id = {"a"};
+  same_hash.entry.id = {"b"};
+  for (Server* const server : {&same_hash, &high_hash, &low_hash}) {
     server->group = &group;
     insert_into_group(*server);
   }
-  expect("the servers of a group are ordered by mark, then by id", group.servers,
-         std::vector<Server*>{&low_mark, &high_mark, &same_mark});
+  expect("the servers of a group are ordered by address hash, then by id", group.servers,
+         std::vector<Server*>{&low_hash, &high_hash, &same_hash});
 }
 
 }  // namespace
