--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -1,8 +1,9 @@
+#include "control/service.hpp"
+
 #include <csignal>
 #include <utility>
 
 #include "control/registry_state.hpp"
-#include "control/service.hpp"
 #include "settings/settings.hpp"
 
 namespace reedspindle::control {
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -1,10 +1,11 @@
+#include "discovery/client.hpp"
+
 #include <fmt/format.h>
 #include <http_parser.h>
 
 #include <array>
 #include <utility>
 
-#include "discovery/client.hpp"
 #include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -1,3 +1,5 @@
+#include "discovery/list_reader.hpp"
+
 #include <fmt/format.h>
 #include <yajl/yajl_parse.h>
 
@@ -7,7 +9,6 @@
 #include <utility>
 #include <variant>
 
-#include "discovery/list_reader.hpp"
 #include "settings/settings.hpp"
 
 namespace reedspindle::discovery {
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,10 +1,10 @@
+#include "simulator/wire.hpp"
+
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <utility>
 
-#include "simulator/wire.hpp"
-
 namespace reedspindle::simulator {
 namespace {
 
