--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -1,5 +1,6 @@
-// The freshness tests. Times are rounded by kRounding (milliseconds) in the direction that makes the tests
-// stricter.
+// Implements the freshness tests. Because times are rounded, the staleness bound is shortened by
+// kRoundingMargin (milliseconds), so that the test is too strict rather than too lenient. The sample age and
+// the session token are compared without a margin.
 #include "routing/eligibility.hpp"
 
 #include <algorithm>
@@ -7,7 +8,7 @@
 namespace reedspindle::routing {
 namespace {
 
-constexpr Millis kRounding = 1;
+constexpr Millis kRoundingMargin = 1;
 
 }  // namespace
 
@@ -18,7 +19,7 @@
 
 Millis fresh_until(const Server& server, Millis staleness_bound) {
   return std::min(server.samples.back().seen_at + kMaxSampleAge,
-                  server.applied_position + staleness_bound - kRounding);
+                  server.applied_position + staleness_bound - kRoundingMargin);
 }
 
 bool is_fresh(const Server& server, const RequestClass& request_class, Millis session_token, Millis now) {
