--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -57,7 +57,7 @@
 struct Store {
   std::string address;
   int listening = -1;
-  std::string manner = "welcomes", vitals;
+  std::string manner = "accepts", vitals;
   std::string behind_empty;  // what follows the next answer to an empty query, in the same segment
   std::deque<Link> links;
   std::deque<std::string> gets;
@@ -187,34 +187,34 @@
     std::string what;
     std::string rest;
     line >> who;
-    if (who == "given") {
+    if (who == "config") {
       line >> what;
       std::getline(line, rest);
       rest == " none" ? void(config_.erase(what))
                       : void(config_[Json::json_pointer(what)] = Json::parse(rest));
-    } else if (who == "stores") {
+    } else if (who == "servers") {
       while (line >> what) {
         add_store(what);
       }
       config_["known"] = Json::parse(list_of(41, true));
     } else if (who == "start") {
       start();
-    } else if (who == "start-signalled") {  // with a SIGHUP that comes before anything of it runs
+    } else if (who == "start-with-sighup") {  // with a SIGHUP that comes before anything of it runs
       signalled_ = SIGHUP;
       start();
-    } else if (who == "fails") {
+    } else if (who == "start-fails") {
       start_child();
       wait_exit();
     } else if (who == "client") {
       line >> rest >> what;
       client(rest, what, remainder(line));
-    } else if (who == "store") {
+    } else if (who == "server") {
       line >> rest >> what;
       store(stores_.at(rest), what, line);
     } else if (who == "discovery") {
       line >> what;
       discovery(what, remainder(line));
-    } else if (who == "crowd") {
+    } else if (who == "open-clients") {
       int count = 0;
       int turned_away = 0;
       line >> count >> what >> turned_away;
@@ -438,11 +438,11 @@
       const std::string text(got->body.substr(0, got->body.find('\0')));
       const std::size_t size = got->bytes.size();
       if (!std::exchange(link.started, true)) {
-        link.greeted = store.manner == "welcomes";
+        link.greeted = store.manner == "accepts";
         if (link.greeted) {
           put(link.fd, postgres::startup_response());
         }
-        if (store.manner == "full") {
+        if (store.manner == "rejects-startup") {
           put(link.fd, postgres::error(postgres::Severity::fatal, "53300", "too many connections"));
         }
       } else if (text.empty()) {
@@ -472,12 +472,12 @@
   }
 
   void client(const std::string& name, const std::string& what, const std::string& rest) {
-    if (what == "leaves") {
+    if (what == "closes") {
       close(clients_.at(name).fd);
       clients_.erase(name);
       return;
     }
-    if (what == "hears") {
+    if (what == "receives") {
       return hears(clients_.at(name));
     }
     if (what == "cancels") {  // what client NAME has asked, on a connection of its own
@@ -490,7 +490,7 @@
       });
       return void(close(link.fd));
     }
-    if (what == "finds") {  // "finds nobody": the front listens no more
+    if (what == "is-refused") {  // "finds nobody": the front listens no more
       wait_for("the front to listen no more", [this] {
         const int fd = connect_to(listen_);
         if (fd >= 0) {
@@ -506,17 +506,17 @@
       if (link.fd < 0) {
         give_up("no connection to the front");
       }
-      if (what != "opens") {
+      if (what != "connects") {
         put(link.fd, postgres::startup("svc", "main")), link.started = true;
       }
     }
-    if (what == "asks") {
+    if (what == "sends") {
       put(clients_[name].fd, postgres::query(with_now(rest)));
     }
-    if (what == "sends") {
+    if (what == "sends-bytes") {
       put(clients_[name].fd, unescaped(rest));
     }
-    if (what == "asks-many") {  // "asks-many 3 TEXT": a number each in the place of NUMBER
+    if (what == "sends-numbered") {  // "asks-many 3 TEXT": a number each in the place of NUMBER
       const std::size_t space = rest.find(' ');
       std::string all;
       for (int i = 0; i < std::stoi(rest); ++i) {
@@ -525,13 +525,13 @@
       }
       put(clients_[name].fd, all);
     }
-    if (what == "hangs-up") {
+    if (what == "shuts-down-write") {
       shutdown(clients_[name].fd, SHUT_WR);
     }
     if (what == "sends-long") {
       put(clients_[name].fd, postgres::query(std::string(std::stoul(rest), 'x')));
     }
-    if (what == "sends-often") {
+    if (what == "sends-repeated") {
       const std::size_t space = rest.find(' ');
       std::string all;
       for (int i = 0; i < std::stoi(rest); ++i) {
@@ -542,10 +542,10 @@
     if (what == "floods") {
       floods_.push_back(clients_[name].fd);
     }
-    if (what == "ends") {
+    if (what == "connection-closed") {
       wait_for("the end", [&] { return clients_[name].ended; });
     }
-    if (what == "opens" && !rest.empty()) {
+    if (what == "connects" && !rest.empty()) {
       put(clients_[name].fd, unescaped(rest));
     }
   }
@@ -555,7 +555,7 @@
     for (bool whole = false; !whole;) {
       wait_for("an answer", [&] { return !link.held.empty() || link.ended; });
       if (!link.started && link.held.starts_with("N")) {
-        std::cout << "  no encryption\n";
+        std::cout << "  encryption declined\n";
         link.held.erase(0, 1);
         put(link.fd, postgres::startup("svc", "main"));
         return void(link.started = true);
@@ -566,7 +566,7 @@
       });
       const auto* got = std::get_if<postgres::Message>(&read);
       if (!got) {
-        return void(std::cout << "  end\n");
+        return void(std::cout << "  connection closed\n");
       }
       if (got->type == 'K') {
         link.key = got->body;
@@ -576,7 +576,7 @@
         link.greeted = true;
       }
       if (got->type == 'I') {
-        std::cout << "  empty\n";
+        std::cout << "  empty query response\n";
       }
       if (got->type == 'D') {
         std::cout << "  row " << *postgres::read_row(got->body) << '\n';
@@ -589,7 +589,7 @@
         const std::size_t detail = got->body.find(std::string("\0D", 2));
         std::cout << "  " << got->body.substr(1, 5) << ' ' << fault.code << ' ' << fault.text;
         if (detail != std::string::npos) {
-          std::cout << ", D " << got->body.data() + detail + 2;
+          std::cout << ", detail " << got->body.data() + detail + 2;
         }
         std::cout << '\n';
       }
@@ -600,57 +600,57 @@
   void store(Store& store, const std::string& what, std::istringstream& line) {
     std::string id;
     std::string text;
-    if (what == "gets") {
+    if (what == "receives") {
       wait_for("a send", [&] { return !store.gets.empty(); });
       std::cout << "  " << checked(store.gets.front()) << '\n';
       return store.gets.pop_front();
     }
-    if (what == "gets-within") {  // "gets-within 1300": told at most so many ms to wait
+    if (what == "receives-with-timeout") {  // "gets-within 1300": told at most so many ms to wait
       long most = 0;
       line >> most;
       wait_for("a send", [&] { return !store.gets.empty(); });
       const std::string& got = store.gets.front();
       const long told = std::stol(got.substr(got.find(",d=") + 3));
-      std::cout << (told <= most ? "  true\n" : "  but told to wait " + std::to_string(told) + " ms\n");
+      std::cout << (told <= most ? "  true\n" : "  but the timeout was " + std::to_string(told) + " ms\n");
       return store.gets.pop_front();
     }
-    if (what == "got-nothing") {  // of which all that it could have been sent has come
+    if (what == "received-nothing") {  // of which all that it could have been sent has come
       std::cout << (store.gets.empty() ? "  true\n" : "  but " + store.gets.front() + "\n");
       return;
     }
-    if (what == "gets-many") {  // "gets-many 64": so many sends have come
+    if (what == "receives-many") {  // "gets-many 64": so many sends have come
       std::size_t count = 0;
       line >> count;
       wait_for("so many sends", [&] { return store.gets.size() >= count; });
       store.gets.erase(store.gets.begin(), store.gets.begin() + static_cast<std::ptrdiff_t>(count));
       return;
     }
-    if (what == "adds") {
+    if (what == "appends") {
       return void(store.behind_empty = unescaped(remainder(line)));
     }
-    if (what == "dialed" || what == "greets") {  // those that it let hang, one at least
+    if (what == "startup-pending" || what == "completes-startup") {  // those that it let hang, one at least
       const auto hangs = [](const Link& at) { return at.started && !at.ended && !at.greeted; };
       wait_for("a connection that hangs", [&] { return std::ranges::any_of(store.links, hangs); });
       for (Link& at : store.links) {
-        if (what == "greets" && hangs(at)) {
+        if (what == "completes-startup" && hangs(at)) {
           put(at.fd, postgres::startup_response()), at.greeted = true;
         }
       }
       return;
     }
-    if (what == "tells") {
+    if (what == "reports-vitals") {
       return void(store.vitals = remainder(line));
     }
-    if (what == "drops") {  // every connection, without a word until something is sent there
+    if (what == "drops-connections") {  // every connection, without a word until something is sent there
       for (Link& at : store.links) {
         at.dropped = true;
       }
       return;
     }
-    if (what == "refuses") {
+    if (what == "refuses-connections") {
       return void(close(std::exchange(store.listening, -1)));
     }
-    if (what == "welcomes" || what == "full" || what == "hangs") {
+    if (what == "accepts" || what == "rejects-startup" || what == "delays-startup") {
       return void(store.manner = what);
     }
     line >> id;
@@ -663,7 +663,7 @@
     if (!link) {
       give_up("no send with that id");
     }
-    if (what == "acks") {  // "acks 7 VALUE rank copy as_of NOW"
+    if (what == "responds") {  // "acks 7 VALUE rank copy as_of NOW"
       std::string answer;
       std::string name;
       std::string value;
@@ -674,18 +674,18 @@
       }
       put(link->fd, answer + postgres::ready_for_query());
       link->asked.clear();
-    } else if (what == "says") {
+    } else if (what == "responds-error") {
       line >> text;
       put(link->fd, postgres::error(postgres::Severity::error, text, "so the store says") +
                         postgres::ready_for_query());
       link->asked.clear();
-    } else if (what == "sends") {
+    } else if (what == "sends-bytes") {
       put(link->fd, unescaped(remainder(line)));
-    } else if (what == "ends") {
+    } else if (what == "closes") {
       close(link->fd);
       link->ended = true;
       link->asked.clear();
-    } else if (what == "left") {
+    } else if (what == "connection-closed") {
       wait_for("the front to end that connection", [&] { return link->ended; });
       link->asked.clear();
     } else {
@@ -698,7 +698,7 @@
     const std::size_t at = text.find(",d=") + 3;
     const std::size_t end = text.find_first_not_of("0123456789", at);
     const long patience = std::stol(text.substr(at, end - at));
-    text.replace(at, end - at, patience > 0 && patience <= 9000 ? "(left)" : "(too long)");
+    text.replace(at, end - at, patience > 0 && patience <= 9000 ? "(remaining)" : "(too long)");
     const std::size_t after = text.find(",after=");
     if (after == std::string::npos) {
       return text;
@@ -716,10 +716,10 @@
     for (int i = 0; i < count; ++i) {
       links.push_back({connect_to(listen_), "", true, false, false, ""});
       std::string text = postgres::startup("svc", "main");
-      if (way == "stays") {
+      if (way == "idle") {
         text += postgres::query("SET a");
       }
-      if (way == "asks") {
+      if (way == "request") {
         text += postgres::query(
             fmt::format("SELECT v FROM records WHERE k = 'k' /* id=c{},c=look,d=9000,cluster=3 */", i));
       }
@@ -727,7 +727,7 @@
     }
     const auto told = [&] {
       return std::ranges::count_if(links, [&](const Link& link) {
-        return way == "stays" ? link.ended : link.held.find("53300") != std::string::npos;
+        return way == "idle" ? link.ended : link.held.find("53300") != std::string::npos;
       });
     };
     if (turned_away > 0) {
@@ -739,7 +739,7 @@
         }
         return told() >= turned_away;
       });
-      std::cout << "  " << told() << " told\n";
+      std::cout << "  " << told() << " refused\n";
     }
     for (Link& link : links) {
       while (turned_away == 0 && fill(link)) {
@@ -748,13 +748,13 @@
       close(link.fd);
     }
     if (turned_away == 0) {
-      std::cout << "  all ended\n";
+      std::cout << "  all closed\n";
     }
   }
 
   // The other front of the tier: "hears" prints what a message is like, "says" sends one.
   void peer(const std::string& what, const std::string& rest) {
-    if (what == "says") {
+    if (what == "sends") {
       const sockaddr_in to = address_of(listen_);
       const std::string text = rest == "long" ? std::string(400, 'x') : rest;
       sendto(peer_, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
@@ -821,7 +821,7 @@
     const std::string body = Json{{"rev", rev}, {"all", true}, {"targets", targets}}.dump(4);
     put(discovery_.fd, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n");
     constexpr int kParts = 20;
-    const std::size_t until = how == "half" ? body.size() - 2 : body.size();
+    const std::size_t until = how == "truncated" ? body.size() - 2 : body.size();
     const auto began = std::chrono::steady_clock::now();
     for (int part = 0; part < kParts; ++part) {
       const std::size_t from = until * static_cast<std::size_t>(part) / kParts;
@@ -834,17 +834,17 @@
   }
 
   void discovery(const std::string& what, const std::string& rest) {
-    if (what == "adds") {
+    if (what == "appends") {
       return void(behind_list_ = unescaped(rest));  // to the next answer, in one segment
     }
-    if (what == "tells" || what == "says") {
+    if (what == "responds" || what == "sends-bytes") {
       renew_discovery();
     }
-    if (what == "gets") {
+    if (what == "receives") {
       wait_for("a call", [&] { return called(); });
       std::cout << "  " << discovery_.held.substr(0, discovery_.held.find("\r\n")) << '\n';
       discovery_.held.clear();
-    } else if (what == "tells") {  // "tells 43 changes b leaving", "tells 43 all"
+    } else if (what == "responds") {  // "tells 43 changes b leaving", "tells 43 all"
       std::istringstream line(rest);
       int rev = 0;
       std::string kind;
@@ -854,13 +854,14 @@
       if (!state.empty()) {
         rows_.at(name)["state"] = state;
       }
-      const std::string body = list_of(rev, kind == "all", name);
+      const std::string body = list_of(rev, kind == "complete", name);
       put(discovery_.fd, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                              body + std::exchange(behind_list_, ""));
-    } else if (what == "tells-long") {  // "tells-long 44 4000 0 b leaving": of so many more, indented, over
-                                        // so many ms
+    } else if (what ==
+               "responds-long") {  // "tells-long 44 4000 0 b leaving": of so many more, indented, over
+                                   // so many ms
       tell_long(rest);
-    } else if (what == "says") {
+    } else if (what == "sends-bytes") {
       put(discovery_.fd, unescaped(rest));
     } else if (what == "moves") {  // the old address takes no new connections, what is open there stays
       moved_ = std::exchange(discovery_, {});
@@ -868,7 +869,7 @@
       std::string address = place(96);
       discovery_listening_ = listen_at(address);
       config_["discovery"] = address;
-    } else if (what == "left") {
+    } else if (what == "connection-closed") {
       wait_for("the front to leave the old address", [&] {
         pollfd at{moved_.fd, POLLIN, 0};
         return poll(&at, 1, 0) == 1 && !fill(moved_);
