--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -1,7 +1,9 @@
-// Starts the front on loopback between small stand-ins for clients, stores and discovery, plays a case file
-// to them and prints each line with what was seen. A case file holds what is expected (lines starting with "
-// "), which is skipped on reading: the output is compared with the file itself. Nothing here waits for a
-// fixed time: each line waits for what it names, and gives up after half a minute.
+// Runs the proxy on loopback addresses with small test clients, test servers and a test discovery service.
+// Replays a trace file (tests/proxy/*.txt) line by line and prints each line, followed by what was observed.
+// Expected output is part of the trace, as lines that start with two spaces: they are skipped on reading, and
+// the caller compares the output with the trace file. No step sleeps for a fixed time: each waits for its
+// condition and fails after 30 seconds. The verbs of a trace are those compared in ProxyTest::run_line,
+// run_client, run_server, run_discovery and run_peer.
 #include <arpa/inet.h>
 #include <fmt/format.h>
 #include <poll.h>
@@ -47,18 +49,21 @@
 
 struct Connection {
   int fd = -1;
-  std::string received;  // read and not yet taken
-  bool startup_received = false, closed = false, startup_done = false;
-  std::string pending_query;    // by the front, not yet answered
-  std::string cancel_key = {};  // by which a request of a client is cancelled
-  bool drop_on_next_read = false;
+  std::string received;  // bytes read and not yet consumed
+  // startup_sent: the client side has sent its startup message; startup_done: the server side has completed
+  // the startup.
+  bool startup_sent = false, closed = false, startup_done = false;
+  std::string pending_query;       // query from the proxy that has not been answered
+  std::string cancel_key = {};     // process ID and secret key that a cancel request names
+  bool drop_on_next_read = false;  // the server closes it as soon as bytes arrive
 };
 
 struct TestServer {
   std::string address;
   int listener = -1;
   std::string startup_mode = "accepts", vitals;
-  std::string after_empty_response;  // what follows the next answer to an empty query, in the same segment
+  // Bytes sent with the next response to an empty query, in the same TCP segment.
+  std::string after_empty_response;
   std::deque<Connection> connections;
   std::deque<std::string> received_queries;
 };
@@ -77,7 +82,7 @@
   return address;
 }
 
-// An address of this process alone, with a port that is free.
+// Listens at an address that only this process uses, on a free port, which is written back to `text`.
 int listen_at(std::string& text) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
@@ -85,7 +90,7 @@
   sockaddr_in address = address_of(text);
   socklen_t size = sizeof address;
   if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 || listen(fd, 64) != 0) {
-    fail("no port");
+    fail("cannot bind a port");
   }
   getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   text = text.substr(0, text.find(':') + 1) + std::to_string(ntohs(address.sin_port));
@@ -103,7 +108,7 @@
   }
 }
 
-// Reads what is there. False at the end.
+// Reads the available bytes. Returns false if the peer has closed the connection.
 bool read_available(Connection& connection) {
   char bytes[65536];
   const ssize_t count = read(connection.fd, bytes, sizeof bytes);
@@ -130,7 +135,7 @@
          encode_message('D', "\0\1\0\0\0"s + size + value) + encode_message('C', "SELECT 1\0"s);
 }
 
-std::string unescaped(const std::string& text) {  // "\x00" and the like
+std::string unescaped(const std::string& text) {  // replaces "\x00" and other hexadecimal escapes
   std::string out;
   for (std::size_t at = 0; at < text.size(); ++at) {
     if (text.compare(at, 2, "\\x") == 0) {
@@ -143,7 +148,8 @@
   return out;
 }
 
-// The next message of the front, which says more kinds than a store does.
+// Reads the next message from the proxy. EmptyQueryResponse (I) is not among the messages that
+// read_from_server accepts.
 postgres::ReadResult read_from_proxy(std::string_view received) {
   return received.starts_with("I") && received.size() >= 5 ? postgres::Message{'I', "", received.substr(0, 5)}
                                                            : postgres::read_from_server(received);
@@ -152,26 +158,27 @@
 class ProxyTest {
  public:
   explicit ProxyTest(std::string program) : program_(std::move(program)), config_(Json::parse(kPlacement)) {
-    // Each party at an address of its own: the front's port is free again until the front takes it.
+    // Each participant has an address of its own, so the port chosen here for the proxy stays free until the
+    // proxy binds it.
     std::string listen = loopback_address(64);
     std::string discovery = loopback_address(96);
     close(listen_at(listen));
     config_["listen"] = proxy_address_ = listen;
     discovery_listener_ = listen_at(discovery);
     config_["discovery"] = discovery;
-    // The front's own datagrams arrive where no other process looks; the other front of the tier is played
-    // here.
+    // The proxy's own datagram address is used by no other process. This test acts as the other proxy of the
+    // tier.
     std::string other = loopback_address(192);
     close(listen_at(other));
     peer_socket_ = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     const sockaddr_in address = address_of(other);
     if (bind(peer_socket_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-      fail("no port");
+      fail("cannot bind a port");
     }
     config_["peer_listen"] = listen;
     config_["peers"] = {listen, other};
     config_["peers_all"] = other;
-    // A file in memory: nothing is left behind however this ends.
+    // The placement file is in memory, so that no file is left behind however the test ends.
     placement_fd_ = memfd_create("placement", MFD_CLOEXEC);
     placement_path_ = "/proc/" + std::to_string(getpid()) + "/fd/" + std::to_string(placement_fd_);
   }
@@ -199,7 +206,7 @@
       config_["known"] = Json::parse(endpoint_list(41, true));
     } else if (subject == "start") {
       start();
-    } else if (subject == "start-with-sighup") {  // with a SIGHUP that comes before anything of it runs
+    } else if (subject == "start-with-sighup") {  // SIGHUP is pending before the program runs
       start_signal_ = SIGHUP;
       start();
     } else if (subject == "start-fails") {
@@ -226,23 +233,23 @@
       kill(child_, SIGTERM);
     } else if (subject == "pause") {
       kill(child_, SIGSTOP);
-    } else if (subject == "resume-after") {  // so many ms from the pause or more: what is due then is due
+    } else if (subject == "resume-after") {  // at least N ms after this line is read
       int milliseconds = 0;
       line >> milliseconds;
       const auto due = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
-      wait_for("the time", [&] { return std::chrono::steady_clock::now() >= due; });
+      wait_for("the time to resume", [&] { return std::chrono::steady_clock::now() >= due; });
       kill(child_, SIGCONT);
     } else if (subject == "reload") {
       write_placement(remainder(line));
       kill(child_, SIGHUP);
     } else if (subject == "logs") {
       const std::string wanted = remainder(line);
-      wait_for("the log to say so", [&] { return read_log().find(wanted) != std::string::npos; });
+      wait_for("the log line", [&] { return read_log().find(wanted) != std::string::npos; });
       log_.erase(0, log_.find(wanted) + wanted.size());
     } else if (subject == "exits") {
       wait_exit();
     } else {
-      fail("no such line");
+      fail("unknown verb");
     }
   }
 
@@ -258,7 +265,8 @@
     return "127." + std::to_string(first_octet_base + pid / 65536 % 32) + "." +
            std::to_string(pid / 256 % 256) + "." + std::to_string(pid % 256) + ":0";
   }
-  void add_server(const std::string& spec) {  // "a:source", "b:copy"
+  void add_server(const std::string& spec) {  // NAME:RANK, such as "a:source" or "b:copy"; the rank is that
+                                              // of the endpoint list
     const std::string name = spec.substr(0, spec.find(':'));
     TestServer& server = servers_[name];
     server.address = loopback_address(128);
@@ -286,14 +294,14 @@
   void write_placement(const std::string& override_text = "") {
     const std::string text = override_text.empty() ? config_.dump() : override_text;
     if (ftruncate(placement_fd_, 0) != 0 || pwrite(placement_fd_, text.data(), text.size(), 0) < 0) {
-      fail("no file");
+      fail("cannot write the placement file");
     }
   }
   void start_child() {
     write_placement();
     int log_pipe[2];
     if (pipe(log_pipe) != 0) {
-      fail("no pipe");
+      fail("cannot create a pipe");
     }
     child_ = fork();
     if (child_ == 0) {
@@ -302,10 +310,10 @@
       dup2(log_pipe[1], STDERR_FILENO);
       close(log_pipe[0]), close(log_pipe[1]);
       setenv("ROUTER_CONFIG", placement_path_.c_str(), 1);
-      if (config_.contains("discovery")) {  // as old as the process
+      if (config_.contains("discovery")) {  // the environment keeps its value from the start of the process
         setenv("ROUTER_DISCOVERY", config_["discovery"].get<std::string>().c_str(), 1);
       }
-      if (start_signal_) {  // pending, and kept over the start of the program
+      if (start_signal_) {  // blocked and pending, which execl preserves
         sigset_t signals;
         sigemptyset(&signals);
         sigaddset(&signals, start_signal_);
@@ -320,7 +328,7 @@
   }
   void start() {
     start_child();
-    wait_for("the front to listen", [this] {
+    wait_for("the proxy to listen", [this] {
       const int fd = connect_to(proxy_address_);
       if (fd >= 0) {
         close(fd);
@@ -340,7 +348,7 @@
   void wait_exit() {
     int status = 0;
     log_.clear();
-    wait_for("the front to exit", [&] {
+    wait_for("the proxy to exit", [&] {
       read_log();
       return waitpid(child_, &status, WNOHANG) == child_;
     });
@@ -364,7 +372,7 @@
     return log_;
   }
 
-  // Serves the stores' connections until what is waited for is there.
+  // Serves the connections of the test servers until the condition holds.
   void wait_for(const std::string& description, const std::function<bool()>& condition) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (!condition()) {
@@ -429,15 +437,15 @@
       return;
     }
     for (;;) {
-      const auto read = connection.startup_received ? postgres::read_from_client(connection.received)
-                                                    : postgres::read_startup(connection.received);
+      const auto read = connection.startup_sent ? postgres::read_from_client(connection.received)
+                                                : postgres::read_startup(connection.received);
       const auto* got = std::get_if<postgres::Message>(&read);
       if (!got) {
         return;
       }
       const std::string text(got->body.substr(0, got->body.find('\0')));
       const std::size_t size = got->bytes.size();
-      if (!std::exchange(connection.startup_received, true)) {
+      if (!std::exchange(connection.startup_sent, true)) {
         connection.startup_done = server.startup_mode == "accepts";
         if (connection.startup_done) {
           write_all(connection.fd, postgres::startup_response());
@@ -465,7 +473,7 @@
                std::chrono::system_clock::now().time_since_epoch())
         .count();
   }
-  // NOW stands for the time in ms, in vitals in seconds.
+  // Replaces NOW by the current time in milliseconds, or in seconds as vitals have it.
   static std::string substitute_now(std::string text, bool seconds = false) {
     if (const std::size_t at = text.find("NOW"); at != std::string::npos) {
       text.replace(at, 3,
@@ -483,18 +491,18 @@
     if (verb == "receives") {
       return print_responses(clients_.at(name));
     }
-    if (verb == "cancels") {  // what client NAME has asked, on a connection of its own
+    if (verb == "cancels") {  // cancels the request of client NAME, on a separate connection
       Connection connection;
       connection.fd = connect_to(proxy_address_);
       write_all(connection.fd, std::string("\0\0\0\x10\x04\xd2\x16\x2e", 8) + clients_.at(rest).cancel_key);
-      wait_for("the cancelling to be done", [&] {
+      wait_for("the cancel request to be processed", [&] {
         pollfd at{connection.fd, POLLIN, 0};
         return poll(&at, 1, 0) == 1 && !read_available(connection);
       });
       return void(close(connection.fd));
     }
-    if (verb == "is-refused") {  // "finds nobody": the front listens no more
-      wait_for("the front to listen no more", [this] {
+    if (verb == "is-refused") {  // the proxy has stopped listening
+      wait_for("the proxy to stop listening", [this] {
         const int fd = connect_to(proxy_address_);
         if (fd >= 0) {
           close(fd);
@@ -507,10 +515,10 @@
       Connection& connection = clients_[name];
       connection.fd = connect_to(proxy_address_);
       if (connection.fd < 0) {
-        fail("no connection to the front");
+        fail("cannot connect to the proxy");
       }
       if (verb != "connects") {
-        write_all(connection.fd, postgres::startup("svc", "main")), connection.startup_received = true;
+        write_all(connection.fd, postgres::startup("svc", "main")), connection.startup_sent = true;
       }
     }
     if (verb == "sends") {
@@ -519,7 +527,7 @@
     if (verb == "sends-bytes") {
       write_all(clients_[name].fd, unescaped(rest));
     }
-    if (verb == "sends-numbered") {  // "asks-many 3 TEXT": a number each in the place of NUMBER
+    if (verb == "sends-numbered") {  // "sends-numbered 3 TEXT": NUMBER becomes 0, 1, 2
       const std::size_t space = rest.find(' ');
       std::string batch;
       for (int i = 0; i < std::stoi(rest); ++i) {
@@ -546,25 +554,26 @@
       flooding_clients_.push_back(clients_[name].fd);
     }
     if (verb == "connection-closed") {
-      wait_for("the end", [&] { return clients_[name].closed; });
+      wait_for("the connection to close", [&] { return clients_[name].closed; });
     }
     if (verb == "connects" && !rest.empty()) {
       write_all(clients_[name].fd, unescaped(rest));
     }
   }
 
-  // Prints answers up to the next that is whole.
+  // Prints messages up to the end of the next response: ReadyForQuery, or the end of the connection. The
+  // ReadyForQuery that ends the startup does not count.
   void print_responses(Connection& connection) {
     for (bool complete = false; !complete;) {
-      wait_for("an answer", [&] { return !connection.received.empty() || connection.closed; });
-      if (!connection.startup_received && connection.received.starts_with("N")) {
+      wait_for("a response", [&] { return !connection.received.empty() || connection.closed; });
+      if (!connection.startup_sent && connection.received.starts_with("N")) {
         std::cout << "  encryption declined\n";
         connection.received.erase(0, 1);
         write_all(connection.fd, postgres::startup("svc", "main"));
-        return void(connection.startup_received = true);
+        return void(connection.startup_sent = true);
       }
       postgres::ReadResult read = read_from_proxy(connection.received);
-      wait_for("an answer", [&] {
+      wait_for("a response", [&] {
         return !std::holds_alternative<postgres::Partial>(read = read_from_proxy(connection.received)) ||
                connection.closed;
       });
@@ -605,29 +614,29 @@
     std::string id;
     std::string text;
     if (verb == "receives") {
-      wait_for("a send", [&] { return !server.received_queries.empty(); });
+      wait_for("an attempt", [&] { return !server.received_queries.empty(); });
       std::cout << "  " << normalize_query(server.received_queries.front()) << '\n';
       return server.received_queries.pop_front();
     }
-    if (verb == "receives-with-timeout") {  // "gets-within 1300": told at most so many ms to wait
+    if (verb == "receives-with-timeout") {  // "receives-with-timeout 1300": d is 1300 ms at most
       long limit = 0;
       line >> limit;
-      wait_for("a send", [&] { return !server.received_queries.empty(); });
+      wait_for("an attempt", [&] { return !server.received_queries.empty(); });
       const std::string& got = server.received_queries.front();
       const long timeout = std::stol(got.substr(got.find(",d=") + 3));
       std::cout << (timeout <= limit ? "  true\n"
                                      : "  but the timeout was " + std::to_string(timeout) + " ms\n");
       return server.received_queries.pop_front();
     }
-    if (verb == "received-nothing") {  // of which all that it could have been sent has come
+    if (verb == "received-nothing") {  // checked once everything that could have been sent has arrived
       std::cout << (server.received_queries.empty() ? "  true\n"
                                                     : "  but " + server.received_queries.front() + "\n");
       return;
     }
-    if (verb == "receives-many") {  // "gets-many 64": so many sends have come
+    if (verb == "receives-many") {  // "receives-many 64": waits for that number of attempts
       std::size_t count = 0;
       line >> count;
-      wait_for("so many sends", [&] { return server.received_queries.size() >= count; });
+      wait_for("all attempts", [&] { return server.received_queries.size() >= count; });
       server.received_queries.erase(server.received_queries.begin(),
                                     server.received_queries.begin() + static_cast<std::ptrdiff_t>(count));
       return;
@@ -635,11 +644,12 @@
     if (verb == "appends") {
       return void(server.after_empty_response = unescaped(remainder(line)));
     }
-    if (verb == "startup-pending" || verb == "completes-startup") {  // those that it let hang, one at least
+    if (verb == "startup-pending" ||
+        verb == "completes-startup") {  // connections with a delayed startup, at least one
       const auto startup_pending = [](const Connection& at) {
-        return at.startup_received && !at.closed && !at.startup_done;
+        return at.startup_sent && !at.closed && !at.startup_done;
       };
-      wait_for("a connection that hangs",
+      wait_for("a connection with a delayed startup",
                [&] { return std::ranges::any_of(server.connections, startup_pending); });
       for (Connection& at : server.connections) {
         if (verb == "completes-startup" && startup_pending(at)) {
@@ -651,7 +661,7 @@
     if (verb == "reports-vitals") {
       return void(server.vitals = remainder(line));
     }
-    if (verb == "drops-connections") {  // every connection, without a word until something is sent there
+    if (verb == "drops-connections") {  // every connection, silently until the proxy writes to it
       for (Connection& at : server.connections) {
         at.drop_on_next_read = true;
       }
@@ -671,9 +681,9 @@
       }
     }
     if (!connection) {
-      fail("no send with that id");
+      fail("no attempt with that id");
     }
-    if (verb == "responds") {  // "acks 7 VALUE rank copy as_of NOW"
+    if (verb == "responds") {  // "responds 7 VALUE rank copy as_of NOW": name and value of each status
       std::string response;
       std::string name;
       std::string value;
@@ -696,14 +706,15 @@
       connection->closed = true;
       connection->pending_query.clear();
     } else if (verb == "connection-closed") {
-      wait_for("the front to end that connection", [&] { return connection->closed; });
+      wait_for("the proxy to close that connection", [&] { return connection->closed; });
       connection->pending_query.clear();
     } else {
-      fail("no such store line");
+      fail("unknown server verb");
     }
   }
-  // The patience passed on varies by what has gone by: it may only be shorter than the client's. A position
-  // is a time.
+  // Replaces the values that vary from run to run. The forwarded time-out (d) is reduced by the elapsed time;
+  // it is above zero and at most the 9000 ms that the traces use as their longest. A position (after) is a
+  // time, and is checked to be less than a minute old.
   static std::string normalize_query(std::string text) {
     const std::size_t at = text.find(",d=") + 3;
     const std::size_t end = text.find_first_not_of("0123456789", at);
@@ -719,8 +730,9 @@
     return age >= 0 && age < 60000 ? text.replace(digits, digits_end - digits, "(now)") : text;
   }
 
-  // So many clients at once, who say nothing more, or each ask and stay: how many hear that there are too
-  // many.
+  // Opens `count` clients at once that send only the startup message, or also a SET command ("idle") or a
+  // request ("request"). If `expected_refused` is above zero, waits until that many are refused (closed, or
+  // answered with 53300) and prints how many were; if it is zero, waits until all connections are closed.
   void open_clients(int count, const std::string& mode, int expected_refused) {
     std::vector<Connection> connections;
     for (int i = 0; i < count; ++i) {
@@ -741,7 +753,7 @@
       });
     };
     if (expected_refused > 0) {
-      wait_for("so many to hear it", [&] {
+      wait_for("the expected number of refused clients", [&] {
         for (Connection& connection : connections) {
           if (pollfd at{connection.fd, POLLIN, 0}; !connection.closed && poll(&at, 1, 0) == 1) {
             connection.closed = !read_available(connection);
@@ -762,7 +774,7 @@
     }
   }
 
-  // The other front of the tier: "hears" prints what a message is like, "says" sends one.
+  // The other proxy of the tier: "receives" prints the properties of a datagram, "sends" sends one.
   void run_peer(const std::string& verb, const std::string& rest) {
     if (verb == "sends") {
       const sockaddr_in to = address_of(proxy_address_);
@@ -772,24 +784,25 @@
     }
     char bytes[1024];
     ssize_t count = 0;
-    wait_for("a message",
+    wait_for("a datagram",
              [&] { return (count = recv(peer_socket_, bytes, sizeof bytes, MSG_DONTWAIT)) > 0; });
     std::cout << "  " << std::string(bytes, 2) << (count <= 256 ? ", fits" : ", too long");
-    bool load = false;  // the last of a member's 7 digits is above '3' where its load is known
+    bool load = false;  // the last of the 7 characters of a member is above '3' if its load is known
     for (ssize_t at = 13; at < count; at += 7) {
       load |= bytes[at] > '3';
     }
     std::cout << (load ? ", with load" : "") << '\n';
   }
 
-  // A front whose watch has heard nothing for its time has asked anew: what is told now goes there.
+  // If the proxy has closed the connection because its long poll timed out, accepts the new request: the next
+  // response is sent there.
   void accept_renewed_request() {
     pollfd at{discovery_connection_.fd, POLLIN, 0};
     if (discovery_connection_.fd < 0 || poll(&at, 1, 0) != 1 || read_available(discovery_connection_)) {
       return;
     }
     close(std::exchange(discovery_connection_.fd, -1));
-    wait_for("the call anew", [&] { return request_received(); });
+    wait_for("the renewed request", [&] { return request_received(); });
     discovery_connection_.received.clear();
   }
   bool request_received() {
@@ -805,8 +818,8 @@
     return discovery_connection_.received.find("\r\n\r\n") != std::string::npos;
   }
 
-  // A whole list with many servers of another group before the stage's own, a part at a time. "half" ends it
-  // before its last byte, and the connection stays.
+  // Sends a complete list in parts, with `extra_servers` servers of other groups besides the test's own.
+  // "truncated" leaves out the last two bytes and keeps the connection open.
   void send_long_list(const std::string& rest) {
     std::istringstream line(rest);
     int rev = 0;
@@ -839,7 +852,7 @@
       const std::size_t from = until * static_cast<std::size_t>(part) / kParts;
       const std::size_t to = until * static_cast<std::size_t>(part + 1) / kParts;
       write_all(discovery_connection_.fd, body.substr(from, to - from));
-      wait_for("its time", [&] {
+      wait_for("the time of the next part", [&] {
         return std::chrono::steady_clock::now() >=
                began + std::chrono::milliseconds(duration_ms) * part / kParts;
       });
@@ -848,18 +861,18 @@
 
   void run_discovery(const std::string& verb, const std::string& rest) {
     if (verb == "appends") {
-      return void(after_list_ = unescaped(rest));  // to the next answer, in one segment
+      return void(after_list_ = unescaped(rest));  // sent with the next response, in one segment
     }
     if (verb == "responds" || verb == "sends-bytes") {
       accept_renewed_request();
     }
     if (verb == "receives") {
-      wait_for("a call", [&] { return request_received(); });
+      wait_for("a request to discovery", [&] { return request_received(); });
       std::cout << "  "
                 << discovery_connection_.received.substr(0, discovery_connection_.received.find("\r\n"))
                 << '\n';
       discovery_connection_.received.clear();
-    } else if (verb == "responds") {  // "tells 43 changes b leaving", "tells 43 all"
+    } else if (verb == "responds") {  // "responds 43 changes b leaving"
       std::istringstream line(rest);
       int rev = 0;
       std::string kind;
@@ -873,19 +886,19 @@
       write_all(discovery_connection_.fd,
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body +
                     std::exchange(after_list_, ""));
-    } else if (verb == "responds-long") {  // "tells-long 44 4000 0 b leaving": of so many more, indented,
-                                           // over so many ms
+    } else if (verb == "responds-long") {  // "responds-long 44 4000 0 b leaving": 4000 more
+                                           // servers, indented, sent over 0 ms
       send_long_list(rest);
     } else if (verb == "sends-bytes") {
       write_all(discovery_connection_.fd, unescaped(rest));
-    } else if (verb == "moves") {  // the old address takes no new connections, what is open there stays
+    } else if (verb == "moves") {  // the old address stops listening, its connection stays
       previous_discovery_ = std::exchange(discovery_connection_, {});
       close(discovery_listener_);
       std::string address = loopback_address(96);
       discovery_listener_ = listen_at(address);
       config_["discovery"] = address;
     } else if (verb == "connection-closed") {
-      wait_for("the front to leave the old address", [&] {
+      wait_for("the proxy to close the old connection", [&] {
         pollfd at{previous_discovery_.fd, POLLIN, 0};
         return poll(&at, 1, 0) == 1 && !read_available(previous_discovery_);
       });
