--- a/src/control/endpoint_registry.cpp
+++ b/src/control/endpoint_registry.cpp
@@ -5,7 +5,7 @@
 namespace reedspindle::control {
 namespace {
 
-// Of two states of a member the one that takes more away.
+// Returns the state that is nearer to removal: gone before draining, draining before ready.
 ServerState worse(ServerState one, ServerState other) { return std::max(one, other); }
 static_assert(ServerState::ready < ServerState::draining && ServerState::draining < ServerState::gone);
 
@@ -35,7 +35,8 @@
   if (verdict == UpdateVerdict::accepted) {
     apply_accepted(list);
   } else {
-    // A suspect list changes only the members that it names; a stale one may only worsen their state.
+    // A suspect list changes only the members that it names. One of an older revision may only mark them as
+    // draining or gone.
     apply_suspect(list, verdict == UpdateVerdict::stale_revision);
     poll_at_ = now + bounds_.confirm_after;
   }
@@ -58,21 +59,22 @@
   return removed;
 }
 
-// Rejects lists that are wrong altogether: discovery restarted empty or from an old copy, or an agent has
-// lost its peers. An empty list is never accepted; one that removes many members only when it is repeated
-// after a while; one of an older revision only when nothing newer has come for long. The cost: members that
-// were truly removed at once, without a stated state, stay until the list is repeated (a stated "leaving" or
-// "left" counts at once in every case).
+// Detects lists that are wrong as a whole, as when discovery has restarted empty or from an old copy, or when
+// a discovery agent has lost its peers. An empty list is not accepted while servers are known. A list that
+// removes many members is accepted only if it is repeated after confirm_after, and a list of an older
+// revision only if no newer one has arrived for stale_revision_grace. The cost is that many members that were
+// really removed at once, and are absent from the list without a stated state, are kept until the list is
+// repeated. A stated "leaving" or "left" always takes effect at once.
 UpdateVerdict EndpointRegistry::check_update(const RegistryUpdate& list, Millis now) {
-  const auto has_lasted = [&](UpdateVerdict verdict, Millis for_ms) {
-    return verdict_ == verdict && now - verdict_since_ >= for_ms;
+  const auto has_lasted = [&](UpdateVerdict verdict, Millis duration) {
+    return verdict_ == verdict && now - verdict_since_ >= duration;
   };
   if (list.revision < revision_) {
     return has_lasted(UpdateVerdict::stale_revision, bounds_.stale_revision_grace) && !list.members.empty()
                ? UpdateVerdict::accepted
                : UpdateVerdict::stale_revision;
   }
-  // Changes on top of a suspect list: only a complete list can settle it.
+  // Incremental changes keep the verdict on the list that they build on: only a complete list can replace it.
   if (list.kind == EndpointListKind::changes) {
     return verdict_;
   }
--- a/src/control/registry_state.hpp
+++ b/src/control/registry_state.hpp
@@ -1,4 +1,4 @@
-// The persisted state of the endpoint registry as JSON text; read completely or not at all.
+// Converts the persisted state of the endpoint registry to and from JSON text.
 #pragma once
 
 #include <string>
@@ -7,8 +7,10 @@
 
 namespace reedspindle::control {
 
+// Returns the state as JSON text. Invalid UTF-8 is replaced.
 [[nodiscard]] std::string text_of(const RegistryState& state);
-// Throws InvalidInput, which names what is wrong in the text.
+// Parses the JSON text. Throws InvalidInput, with the reason, if any part of the text is invalid: a state is
+// never read in part.
 [[nodiscard]] RegistryState registry_state_in(const std::string& text);
 
 }  // namespace reedspindle::control
