--- a/src/control/resource_snapshot.cpp
+++ b/src/control/resource_snapshot.cpp
@@ -11,10 +11,10 @@
 namespace reedspindle::control {
 namespace {
 
-// The router's freshness bound for reads that have none of their own.
+// The freshness bound that the router applies to reads that state none.
 constexpr Millis kDefaultFreshnessBound = 2000;
-// How long a group without members is still sent as draining: clients that follow its assignments alone would
-// never learn that it has ended.
+// How long a group without members is still sent as draining. Clients that subscribe only to its assignments
+// would otherwise never learn that it has been removed.
 constexpr Millis kRemovedGroupRetention = 30000;
 
 using Needs = RoutedRequestClass::Needs;
@@ -27,7 +27,8 @@
 }
 bool is_warm(const ServerView& view) { return view.slow_start_fraction >= 1; }
 
-// Until when the server's data is within the bound; below 0: it is not.
+// Returns the time until which the server's data is proven to be within the bound, or a negative value if the
+// server has no such time for this bound.
 Millis fresh_until(const ServerView& view, Millis bound) {
   for (const FreshnessWindow& fresh : view.fresh) {
     if (fresh.bound == bound) {
@@ -51,8 +52,9 @@
   return fmt::format("group-{}.primary", group.number);
 }
 
-// Whether clients with those capabilities can keep the class's freshness rule with replicas. Without a way to
-// give up a replica in time, or to check a session token, only the primary keeps it.
+// Returns whether clients with these capabilities can read from replicas and still meet the freshness needs
+// of the class. Clients that cannot stop using a replica in time, or cannot check session tokens, meet them
+// only with the primary.
 bool can_use_replicas(const RoutedRequestClass& request_class, const ClientCapabilities& capabilities) {
   switch (request_class.needs) {
     case Needs::any:
@@ -67,13 +69,14 @@
   return false;
 }
 
-// Session reads are routed to their own cluster only where clients go by stated times.
+// Returns whether reads of the class are routed to a cluster with replicas. For session reads that is the
+// case only with clients that apply stated expiry times.
 bool is_routed_to_replicas(const RoutedRequestClass& request_class, const ClientCapabilities& capabilities) {
   return can_use_replicas(request_class, capabilities) &&
          (request_class.needs != Needs::session || capabilities.expiry == Expiry::stated);
 }
 
-// Whether the previous assignment of that name has the server as a healthy replica.
+// Returns whether the server is a healthy replica in the previous assignment of this name.
 bool was_offered(const SnapshotDraft& draft, const std::string& name, const ServerId& server) {
   const Resource* last = draft.previous(ResourceType::endpoints, name);
   const auto* assignment = last ? std::get_if<Assignment>(&last->body) : nullptr;
@@ -130,8 +133,8 @@
   return snapshots;
 }
 
-// Nothing is sent until every group has a primary, so that roles from before a restart are not used; though
-// not for longer than the startup timeout, and never without a registry.
+// Snapshots become ready once every group has a primary, so that roles from before a restart are not used, or
+// when the startup timeout has passed. They never become ready while the registry is empty.
 void SnapshotBuilder::update_readiness(const Groups& groups, const EndpointRegistry& registry, Millis now) {
   if (ready_ || !registry.known() || groups.empty()) {
     return;
@@ -168,21 +171,22 @@
   endpoint.address = entry.endpoint;
   endpoint.zone = entry.zone;
   endpoint.health_status = is_draining(view) ? HealthStatus::draining : HealthStatus::healthy;
-  // A backoff ends sooner than a response about it would arrive.
+  // A backoff is not sent: it ends before a response about it would arrive.
   endpoint.unavailability =
       view.unavailability == Unavailability::backing_off ? Unavailability::none : view.unavailability;
   endpoint.primary = view.primary;
-  // The weight follows the least capacity that the server has during slow start, so that one that is warming
-  // up is never busier than warm ones; in steps of a tenth, so that slow start causes ten responses at most.
+  // The weight follows the minimum capacity that the server has during slow start, so that a server that is
+  // warming up never has a higher load than warm ones. It changes in steps of a tenth, so that slow start
+  // causes at most ten responses.
   const double fraction = is_warm(view) ? 1 : std::max(0.1, std::floor(view.slow_start_fraction * 10) / 10);
   endpoint.weight =
       static_cast<std::uint32_t>(std::clamp(100 * fraction * view.entry.relative_capacity, 1.0, 1e6));
   return endpoint;
 }
 
-// The replicas for a request class that are worth a response: one that was offered stays while its lease
-// lasts, a new one needs the least duration, so that a short bound doesn't cause a response for every health
-// check.
+// Returns the replicas to send for a request class. A replica that was sent before stays while its lease
+// lasts. A new one is added only if its lease has the minimum duration, so that a short bound does not cause
+// a response for every health check.
 std::vector<Endpoint> SnapshotBuilder::eligible_replicas(const SnapshotDraft& draft, const Group& group,
                                                          const EndpointRegistry& registry,
                                                          const RoutedRequestClass& request_class,
@@ -197,7 +201,7 @@
     if (view == group.primary || !is_available(*view)) {
       continue;
     }
-    // Clients that ignore weights get a server that is warming up only where there is no warm one.
+    // Clients that ignore weights are sent a server that is warming up only if no warm one is available.
     if (!is_warm(*view) && !draft.capabilities().uses_weights && any_warm) {
       continue;
     }
@@ -207,8 +211,8 @@
       (until > draft.now() ? fresh : stale).push_back(std::move(endpoint));
       continue;
     }
-    const Millis left = until - draft.now() - (leases_.max_transit + leases_.max_clock_skew);
-    if (left >= (was_offered(draft, name, view->entry.id) ? 1 : leases_.min_duration)) {
+    const Millis lease = until - draft.now() - (leases_.max_transit + leases_.max_clock_skew);
+    if (lease >= (was_offered(draft, name, view->entry.id) ? 1 : leases_.min_duration)) {
       endpoint.valid_until = until - leases_.max_clock_skew;
       if (draft.capabilities().checks_session_tokens) {
         endpoint.position = view->position;
@@ -216,7 +220,7 @@
       fresh.push_back(std::move(endpoint));
     }
   }
-  // Where any data will do, stale replicas are better than a busy primary, as in the router.
+  // Reads that accept any data go to stale replicas rather than add load to the primary, as in the router.
   return fresh.empty() && any ? stale : fresh;
 }
 
@@ -233,7 +237,8 @@
   draft.add(ResourceType::clusters, members, Cluster{id, {}});
   draft.add_assignment(members, std::move(all));
 
-  // A primary that only our health checks can't reach stays: clients have their own path to it.
+  // A primary that fails only the health checks of this service is still sent: clients reach it over a
+  // network path of their own.
   const std::string primary_cluster = cluster_name(id, RoutedRequestClass{});
   std::vector<Endpoint> primary;
   if (group.primary) {
@@ -257,11 +262,11 @@
                                         const std::vector<Endpoint>& primary) const {
   const ClientCapabilities& capabilities = draft.capabilities();
   const std::string name = cluster_name(id, request_class);
-  // A time to live ends a whole resource, so leased replicas have an assignment apart from the primary's.
-  const bool apart = capabilities.expiry == Expiry::time_to_live && request_class.needs != Needs::any;
-  const std::string assignment = apart ? name + ".replicas" : name;
+  // A time to live expires a whole resource, so the leased replicas need an assignment without the primary.
+  const bool separate = capabilities.expiry == Expiry::time_to_live && request_class.needs != Needs::any;
+  const std::string assignment = separate ? name + ".replicas" : name;
   Cluster cluster{id, {}};
-  if (apart) {
+  if (separate) {
     draft.add(ResourceType::clusters, assignment, Cluster{id, {}});
     cluster.fallback_clusters = {assignment, cluster_name(id, RoutedRequestClass{})};
   }
@@ -271,7 +276,7 @@
   if (can_use_replicas(request_class, capabilities)) {
     endpoints = eligible_replicas(draft, group, registry, request_class, assignment);
   }
-  if (apart) {
+  if (separate) {
     draft.add_assignment(assignment, std::move(endpoints));
     return;
   }
@@ -285,7 +290,7 @@
   draft.add_assignment_or_drain(assignment, std::move(endpoints));
 }
 
-// Groups that have lost their last member are sent as draining for a while.
+// Adds the groups that have lost their last member, as draining, for kRemovedGroupRetention.
 void SnapshotBuilder::add_removed_groups(SnapshotDraft& draft, const Groups& groups) {
   std::erase_if(removed_at_, [&](const auto& item) {
     return groups.contains(item.first) || draft.now() - item.second > 2 * kRemovedGroupRetention;
--- a/src/control/resource_snapshot.hpp
+++ b/src/control/resource_snapshot.hpp
@@ -1,6 +1,7 @@
-// The resources that clients are sent, built from the router's view of the servers. Free of I/O and of the
-// xDS messages' own types. There is one snapshot for each set of client capabilities; resources are shared
-// between snapshots and never change once built. Times in ms.
+// Builds the resources that are sent to xDS clients from the router's view of the servers. There is one
+// snapshot for each set of client capabilities. A resource never changes once it is built; snapshots share
+// those that stay the same. Does no I/O and does not depend on the xDS message types. All times are in
+// milliseconds.
 #pragma once
 
 #include <array>
@@ -19,24 +20,28 @@
 
 namespace reedspindle::control {
 
-// In the order in which a client that subscribes to everything has to get them: make before break.
+// The resource types, in the order in which they have to be sent to a client that subscribes to all of them:
+// new clusters and their endpoints before the routes that use them (make before break).
 enum class ResourceType { clusters, endpoints, listeners, routes };
 constexpr std::size_t kResourceTypes = 4;
 
-// How a client gives up what it was sent when the control service falls silent: not at all, a resource after
-// its time to live, or an endpoint at a stated time.
+// How a client stops using what it was sent if it no longer hears from the control service: not at all, a
+// whole resource after its time to live, or each endpoint at the time that is stated for it.
 enum class Expiry { none, time_to_live, stated };
 
+// What a client supports, as far as the resources depend on it.
 struct ClientCapabilities {
   Expiry expiry = Expiry::none;
-  bool uses_weights = false;           // balances by endpoints' weights
-  bool checks_session_tokens = false;  // compares endpoints' positions with session tokens itself
+  bool uses_weights = false;           // balances by the weights of endpoints
+  bool checks_session_tokens = false;  // compares session tokens with the positions of endpoints
   bool legacy_matchers = false;        // reads only the older form of header matchers in routes
   auto operator<=>(const ClientCapabilities&) const = default;
 };
 
+// The health status of an endpoint as clients are sent it.
 enum class HealthStatus { healthy, draining, unhealthy };
 
+// A server in an assignment.
 struct Endpoint {
   ServerId server;
   std::string address;
@@ -44,33 +49,39 @@
   HealthStatus health_status = HealthStatus::healthy;
   Unavailability unavailability = Unavailability::none;
   bool primary = false;
-  int rank = 0;  // endpoints of the next rank are used only where those before are not available
-  std::uint32_t weight = 100;  // 100 for a warm server of the usual size
-  Millis position = -1;        // below 0: not sent
-  Millis valid_until = -1;     // below 0: not bound to a time
-  // Whether clients would balance equally; positions and times change all the while and don't count.
+  int rank = 0;  // clients use endpoints of a higher rank only if none of a lower rank is available
+  std::uint32_t weight = 100;  // 100 for a server of relative capacity 1 after slow start
+  Millis position = -1;        // negative: not sent
+  Millis valid_until = -1;     // negative: no expiry
+  // Returns whether clients would treat both endpoints alike when they balance. Positions and expiry times
+  // change continually and are not compared.
   [[nodiscard]] bool same(const Endpoint& other) const;
 };
 
+// The endpoints of the cluster with the same name.
 struct Assignment {
   std::vector<Endpoint> endpoints;
 };
-// Has the assignment of the same name, or uses other clusters in their order.
+// A cluster that either has the assignment of the same name or, if fallback clusters are given, uses those in
+// their order.
 struct Cluster {
   GroupId group;
   std::vector<std::string> fallback_clusters;
   bool operator==(const Cluster&) const = default;
 };
+// A listener, which refers to its routes by name.
 struct Listener {
   std::string routes;
   bool operator==(const Listener&) const = default;
 };
+// Sends the requests of one class to one group to a cluster.
 struct Route {
   GroupId group;
   std::string request_class;
   std::string cluster;
   bool operator==(const Route&) const = default;
 };
+// The routes of a listener.
 struct Routes {
   std::vector<Route> routes;
   bool legacy_matchers = false;
@@ -78,61 +89,68 @@
 };
 using ResourceBody = std::variant<Cluster, Assignment, Listener, Routes>;
 
+// A resource with its version.
 struct Resource {
   ResourceType type = ResourceType::clusters;
   std::string name;
-  std::uint64_t version = 0;          // rises with every change; no two bodies share one
-  std::uint64_t last_revocation = 0;  // the last version that took an endpoint away
-  long long revision = 0;             // of the endpoint list that it was built from
+  std::uint64_t version = 0;          // increases with every change and is unique to a body
+  std::uint64_t last_revocation = 0;  // the last version that withdrew an endpoint
+  long long revision = 0;             // revision of the endpoint list that it was built from
   Millis built_at = 0;
-  Millis valid_until = -1;  // below 0: until it is replaced
+  Millis valid_until = -1;  // negative: until it is replaced
   ResourceBody body;
 };
 using ResourcePtr = std::shared_ptr<const Resource>;
 
+// All resources for one set of client capabilities at one time.
 struct ResourceSnapshot {
-  bool ready = false;      // nothing is sent before
-  long long revision = 0;  // of the endpoint list that it was built from
+  bool ready = false;      // nothing is sent to clients until this is set
+  long long revision = 0;  // revision of the endpoint list that it was built from
   ClientCapabilities capabilities;
   std::array<std::map<std::string, ResourcePtr>, kResourceTypes> resources;
-  std::array<std::uint64_t, kResourceTypes> versions{};  // the last change of each type, removals too
-  std::set<std::string> withheld;  // assignments that exist, but have no known endpoints now
+  // The version of the last change to each type, including removals.
+  std::array<std::uint64_t, kResourceTypes> versions{};
+  std::set<std::string> withheld;  // assignments that exist but have no known endpoints now
 };
 
-// A request class as routes name it.
+// A class of requests with routes of its own.
 struct RoutedRequestClass {
-  // The freshness that its reads need.
+  // The freshness that reads of the class need: any data, data of bounded age, data that includes the writes
+  // of the client's session, or the data of the primary.
   enum class Needs { any, bounded, session, primary };
 
   std::string name;
   Needs needs = Needs::primary;
-  Millis bound = 0;  // of the data's age, where needs is bounded
+  Millis bound = 0;  // maximum age of the data; used only if needs is bounded
 };
 
-constexpr const char* kRoutes = "reedspindle";  // the name of the one listener and of its routes
+constexpr const char* kRoutes = "reedspindle";  // the name of the only listener and of its routes
 
 class SnapshotDraft;
 
-// Builds the snapshots; remembers the last ones, so that what has not changed keeps its version.
+// Builds the snapshots. It keeps the previous ones, so that resources that have not changed keep their
+// versions.
 class SnapshotBuilder {
  public:
+  // A lease is the time for which a client may use a replica without a further response.
   struct LeaseOptions {
-    Millis max_transit = 100;    // longest time for a response to reach its client
-    Millis max_clock_skew = 10;  // between this service and its clients
-    Millis min_duration = 250;   // of a lease on a replica that the client does not have yet
+    Millis max_transit = 100;    // maximum time for a response to reach its client
+    Millis max_clock_skew = 10;  // maximum difference between the clocks of this service and its clients
+    Millis min_duration = 250;   // minimum lease on a replica that the client does not have yet
   };
 
-  // startup_timeout: how long to wait at start until every group has a primary.
+  // startup_timeout: the maximum time to wait after the start until every group has a primary.
   SnapshotBuilder(std::vector<RoutedRequestClass> request_classes, LeaseOptions leases,
                   Millis startup_timeout);
 
-  // The snapshots for those capabilities as of now; what has not changed is the same resource as before.
-  // `views` are the router's, after it has processed its events.
+  // Builds the snapshots for the given sets of capabilities. Resources that have not changed are the same
+  // objects as in the previous snapshots. `views` has to be read from the router after it has processed its
+  // events.
   [[nodiscard]] std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> build(
       const std::vector<ServerView>& views, const EndpointRegistry& registry,
       const std::set<ClientCapabilities>& client_capabilities, Millis now);
 
-  // Whether snapshots are ready to be sent; stays true once it is.
+  // Returns whether snapshots may be sent. Once true, it stays true.
   [[nodiscard]] bool ready() const { return ready_; }
 
  private:
@@ -164,7 +182,7 @@
   std::uint64_t last_version_ = 0;
   bool ready_ = false;
   std::optional<Millis> registry_known_since_;
-  std::map<GroupId, Millis> removed_at_;  // groups without a member, and since when
+  std::map<GroupId, Millis> removed_at_;  // groups that have lost all members, and when that was first seen
   std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> previous_snapshots_;
 };
 
