--- a/src/control/snapshot_draft.cpp
+++ b/src/control/snapshot_draft.cpp
@@ -11,15 +11,15 @@
                             [](const Endpoint& a, const Endpoint& b) { return a.same(b); });
 }
 
-// Whether the later assignment takes a healthy endpoint of the earlier one away.
+// Returns whether a healthy endpoint of the earlier assignment is missing from the later one, or is
+// unhealthy, draining or at another address there.
 bool revokes_endpoint(const Assignment& earlier, const Assignment& later) {
-  return std::ranges::any_of(earlier.endpoints, [&later](const Endpoint& given) {
-    if (given.health_status != HealthStatus::healthy) {
+  return std::ranges::any_of(earlier.endpoints, [&later](const Endpoint& sent) {
+    if (sent.health_status != HealthStatus::healthy) {
       return false;
     }
-    return std::ranges::none_of(later.endpoints, [&given](const Endpoint& e) {
-      return e.server == given.server && e.health_status == HealthStatus::healthy &&
-             e.address == given.address;
+    return std::ranges::none_of(later.endpoints, [&sent](const Endpoint& e) {
+      return e.server == sent.server && e.health_status == HealthStatus::healthy && e.address == sent.address;
     });
   });
 }
@@ -99,17 +99,18 @@
 }
 
 void SnapshotDraft::keep_previous(ResourceType type, const std::string& name) {
-  const auto place = static_cast<std::size_t>(type);
-  snapshot_.resources[place][name] = previous_->resources[place].at(name);
+  const auto index = static_cast<std::size_t>(type);
+  snapshot_.resources[index][name] = previous_->resources[index].at(name);
 }
 
 void SnapshotDraft::store(Resource resource) {
-  auto& place = snapshot_.resources[static_cast<std::size_t>(resource.type)][resource.name];
-  place = std::make_shared<const Resource>(std::move(resource));
+  auto& stored = snapshot_.resources[static_cast<std::size_t>(resource.type)][resource.name];
+  stored = std::make_shared<const Resource>(std::move(resource));
 }
 
-// Where the assignment has the endpoints of the last one. A lease is renewed once half of it is over; for
-// clients with times to live the body stays what it is. False: a new version is needed.
+// Stores an assignment under its previous version if it has the same endpoints. Returns false if it needs a
+// new version instead. A lease is renewed once half of it has passed: for clients with times to live under
+// the same version and with the same body, for others with a new version.
 bool SnapshotDraft::reuse_assignment(Resource& resource, const Resource& last, const Assignment& assignment) {
   if (!has_same_endpoints(std::get<Assignment>(last.body), assignment)) {
     return false;
@@ -139,7 +140,8 @@
   const Resource* last = previous(type, name);
   if (const auto* assignment = std::get_if<Assignment>(&body)) {
     resource.valid_until = earliest_expiry(*assignment).value_or(-1);
-    // A new name counts as a revocation: clients that have another resource of that name are sent it at once.
+    // A new name counts as a revocation, so that clients that still have another resource of that name are
+    // sent this one at once.
     resource.last_revocation = last ? last->last_revocation : last_version_ + 1;
     if (last && reuse_assignment(resource, *last, *assignment)) {
       return;
--- a/src/control/snapshot_draft.hpp
+++ b/src/control/snapshot_draft.hpp
@@ -1,5 +1,5 @@
-// A resource snapshot while it is being built: reuses the previous snapshot's resources where nothing has
-// changed, and numbers the others.
+// A resource snapshot that is being built. Resources that have not changed are reused from the previous
+// snapshot; the others get a new version.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +11,40 @@
 
 namespace reedspindle::control {
 
-// Holds references alone to the previous snapshot and to the builder's counter of versions.
+// Collects the resources of one snapshot. It only refers to the previous snapshot and to the version counter
+// of the builder, which have to outlive it.
 class SnapshotDraft {
  public:
-  // previous: the last snapshot for the same capabilities; null: there is none.
+  // previous: the last snapshot for the same capabilities, or null if there is none.
   SnapshotDraft(ClientCapabilities capabilities, const ResourceSnapshot* previous, long long revision,
                 std::uint64_t& last_version, Millis now);
 
+  // Returns the time as of which the snapshot is built.
   [[nodiscard]] Millis now() const { return now_; }
+  // Returns the capabilities that the snapshot is for.
   [[nodiscard]] const ClientCapabilities& capabilities() const { return snapshot_.capabilities; }
+  // Returns whether a resource of this type and name has been added.
   [[nodiscard]] bool contains(ResourceType type, const std::string& name) const;
-  // Null where the previous snapshot has no such resource.
+  // Returns a resource of the previous snapshot, or null if there is no such resource.
   [[nodiscard]] const Resource* previous(ResourceType type, const std::string& name) const;
+  // Returns the previous snapshot, or null if there is none.
   [[nodiscard]] const ResourceSnapshot* previous_snapshot() const { return previous_; }
 
+  // Adds a resource. It keeps the previous version if it has not changed.
   void add(ResourceType type, const std::string& name, ResourceBody body);
-  // Sorts the endpoints by rank and server.
+  // Adds an assignment with the endpoints sorted by rank and server.
   void add_assignment(const std::string& name, std::vector<Endpoint> endpoints);
-  // Where no endpoints are left: the previous ones as draining; withheld where there were none.
+  // Adds an assignment. If there are no endpoints, adds the previous ones as draining, or withholds the
+  // assignment if there is no previous one.
   void add_assignment_or_drain(const std::string& name, std::vector<Endpoint> endpoints);
-  // The previous endpoints as draining, since some clients read an assignment without endpoints as "there was
-  // never such a server". False: there was no such assignment.
+  // Adds the previous endpoints of an assignment as draining, since some clients take an assignment without
+  // endpoints to mean that the servers never existed. Returns false if there is no previous assignment.
   bool add_as_draining(const std::string& name);
 
-  // Raises the versions of types that have lost a resource; for a snapshot that is ready, after all
-  // additions.
+  // Increases the version of each type that has lost a resource. To be called after all additions, and only
+  // for a snapshot that is ready.
   void count_removals();
+  // Returns the finished snapshot.
   [[nodiscard]] ResourceSnapshot finish(bool ready) &&;
 
  private:
--- a/src/control/snapshot_history.cpp
+++ b/src/control/snapshot_history.cpp
@@ -6,11 +6,12 @@
 namespace reedspindle::control {
 namespace {
 
-// More than clients leave unacknowledged in the ordinary course.
-constexpr std::size_t kMaxRememberedChanges = 128;
+// More changes than clients usually leave unacknowledged.
+constexpr std::size_t kMaxRecordedChanges = 128;
 
 using Resources = std::map<std::string, ResourcePtr>;
 
+// Appends the names of the resources that were added, replaced or removed.
 void add_changed_names(const Resources& previous, const Resources& next, std::vector<std::string>& names) {
   for (const auto& [name, resource] : next) {
     if (const auto found = previous.find(name); found == previous.end() || found->second != resource) {
@@ -50,7 +51,7 @@
     }
     changes_.push_back(std::move(change));
   }
-  if (changes_.size() > kMaxRememberedChanges) {
+  if (changes_.size() > kMaxRecordedChanges) {
     changes_.pop_front();
   }
   snapshot_ = std::move(snapshot);
--- a/src/control/snapshot_history.hpp
+++ b/src/control/snapshot_history.hpp
@@ -1,5 +1,6 @@
-// The newest snapshot for one set of client capabilities, and which names its predecessors changed, so that a
-// stream that was up to date is compared for those names alone.
+// Holds the latest snapshot for one set of client capabilities, and the names that each recent update
+// changed. A stream that was up to date with an earlier snapshot then has to be compared only for these
+// names.
 #pragma once
 
 #include <array>
@@ -15,24 +16,27 @@
 
 namespace reedspindle::control {
 
+// The latest snapshot and the changes that led to it, for one set of client capabilities.
 class SnapshotHistory {
  public:
-  // Replaces the snapshot where it differs from the current one; `serial` numbers the new one. False: equal.
+  // Replaces the snapshot if the new one differs, and gives it the serial number `serial`. Returns false if
+  // both are equal.
   bool update(std::shared_ptr<const ResourceSnapshot> snapshot, std::uint64_t serial);
 
-  // Null before the first update.
+  // Returns the latest snapshot, or null before the first update.
   [[nodiscard]] const std::shared_ptr<const ResourceSnapshot>& snapshot() const { return snapshot_; }
+  // Returns the serial number of the latest snapshot, or 0 before the first update.
   [[nodiscard]] std::uint64_t serial() const { return serial_; }
 
-  // The names of that type that have changed since the snapshot with that serial. Empty optional: that is not
-  // known (any more), and all names have to be compared.
+  // Returns the names of this type that have changed since the snapshot with this serial number, or nothing
+  // if the changes since then are not recorded (or no longer), so that all names have to be compared.
   [[nodiscard]] std::optional<std::set<std::string>> changed_names(ResourceType type,
                                                                    std::uint64_t since) const;
 
  private:
-  // What one update changed, by type.
+  // The names that one update changed, by type.
   struct Change {
-    std::uint64_t serial = 0;
+    std::uint64_t serial = 0;  // of the snapshot that the update stored
     std::array<std::vector<std::string>, kResourceTypes> names;
   };
 
