--- a/src/control/client_stream.cpp
+++ b/src/control/client_stream.cpp
@@ -3,19 +3,19 @@
 namespace reedspindle::control {
 
 void ClientStream::check_responsiveness(Millis now, Millis timeout) {
-  Millis since = response_in_flight ? response_started_at : now;
+  Millis waiting_since = response_in_flight ? response_started_at : now;
   for (const TypeSubscription& type : types) {
     if (!type.unacknowledged.empty()) {
-      since = std::min(since, type.unacknowledged.front().sent_at);
+      waiting_since = std::min(waiting_since, type.unacknowledged.front().sent_at);
     }
   }
-  if (since == now) {
+  if (waiting_since == now) {
     return;
   }
-  if (now - since >= timeout) {
+  if (now - waiting_since >= timeout) {
     close_reason = response_in_flight ? "it does not read" : "it does not answer";
   } else {
-    schedule_check(since + timeout);
+    schedule_check(waiting_since + timeout);
   }
 }
 
--- a/src/control/version_text.cpp
+++ b/src/control/version_text.cpp
@@ -7,17 +7,18 @@
 namespace reedspindle::control {
 namespace {
 
-// Reads "<letter><number>." at `at` and moves past it; false where the text has another form.
+// Parses "<letter><number>." at the position and moves the position past it. Returns false if the text has
+// another form.
 template <typename Number>
-bool read_part(const char*& at, const char* end, char letter, Number& number) {
-  if (at == end || *at++ != letter) {
+bool parse_component(const char*& position, const char* end, char letter, Number& number) {
+  if (position == end || *position++ != letter) {
     return false;
   }
-  const auto [next, fault] = std::from_chars(at, end, number);
-  if (fault != std::errc() || next == end || *next != '.') {
+  const auto [next, error] = std::from_chars(position, end, number);
+  if (error != std::errc() || next == end || *next != '.') {
     return false;
   }
-  at = next + 1;
+  position = next + 1;
   return true;
 }
 
@@ -29,16 +30,17 @@
 
 std::optional<Version> parse_version(const std::string& text) {
   Version version;
-  const char* at = text.data();
-  const char* const end = at + text.size();
-  if (!read_part(at, end, 'r', version.revision) || !read_part(at, end, 'e', version.epoch) ||
-      !read_part(at, end, 'c', version.change)) {
+  const char* position = text.data();
+  const char* const end = position + text.size();
+  if (!parse_component(position, end, 'r', version.revision) ||
+      !parse_component(position, end, 'e', version.epoch) ||
+      !parse_component(position, end, 'c', version.change)) {
     return std::nullopt;
   }
-  if (at == end || version.revision < 0) {
+  if (position == end || version.revision < 0) {
     return std::nullopt;
   }
-  version.service.assign(at, end);
+  version.service.assign(position, end);
   return version;
 }
 
--- a/src/control/version_text.hpp
+++ b/src/control/version_text.hpp
@@ -1,4 +1,5 @@
-// The text form of resource versions on the wire: "r<revision>.e<epoch>.c<change>.<service>".
+// Formats and parses the versions of resources as they are sent to clients:
+// "r<revision>.e<epoch>.c<change>.<service>".
 #pragma once
 
 #include <cstdint>
@@ -9,17 +10,19 @@
 
 namespace reedspindle::control {
 
+// The parts of a resource version.
 struct Version {
-  long long revision = 0;    // of the endpoint list that the resource was built from
-  std::uint64_t epoch = 0;   // number of the start of the service; rises with every restart
+  long long revision = 0;    // revision of the endpoint list that the resource was built from
+  std::uint64_t epoch = 0;   // number of the service's start, which increases with every restart
   std::uint64_t change = 0;  // number of the change within that epoch
   std::string service;       // name of the control service that built the resource
 };
 
+// Returns the text form of a version.
 [[nodiscard]] std::string text_of(const Version& version);
-// Empty where the text isn't a version of this form.
+// Parses a version. Returns nothing if the text does not have this form.
 [[nodiscard]] std::optional<Version> parse_version(const std::string& text);
-// The version text of a resource as this service sends it.
+// Returns the version text of a resource that is sent by the given service in the given epoch.
 [[nodiscard]] std::string resource_version_text(const Resource& resource, std::uint64_t epoch,
                                                 const std::string& service);
 
