--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,11 +1,11 @@
-// The control service's process. Exit codes as operators::command_line gives them.
+// The entry point of the control service. The exit codes are those of operators::command_line.
 #include <csignal>
 
 #include "control/options.hpp"
 #include "control/service.hpp"
 #include "operators/command.hpp"
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   using namespace reedspindle;
   std::signal(SIGPIPE, SIG_IGN);
   return operators::command_line(
@@ -16,5 +16,5 @@
        [](const operators::File& file, const std::string& path) {
          control::Service(control::options_in(file, path)).run();
        }},
-      count, words);
+      argc, argv);
 }
--- a/src/control/options.cpp
+++ b/src/control/options.cpp
@@ -10,15 +10,15 @@
 }
 
 Options options_in(const operators::File& file, const std::string& name) {
-  std::vector<std::string> faults;
-  const auto fault = [&](const std::string& key, const std::string& text) {
+  std::vector<std::string> errors;
+  const auto add_error = [&](const std::string& key, const std::string& text) {
     const auto line = file.lines.find(key);
-    faults.push_back(
+    errors.push_back(
         fmt::format("{}:{}: {}: {}", name, line == file.lines.end() ? 1 : line->second, key, text));
   };
   if (!file.values.contains("control")) {
-    fault("control", "is missing");
-    throw operators::InvalidFile(std::move(faults));
+    add_error("control", "is missing");
+    throw operators::InvalidFile(std::move(errors));
   }
   const Json& control = file.values["control"];
   Options options;
@@ -30,10 +30,10 @@
   if (discovery) {
     options.config.discovery = *discovery;
   } else {
-    fault("control.discovery", "a numeric address and a port were expected");
+    add_error("control.discovery", "expected a numeric address and a port");
   }
   if (!config::parse_endpoint(options.listen)) {
-    fault("control.listen", "a numeric address and a port were expected");
+    add_error("control.listen", "expected a numeric address and a port");
   }
   const Json& stores = file.values["stores"];
   options.config.max_descriptors = control["sockets"];
@@ -57,20 +57,20 @@
   std::set<std::string> names;
   for (std::size_t i = 0; i < types.size(); ++i) {
     const Json& type = types[i];
-    const std::string at = fmt::format("op_type.{}.", i);
+    const std::string prefix = fmt::format("op_type.{}.", i);
     const std::string key = fmt::format("op-type[{}]", i);
     const std::string needs = type["needs"];
     if (!names.insert(type["name"]).second) {
-      fault(key + ".name", "is there twice");
+      add_error(key + ".name", "is used by another op-type");
     }
     if ((needs == "bounded") != type.contains("bound")) {
-      fault(key, needs == "bounded" ? "bound is missing" : "bound goes with needs bounded alone");
+      add_error(key, needs == "bounded" ? "bound is missing" : "bound is allowed only with needs bounded");
     }
-    values[at + "needs"] = needs;
-    values[at + "effect"] = type["effect"].get<std::string>();
-    values[at + "latency_target"] = type["latency-target"].get<double>();
-    values[at + "op_timeout"] = type["op-timeout"].get<double>();
-    values[at + "bound"] = type.value("bound", 0.0);
+    values[prefix + "needs"] = needs;
+    values[prefix + "effect"] = type["effect"].get<std::string>();
+    values[prefix + "latency_target"] = type["latency-target"].get<double>();
+    values[prefix + "op_timeout"] = type["op-timeout"].get<double>();
+    values[prefix + "bound"] = type.value("bound", 0.0);
     using Needs = RoutedRequestClass::Needs;
     options.request_classes.push_back({type["name"],
                                        needs == "any"       ? Needs::any
@@ -97,8 +97,8 @@
         Tls{control["tls"]["certificate"], control["tls"]["key"], control["tls"].value("proxies", "")};
   }
   options.log = logging::parse_log_options(file.values["log"]);
-  if (!faults.empty()) {
-    throw operators::InvalidFile(std::move(faults));
+  if (!errors.empty()) {
+    throw operators::InvalidFile(std::move(errors));
   }
   return options;
 }
--- a/src/control/options.hpp
+++ b/src/control/options.hpp
@@ -1,5 +1,5 @@
-// The control service's options from the operators' file, checked beyond the schema where one key depends on
-// another.
+// Reads the options of the control service from the configuration file. Beyond the schema, it checks the keys
+// that depend on one another.
 #pragma once
 
 #include <asio.hpp>
@@ -15,18 +15,19 @@
 
 namespace reedspindle::control {
 
+// TLS for the connections of clients. All members are paths of PEM files.
 struct Tls {
-  // Paths of files.
   std::string certificate;
   std::string key;
-  std::string proxies;  // empty: no client certificate is demanded
+  std::string proxies;  // issuers of client certificates; empty: clients need no certificate
 };
 
+// The options of the control service.
 struct Options {
   std::string name;
   std::string listen;
-  std::string keep;               // folder of the persisted state
-  config::InstanceConfig config;  // for the connections to discovery and stores
+  std::string keep;               // directory of the persisted state
+  config::InstanceConfig config;  // for the connections to discovery and servers
   std::vector<RoutedRequestClass> request_classes;
   EndpointRegistry::Bounds registry;
   SnapshotBuilder::LeaseOptions leases;
@@ -37,7 +38,8 @@
   logging::LogOptions log;
 };
 
-// Throws operators::InvalidFile with all errors.
+// Returns the options in a configuration file that conforms to the schema. `name` is the path of the file,
+// for error messages. Throws operators::InvalidFile with all errors.
 [[nodiscard]] Options options_in(const operators::File& file, const std::string& name);
 
 }  // namespace reedspindle::control
