--- a/src/operators/command.cpp
+++ b/src/operators/command.cpp
@@ -16,9 +16,9 @@
     added->add_option("file", path, "the operators' file")->required();
     return added;
   };
-  CLI::App* run = command("run", "serve until told to stop");
-  CLI::App* check = command("check", "read the file, name all that is faulty in it");
-  CLI::App* show = command("show", "print every value with where it comes from");
+  CLI::App* run = command("run", "serve until stopped by a signal");
+  CLI::App* check = command("check", "validate the file and report all errors in it");
+  CLI::App* show = command("show", "print every value and whether it comes from the file or is a default");
   try {
     app.parse(count, words);
   } catch (const CLI::ParseError& fault) {
--- a/src/operators/command.hpp
+++ b/src/operators/command.hpp
@@ -1,4 +1,4 @@
-// The command line that all programs with an operators' file share: run, check, show, --help, --version.
+// The command line shared by all programs that read an operators' file: run, check, show, --help, --version.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,16 @@
 
 namespace reedspindle::operators {
 
+// Describes a program to the shared command line.
 struct Program {
   std::string name, what, version;
-  // Both get the file and its path, for messages. The first throws Faulty where keys don't go together.
+  // Both receive the file and its path, which is for messages. `check` throws InvalidFile if keys of the file
+  // contradict each other.
   std::function<void(const File&, const std::string&)> check, run;
 };
 
-// The exit code. 0: done, or stopped when told; 2: what was said at start is faulty; 1: anything else.
+// Runs the command and returns the exit code: 0 after success, which includes a requested stop; 2 if the
+// arguments or the operators' file are invalid; 1 after any other error.
 int command_line(const Program& program, int count, const char* const* words);
 
 }  // namespace reedspindle::operators
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -15,7 +15,7 @@
 
 namespace reedspindle::operators {
 
-extern const char* const kSchema;  // schema.json
+extern const char* const kSchema;  // generated from schema.json
 const Form kOperatorsFile{"reedspindle", kSchema};
 
 namespace {
--- a/src/operators/file.hpp
+++ b/src/operators/file.hpp
@@ -1,12 +1,12 @@
-// The operators' file: S-expressions, read by sfsexp, turned into JSON, checked against one schema
-// (schema.json) by Valijson, and given the schema's defaults.
+// Reads the operators' file. It is written as S-expressions, which are parsed by sfsexp, converted to JSON,
+// validated against a schema (schema.json) by Valijson, and completed with the defaults of the schema.
 //
 //   (reedspindle
 //     (control (name "control-a") (listen "127.0.0.1:18000") ...)
 //     (op-type (name browse) (needs bounded) (bound 1500ms)))
 //
-// A list is a key and its value, or a key and the keys inside it; a key that the schema makes an array may
-// stand several times. Times are written 500ms, 2s, 1m, 1h; sizes 64KiB, 32MiB, 1GiB; switches yes or no.
+// A list holds a key and its value, or a key and nested lists. A key that is an array in the schema may be
+// repeated. Times are written as 500ms, 2s, 1m or 1h, sizes as 64KiB, 32MiB or 1GiB, booleans as yes or no.
 #pragma once
 
 #include <functional>
@@ -19,32 +19,34 @@
 
 namespace reedspindle::operators {
 
-// All faults of a file at once: one line each, "FILE:LINE: KEY: what was expected", in the order of the file.
+// Reports all errors of a file at once, one line each, as "FILE:LINE: KEY: what was expected", in file order.
 struct InvalidFile : std::runtime_error {
   explicit InvalidFile(std::vector<std::string> lines);
   std::vector<std::string> lines;
 };
 
+// The content of an operators' file.
 struct File {
-  nlohmann::json values;  // complete: with defaults; times in ms, sizes in bytes
-  std::map<std::string, int>
-      lines;  // of what the file states, by key as "control.roster.confirm", "op-type[0]"
+  nlohmann::json values;  // with defaults filled in; times in ms, sizes in bytes
+  // Line numbers of the keys that the file sets, by path, such as "control.roster.confirm" or "op-type[0]".
+  std::map<std::string, int> lines;
 };
 
-constexpr std::size_t kLongestFile = 1 << 20;
+constexpr std::size_t kLongestFile = 1 << 20;  // bytes
 
-// A file's outermost word and its schema, as JSON.
+// A kind of file: the key of its outermost list, and its JSON Schema as text.
 struct Form {
   const char* head;
   const char* schema;
 };
 extern const Form kOperatorsFile;
 
-// Throws Faulty. The name is for messages.
+// Parse and validate a text or a file. Both throw InvalidFile. `name` is the file name used in messages.
 File read_text(std::string_view text, const std::string& name, const Form& form = kOperatorsFile);
 File read_file(const std::string& path, const Form& form = kOperatorsFile);
 
-// Each value in the file's form with where it comes from, a line each.
+// Returns a line for each value: its path, the value as the file would write it, and its line number or
+// "default".
 std::vector<std::string> show(const File& file, const Form& form = kOperatorsFile);
 
 }  // namespace reedspindle::operators
--- a/src/operators/reader.cpp
+++ b/src/operators/reader.cpp
@@ -46,7 +46,7 @@
     return named ? std::string(list->list->val) : "";
   }
 
-  // What stands behind a key: entries of an object.
+  // Reads the entries of an object, which follow its key.
   void read_entries(const sexp_t* first, const Json& schema, Json& into, const std::string& path) {
     for (const sexp_t* at = first; at; at = at->next) {
       if (at->ty != SEXP_LIST) {
@@ -71,7 +71,7 @@
       of = &schema["properties"][key];
     }
     if (!of) {
-      errors_.push_back({line, fmt::format("{}: there is no such key", full)});
+      errors_.push_back({line, fmt::format("{}: unknown key", full)});
       return skip(list->list->next);
     }
     Json* place = nullptr;
@@ -86,8 +86,7 @@
       place = &rows.emplace_back();
     } else {
       if (into.contains(key)) {
-        errors_.push_back(
-            {line, fmt::format("{}: is there twice, first in line {}", full, file_.lines[full])});
+        errors_.push_back({line, fmt::format("{}: is already set in line {}", full, file_.lines[full])});
         return skip(list->list->next);
       }
       place = &into[key];
@@ -106,7 +105,7 @@
     *place = read_value(rest->val ? rest->val : "", *of, full, line);
   }
 
-  // Counts the lists of what is not read, so that those behind it keep their lines.
+  // Consumes the line numbers of lists that are not read, so that later lists get their own.
   void skip(const sexp_t* first) {
     for (const sexp_t* at = first; at; at = at->next) {
       if (at->ty == SEXP_LIST) {
@@ -153,7 +152,7 @@
   void add_error(const std::string& path, const std::string& text) {
     errors_.push_back({line_of(path), fmt::format("{}: {}", path.empty() ? "file" : path, text)});
   }
-  // The line of a key, or of what it stands in.
+  // Returns the line of a key, or that of the nearest enclosing key that the file sets.
   [[nodiscard]] int line_of(std::string path) const {
     for (;;) {
       const auto found = file_.lines.find(path);
@@ -168,7 +167,7 @@
     }
   }
 
-  // "<root>", "[control]", "[op-type]", "[0]" as one key.
+  // Joins a Valijson context to a path: "<root>", "[op-type]", "[0]", "[bound]" gives "op-type[0].bound".
   static std::string path_of(const std::vector<std::string>& context) {
     std::string path;
     for (const std::string& part : context) {
@@ -189,7 +188,7 @@
     std::set<std::string> reported = invalid_keys_;
     for (const Mismatch& error : mismatches(schema, file_.values)) {
       const std::string path = path_of(error.context);
-      // Of the messages on one key the first, innermost one says it; outer ones repeat it.
+      // Valijson repeats an error at every enclosing level; only the first, innermost message is reported.
       if (error.description.starts_with("Failed to validate against schema associated with property") ||
           error.description.starts_with("Failed to validate item") ||
           reported.contains(path + error.description) || invalid_keys_.contains(path)) {
@@ -207,7 +206,7 @@
     }
   }
 
-  // What the schema says of a value, for the message on one that does not keep to it.
+  // Returns what the schema expects at this place, as text for an error message.
   static std::optional<std::string> expectation(const Json& schema, const std::vector<std::string>& context) {
     const Json* of = &schema;
     for (const std::string& part : context) {
@@ -254,7 +253,7 @@
       return;
     }
     for (const auto& [key, of] : schema["properties"].items()) {
-      // A part with needed keys stays away where the file does not have it.
+      // An object with a list of required keys, even an empty one, is not created if the file omits it.
       if (!values.contains(key) && of["type"] == "object" && !of.contains("required")) {
         values[key] = Json::object();
       }
@@ -273,7 +272,7 @@
   std::size_t next_ = 0;
   File file_;
   std::vector<FileError> errors_;
-  std::set<std::string> invalid_keys_;  // keys that a fault has been reported of
+  std::set<std::string> invalid_keys_;  // keys whose values have already been reported as invalid
 };
 
 }  // namespace
--- a/src/operators/reader.hpp
+++ b/src/operators/reader.hpp
@@ -1,4 +1,4 @@
-// Turns a tree of S-expressions into the JSON that the schema describes, and checks it.
+// Converts a tree of S-expressions to JSON and validates it against the schema.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
 
 namespace reedspindle::operators {
 
-// The values of the file with the schema's defaults. `lines`: of all lists, in their order. Throws
-// InvalidFile with all errors of the file; the name is for messages.
+// Returns the values of the file, completed with the schema's defaults. `lines` holds the line number of each
+// list, in file order. Throws InvalidFile with all errors of the file. `name` is the file name used in
+// messages.
 [[nodiscard]] File read_tree(const elt* tree, const std::string& name, std::vector<int> lines,
                              const Form& form);
 
--- a/src/operators/s_expressions.cpp
+++ b/src/operators/s_expressions.cpp
@@ -10,7 +10,7 @@
 namespace reedspindle::operators {
 namespace {
 
-constexpr std::size_t kMaxDepth = 16;  // of nested lists; the schema needs five
+constexpr std::size_t kMaxDepth = 16;  // nesting levels of lists; the schema needs five
 
 }  // namespace
 
@@ -39,33 +39,32 @@
         }
       }
       if (at >= text.size()) {
-        throw_invalid_file(name, {{from, "a text that begins here is not closed"}});
+        throw_invalid_file(name, {{from, "the string that starts here is not closed"}});
       }
     } else if (letter == '(') {
       if (ended) {
         throw_invalid_file(
-            name, {{line, fmt::format("more than one list; all stands inside ({} ...)", form.head)}});
+            name, {{line, fmt::format("more than one list; everything must be inside ({} ...)", form.head)}});
       }
       lines.push_back(line);
       open.push_back(line);
       if (open.size() > kMaxDepth) {
-        throw_invalid_file(name, {{line, "lists stand too deep in lists"}});
+        throw_invalid_file(name, {{line, "lists are nested too deeply"}});
       }
     } else if (letter == ')') {
       if (open.empty()) {
-        throw_invalid_file(name, {{line, "a list is closed here that was not opened"}});
+        throw_invalid_file(name, {{line, "closing parenthesis without an opening one"}});
       }
       open.pop_back();
       ended = open.empty();
     } else if (letter == '\'' || letter == '#' || letter == '\0') {
-      throw_invalid_file(name,
-                         {{line, fmt::format("the letter {} has no meaning here", letter ? letter : '0')}});
+      throw_invalid_file(name, {{line, fmt::format("unexpected character {}", letter ? letter : '0')}});
     } else if (open.empty() && !std::isspace(static_cast<unsigned char>(letter))) {
       throw_invalid_file(name, {{line, fmt::format("a list was expected: ({} ...)", form.head)}});
     }
   }
   if (!open.empty()) {
-    throw_invalid_file(name, {{open.back(), "the list that begins here is not closed"}});
+    throw_invalid_file(name, {{open.back(), "the list that starts here is not closed"}});
   }
   return lines;
 }
--- a/src/operators/s_expressions.hpp
+++ b/src/operators/s_expressions.hpp
@@ -1,4 +1,4 @@
-// The lines of the lists in a text of S-expressions, and errors that the library would not report.
+// Finds the line numbers of lists in a text of S-expressions, and syntax errors that sfsexp does not report.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 
 namespace reedspindle::operators {
 
-// The lines of all opening parentheses, in their order: the library's tree has no positions, and its lists
-// come in the same order. What the library would read in ways of its own (quotes by ', binary by #) is an
-// error. Throws InvalidFile; the name is for messages.
+// Returns the line number of each opening parenthesis, in file order. The tree that sfsexp builds has no
+// positions, but its lists are in the same order. Syntax that only sfsexp gives a meaning (quoting with ',
+// binary data with #) is an error. Throws InvalidFile. `name` is the file name used in messages.
 [[nodiscard]] std::vector<int> lines_of_lists(std::string_view text, const std::string& name,
                                               const Form& form);
 
--- a/src/snapshot/directory_disk.cpp
+++ b/src/snapshot/directory_disk.cpp
@@ -1,4 +1,4 @@
-// A directory of the file system, by POSIX calls.
+// Implements DirectoryDisk with POSIX system calls.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sys/stat.h>
@@ -18,7 +18,7 @@
   throw DiskError(fmt::format("{} {}: {}", what, path, std::strerror(errno)));
 }
 
-// A descriptor, closed where it goes out of scope.
+// Owns a file descriptor and closes it on destruction.
 class OpenFile {
  public:
   OpenFile(const std::string& path, int flags)
@@ -45,7 +45,7 @@
 
 DirectoryDisk::DirectoryDisk(std::string folder) : folder_(std::move(folder)) {
   if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) {
-    throw_disk_error("make the folder", folder_);
+    throw_disk_error("create directory", folder_);
   }
 }
 
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -8,22 +8,25 @@
 #include <cstring>
 #include <type_traits>
 
-// A generation is one file, "state.<generation, 20 digits>":
-//   8 bytes "RSKEEP\r\n" (line ends, so that a copy in text mode is found out), format (8), generation (8),
-//   length of the state (8), the state, XXH3 of all before it (8). Numbers are little-endian.
-// It is written under another name, synced, renamed, and the folder synced: a crash leaves either no new name
-// or a complete file under it. Disks that lie about this are covered by the checksum and earlier generations.
+// Each generation is stored in one file, "state.<generation as 20 decimal digits>". Its layout, with sizes in
+// bytes and integers in little-endian order:
+//   magic "RSKEEP\r\n" (8; the line ending reveals a copy made in text mode), format version (8),
+//   generation (8), length of the state (8), the state, XXH3 checksum of everything before it (8).
+// The file is written under a temporary name, synced and renamed; then the directory is synced. A crash
+// leaves either no file under the new name or a complete one. The checksum and the earlier generations
+// protect against disks that report a sync as done before the data is durable.
 namespace reedspindle::snapshot {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "numbers are written as they stand in memory");
+static_assert(std::endian::native == std::endian::little,
+              "integers are written in their in-memory representation");
 
 constexpr std::string_view kMagic = "RSKEEP\r\n";
 constexpr std::uint64_t kFormat = 1;
 constexpr std::size_t kHeaderBytes = 32, kChecksumBytes = 8;
 constexpr std::string_view kPrefix = "state.", kTemporaryName = "new";
 constexpr std::size_t kKeptGenerations =
-    3;  // one may be damaged by the disk and one by the crash of its writer
+    3;  // one may be damaged by the disk and another by a crash of its writer
 
 std::string name_of(std::uint64_t generation) { return fmt::format("{}{:020}", kPrefix, generation); }
 
@@ -50,13 +53,13 @@
   return number;
 }
 
-// Why the bytes are no such generation; empty: they are.
+// Returns why the bytes are not a valid file of this generation, or an empty string if they are.
 std::string damage_in(std::string_view bytes, std::uint64_t generation) {
   if (bytes.size() < kHeaderBytes + kChecksumBytes) {
     return "it is cut short";
   }
   if (!bytes.starts_with(kMagic)) {
-    return "it is no state of ours";
+    return "it does not start with the snapshot signature";
   }
   if (const std::uint64_t format = read_number(bytes, 8); format != kFormat) {
     return fmt::format("its format is {}, this program reads {}", format, kFormat);
@@ -66,7 +69,7 @@
   }
   if (read_number(bytes, bytes.size() - kChecksumBytes) !=
       XXH3_64bits(bytes.data(), bytes.size() - kChecksumBytes)) {
-    return "its sum is wrong";
+    return "its checksum does not match";
   }
   if (read_number(bytes, 16) != generation) {
     return "it is another generation under this name";
@@ -85,7 +88,7 @@
   }
   std::ranges::sort(generations, std::greater());
   LoadResult loaded;
-  // Damaged ones count, too: no number is ever given twice.
+  // Damaged files are included, so that a generation number is never reused.
   if (!generations.empty()) {
     last_ = generations.front();
   }
@@ -94,7 +97,7 @@
     std::string why;
     try {
       std::optional<std::string> bytes = disk_.read(name, kMaxStateBytes + kHeaderBytes + kChecksumBytes);
-      why = bytes ? damage_in(*bytes, generation) : "it is too long";
+      why = bytes ? damage_in(*bytes, generation) : "it is longer than any valid snapshot";
       if (why.empty()) {
         loaded.generation = generation;
         loaded.state = bytes->substr(kHeaderBytes, bytes->size() - kHeaderBytes - kChecksumBytes);
@@ -110,7 +113,7 @@
 
 std::uint64_t SnapshotStore::save(std::string_view state) {
   if (state.size() > kMaxStateBytes) {
-    throw DiskError("the state is too long to be kept");
+    throw DiskError("the state is longer than 16 MiB and can't be saved");
   }
   const std::uint64_t generation = last_ + 1;
   std::string bytes(kMagic);
@@ -122,7 +125,7 @@
   const std::string name = name_of(generation);
   disk_.write(std::string(kTemporaryName), bytes);
   disk_.sync(std::string(kTemporaryName));
-  // Whatever comes of the rename, the number has been used.
+  // Set before the rename: even if that fails, the number counts as used.
   last_ = generation;
   disk_.rename(std::string(kTemporaryName), name);
   disk_.sync_directory();
@@ -134,7 +137,7 @@
         }
       }
     } catch (const DiskError&) {
-      // What can't be removed now is removed by a later save.
+      // Files that could not be removed are removed by a later save.
     }
   }
   return generation;
--- a/src/snapshot/snapshot_store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -1,6 +1,6 @@
-// A crash-safe store of one small state: numbered generations, of which the newest complete one is loaded
-// whatever happened to the writer or to the disk in between. Format and order of writing: snapshot_store.cpp;
-// rationale: docs/design-control.md.
+// Crash-safe storage of one small state. Each save writes a new numbered generation; a load returns the
+// newest intact one, even after a crash of the writer or damage to files on the disk. The file format and the
+// order of writes are described in snapshot_store.cpp, the rationale in docs/design-control.md.
 #pragma once
 
 #include <cstddef>
@@ -13,29 +13,31 @@
 
 namespace reedspindle::snapshot {
 
-// A file operation failed; the message names it, with the system's reason.
+// Reports a failed file operation. The message names the operation and the system's error.
 struct DiskError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The files of one directory. Names hold no slashes. Every call throws DiskError where the system reports an
-// error.
+// Accesses the files of one directory. File names must not contain slashes. Every call throws DiskError if
+// the system reports an error.
 class Disk {
  public:
   virtual ~Disk() = default;
+  // Returns the names of all files in the directory.
   virtual std::vector<std::string> names() = 0;
-  // The file's content; none where it is longer than max_bytes.
+  // Returns the file's content, or nullopt if it is longer than max_bytes.
   virtual std::optional<std::string> read(const std::string& name, std::size_t max_bytes) = 0;
-  // Replaces the file's content; not durable before it has been synced.
+  // Replaces the file's content. The change is durable only after sync().
   virtual void write(const std::string& name, std::string_view bytes) = 0;
+  // Makes the file's content durable.
   virtual void sync(const std::string& name) = 0;
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  // Makes renames and removals so far durable.
+  // Makes all earlier renames and removals durable.
   virtual void sync_directory() = 0;
   virtual void remove(const std::string& name) = 0;
 };
 
-// A directory of the file system; created, with rights for its owner alone, where it is missing.
+// Accesses a directory of the file system. Creates it, accessible only to its owner, if it does not exist.
 class DirectoryDisk final : public Disk {
  public:
   explicit DirectoryDisk(std::string folder);
@@ -52,27 +54,28 @@
   std::string folder_;
 };
 
-// A file that was ignored, and why.
+// A file that load() skipped, and the reason.
 struct DamagedFile {
   std::string name, why;
 };
 
 struct LoadResult {
   std::uint64_t generation = 0;
-  std::optional<std::string> state;  // none: there is no complete generation
-  std::vector<DamagedFile>
-      damaged;  // newest first; not empty without a state: something was there and is lost
+  std::optional<std::string> state;  // nullopt if there is no intact generation
+  // Newest first. If there is no state although this is not empty, a state had been saved and is lost.
+  std::vector<DamagedFile> damaged;
 };
 
+// Saves and loads the generations of a state.
 class SnapshotStore {
  public:
-  static constexpr std::size_t kMaxStateBytes = 16 << 20;  // bytes of one state
+  static constexpr std::size_t kMaxStateBytes = 16 << 20;
 
   explicit SnapshotStore(Disk& disk) : disk_(disk) {}
 
-  // Loads the newest complete generation. To be called once, before the first save.
+  // Loads the newest intact generation. Must be called once, before the first save.
   LoadResult load();
-  // Saves the state and returns its generation. After a DiskError the earlier generations are as they were,
+  // Saves the state and returns its generation. If it throws DiskError, the earlier generations are unchanged
   // and it may be called again.
   std::uint64_t save(std::string_view state);
 
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -1,5 +1,5 @@
-// Saves states to a store on a thread of its own, so that a slow disk blocks nobody. Of the states that wait
-// only the newest is saved.
+// Saves states to a SnapshotStore on a separate thread, so that a slow disk does not block the caller. If
+// several states are waiting, only the newest is saved.
 #pragma once
 
 #include <condition_variable>
@@ -13,14 +13,15 @@
 
 namespace reedspindle::snapshot {
 
+// Runs the thread that saves. The store must outlive the writer.
 class SnapshotWriter {
  public:
-  // Called on the writer's thread after each state, with the disk's error; empty: it was saved.
+  // Called on the writer's thread after each save, with the disk error, or an empty string on success.
   using OnSaved = std::function<void(std::string fault)>;
 
   SnapshotWriter(SnapshotStore& store, OnSaved on_saved)
       : store_(store), on_saved_(std::move(on_saved)), thread_([this] { run(); }) {}
-  // Saves the state that waits, and stops. The store has to outlive the writer.
+  // Saves the waiting state, if any, and stops the thread.
   ~SnapshotWriter() {
     {
       const std::lock_guard lock(mutex_);
@@ -31,6 +32,7 @@
   }
   SnapshotWriter(const SnapshotWriter&) = delete;
 
+  // Queues the state for saving, in place of one that is still waiting.
   void save(std::string state) {
     {
       const std::lock_guard lock(mutex_);
@@ -66,7 +68,7 @@
   std::condition_variable wake_;
   std::optional<std::string> next_;
   bool stopping_ = false;
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last, since it uses all members above
 };
 
 }  // namespace reedspindle::snapshot
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -1,6 +1,7 @@
-// Reads a case file: texts of the operators' file between lines "file" and "end", and prints what each gives:
-// all its faults, or the values it states and those of the defaults that the line "file" names. Lines
-// starting with two blanks outside a text hold what is expected and are skipped.
+// Reads a case file with texts of operators' files, each between a line "file [PREFIX]" and a line "end".
+// Prints the result of each text: all its errors, or the values it sets and the defaults whose path starts
+// with PREFIX. Outside of the texts, lines that start with two spaces hold the expected output and are
+// skipped.
 #include <fstream>
 #include <iostream>
 #include <sstream>
--- a/tests/options.sh
+++ b/tests/options.sh
@@ -34,7 +34,7 @@
 exit code 0
 file.sexp:1: fleet.time-out: less than fleet.pace was expected
 exit code 2
-file.sexp:1: fleet.speed: there is no such key
+file.sexp:1: fleet.speed: unknown key
 exit code 2
 reedspindle: fleet.place: a position in peers was expected, or peer_listen among peers
 exit code 2
--- a/tests/snapshot.cpp
+++ b/tests/snapshot.cpp
@@ -1,6 +1,7 @@
-// Plays crashes and damage to the store: a disk that crashes before any of its steps, keeps what was synced
-// and an arbitrary part of the rest, fills up, or flips bits. Prints one line a kind of trouble with what was
-// found; the line says how often each outcome came, so that a store that loses anything changes it.
+// Tests SnapshotStore against crashes and disk damage. A simulated disk crashes before any of its operations,
+// keeps the synced data and an arbitrary part of the rest, runs out of space, or has truncated files and
+// flipped bits. Real writer processes are killed as well. Prints one line for each kind of fault with the
+// outcomes, so that a store that loses or misreads a state changes the output.
 #include <fmt/format.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -18,8 +19,8 @@
 
 struct Crash {};
 
-// What lasts of a crash: synced bytes under synced names; unsynced writes are cut anywhere, unsynced renames
-// and removals took place or not.
+// A simulated disk. A crash keeps synced content and synced names; an unsynced write is truncated at an
+// arbitrary byte, and unsynced renames and removals either all took effect or none did.
 class ScriptedDisk final : public Disk {
  public:
   struct File {
@@ -68,7 +69,7 @@
     step();
     names_.erase(name);
   }
-  // The machine comes back with what lasts, and with any part of what does not.
+  // Restarts the machine: durable data is kept, and an arbitrary part of the rest.
   void come_back() {
     if (chance() % 2) {
       lasting_ = names_;
@@ -93,8 +94,8 @@
 
 std::string state_of(int number) { return fmt::format("state {} {}", number, std::string(number * 7, 'x')); }
 
-// A crash before each step of the third save; the state found has to be the second or the third, never
-// another, and the save after it goes through.
+// Crashes before each disk operation of the third save. The state loaded afterwards must be the second or the
+// third, and the next save must succeed.
 void crashes() {
   int second = 0;
   int third = 0;
@@ -118,7 +119,7 @@
       second += loaded.state == state_of(2);
       third += loaded.state == state_of(3);
       wrong += loaded.state != state_of(2) && loaded.state != state_of(3);
-      // Done without a crash, it must be there.
+      // A save takes four operations. With that many allowed it completes, and its state must be loaded.
       wrong += steps >= 4 && loaded.state != state_of(3);
       reader.save(state_of(4));
       wrong += SnapshotStore(disk).load().state != state_of(4);
@@ -128,7 +129,8 @@
             << ", some the new one " << (third > 0 ? "yes" : "no") << ", wrong " << wrong << '\n';
 }
 
-// The newest file cut at every byte, and each of its bits flipped: the one before is found, and it is said.
+// Truncates the newest file at every byte and flips each of its bits. Each time the previous generation must
+// be loaded and the damaged file reported.
 void damage() {
   ScriptedDisk disk;
   SnapshotStore writer(disk);
@@ -172,6 +174,8 @@
       }() << '\n';
 }
 
+// Fails a save for lack of space. The previous state must stay loadable, and a save must succeed once there
+// is space again.
 void full_disk() {
   ScriptedDisk disk;
   SnapshotStore store(disk);
@@ -192,8 +196,8 @@
             << (SnapshotStore(disk).load().state == state_of(2) ? "the new one" : "another") << '\n';
 }
 
-// A real process on a real folder, killed at any moment of its writing: what it said was saved, or a later
-// one, is found.
+// Kills a real process at an arbitrary moment while it saves to a real directory. The generation loaded
+// afterwards must be the last one that the process reported as saved, or the one after it.
 void kills(const std::string& folder) {
   int wrong = 0;
   for (int round = 0; round < 20; ++round) {
@@ -216,7 +220,7 @@
     close(said[1]);
     std::uint64_t last = 0;
     std::uint64_t read_one = 0;
-    const int until = 1 + round;  // saves it lives through at least
+    const int until = 1 + round;  // minimum number of saves before the kill
     for (int count = 0; count < until && read(said[0], &read_one, sizeof read_one) == sizeof read_one;
          ++count) {
       last = read_one;
