--- a/tests/snapshot.cpp
+++ b/tests/snapshot.cpp
@@ -24,62 +24,62 @@
 class ScriptedDisk final : public Disk {
  public:
   struct File {
-    std::string now, lasting;
+    std::string current, durable;
   };
-  std::map<std::string, std::shared_ptr<File>> names_, lasting_;
+  std::map<std::string, std::shared_ptr<File>> files_, durable_;
   long steps_left = 1'000'000;
-  std::size_t room = 1 << 20;
-  std::minstd_rand chance{1};
+  std::size_t free_bytes = 1 << 20;
+  std::minstd_rand random{1};
 
   std::vector<std::string> names() override {
     std::vector<std::string> all;
-    for (const auto& [name, file] : names_) {
+    for (const auto& [name, file] : files_) {
       all.push_back(name);
     }
     return all;
   }
-  std::optional<std::string> read(const std::string& name, std::size_t /*most*/) override {
-    return names_.at(name)->now;
+  std::optional<std::string> read(const std::string& name, std::size_t /*max_bytes*/) override {
+    return files_.at(name)->current;
   }
   void write(const std::string& name, std::string_view bytes) override {
-    auto& file = names_[name];
+    auto& file = files_[name];
     if (!file) {
       file = std::make_shared<File>();
     }
-    file->now = bytes.substr(0, room);
+    file->current = bytes.substr(0, free_bytes);
     step();
-    if (bytes.size() > room) {
+    if (bytes.size() > free_bytes) {
       throw DiskError("write: no space left");
     }
   }
   void sync(const std::string& name) override {
     step();
-    names_.at(name)->lasting = names_.at(name)->now;
+    files_.at(name)->durable = files_.at(name)->current;
   }
   void rename(const std::string& from, const std::string& to) override {
     step();
-    names_[to] = names_.at(from);
-    names_.erase(from);
+    files_[to] = files_.at(from);
+    files_.erase(from);
   }
   void sync_directory() override {
     step();
-    lasting_ = names_;
+    durable_ = files_;
   }
   void remove(const std::string& name) override {
     step();
-    names_.erase(name);
+    files_.erase(name);
   }
   // Restarts the machine: durable data is kept, and an arbitrary part of the rest.
-  void come_back() {
-    if (chance() % 2) {
-      lasting_ = names_;
+  void restart() {
+    if (random() % 2) {
+      durable_ = files_;
     }
-    names_ = lasting_;
-    for (auto& [name, file] : names_) {
-      if (file->now != file->lasting) {
-        file->now = file->now.substr(0, chance() % (file->now.size() + 1));
+    files_ = durable_;
+    for (auto& [name, file] : files_) {
+      if (file->current != file->durable) {
+        file->current = file->current.substr(0, random() % (file->current.size() + 1));
       }
-      file->lasting = file->now;
+      file->durable = file->current;
     }
     steps_left = 1'000'000;
   }
@@ -103,7 +103,7 @@
   for (long steps = 0; steps < 6; ++steps) {
     for (unsigned seed = 1; seed <= 200; ++seed) {
       ScriptedDisk disk;
-      disk.chance.seed(seed);
+      disk.random.seed(seed);
       SnapshotStore writer(disk);
       writer.load();
       writer.save(state_of(1));
@@ -113,7 +113,7 @@
         writer.save(state_of(3));
       } catch (const Crash&) {
       }
-      disk.come_back();
+      disk.restart();
       SnapshotStore reader(disk);
       const LoadResult loaded = reader.load();
       second += loaded.state == state_of(2);
@@ -138,16 +138,16 @@
   writer.save(state_of(1));
   writer.save(state_of(2));
   const std::string newest = disk.names().back();
-  const std::string whole = disk.names_.at(newest)->now;
+  const std::string whole = disk.files_.at(newest)->current;
   int cut = 0;
   int flipped = 0;
   for (std::size_t at = 0; at < whole.size(); ++at) {
-    disk.names_.at(newest)->now = whole.substr(0, at);
+    disk.files_.at(newest)->current = whole.substr(0, at);
     const LoadResult loaded = SnapshotStore(disk).load();
     cut += loaded.state == state_of(1) && loaded.damaged.size() == 1;
     for (int bit = 0; bit < 8; ++bit) {
-      disk.names_.at(newest)->now = whole;
-      disk.names_.at(newest)->now[at] = static_cast<char>(whole[at] ^ (1 << bit));
+      disk.files_.at(newest)->current = whole;
+      disk.files_.at(newest)->current[at] = static_cast<char>(whole[at] ^ (1 << bit));
       const LoadResult again = SnapshotStore(disk).load();
       flipped += again.state == state_of(1) && again.damaged.size() == 1;
     }
@@ -155,14 +155,14 @@
   const int bytes = static_cast<int>(whole.size());
   std::cout << "cut at every byte: all found " << (cut == bytes ? "yes" : "no")
             << ", every bit flipped: all found " << (flipped == 8 * bytes ? "yes" : "no") << '\n';
-  std::string older = whole;
-  older[8] = 0;
-  disk.names_.at(newest)->now = older;
+  std::string other_format = whole;
+  other_format[8] = 0;
+  disk.files_.at(newest)->current = other_format;
   std::cout << "older format: " << SnapshotStore(disk).load().damaged.front().why << '\n';
-  disk.names_.at(newest)->now = disk.names_.begin()->second->now;
+  disk.files_.at(newest)->current = disk.files_.begin()->second->current;
   std::cout << "copied over: " << SnapshotStore(disk).load().damaged.front().why << '\n';
-  for (auto& [name, file] : disk.names_) {
-    file->now = "";
+  for (auto& [name, file] : disk.files_) {
+    file->current = "";
   }
   const LoadResult lost = SnapshotStore(disk).load();
   std::cout << "all damaged: state " << (lost.state ? "found" : "none") << ", said of " << lost.damaged.size()
@@ -181,7 +181,7 @@
   SnapshotStore store(disk);
   store.load();
   store.save(state_of(1));
-  disk.room = 20;
+  disk.free_bytes = 20;
   try {
     store.save(state_of(2));
     std::cout << "full disk: not noticed\n";
@@ -190,7 +190,7 @@
   }
   std::cout << ", found "
             << (SnapshotStore(disk).load().state == state_of(1) ? "the state before" : "another");
-  disk.room = 1 << 20;
+  disk.free_bytes = 1 << 20;
   store.save(state_of(2));
   std::cout << ", with room again "
             << (SnapshotStore(disk).load().state == state_of(2) ? "the new one" : "another") << '\n';
@@ -201,8 +201,8 @@
 void kills(const std::string& folder) {
   int wrong = 0;
   for (int round = 0; round < 20; ++round) {
-    int said[2];
-    if (pipe(said) != 0) {
+    int reported[2];
+    if (pipe(reported) != 0) {
       std::exit(1);
     }
     const pid_t child = fork();
@@ -212,25 +212,26 @@
       store.load();
       for (;;) {
         const std::uint64_t next = store.save(fmt::format("of {}", round));
-        if (write(said[1], &next, sizeof next) != sizeof next) {
+        if (write(reported[1], &next, sizeof next) != sizeof next) {
           _exit(1);
         }
       }
     }
-    close(said[1]);
+    close(reported[1]);
     std::uint64_t last = 0;
-    std::uint64_t read_one = 0;
-    const int until = 1 + round;  // minimum number of saves before the kill
-    for (int count = 0; count < until && read(said[0], &read_one, sizeof read_one) == sizeof read_one;
+    std::uint64_t generation = 0;
+    const int min_saves = 1 + round;  // minimum number of saves before the kill
+    for (int count = 0;
+         count < min_saves && read(reported[0], &generation, sizeof generation) == sizeof generation;
          ++count) {
-      last = read_one;
+      last = generation;
     }
     kill(child, SIGKILL);
     waitpid(child, nullptr, 0);
-    while (read(said[0], &read_one, sizeof read_one) == sizeof read_one) {
-      last = read_one;
+    while (read(reported[0], &generation, sizeof generation) == sizeof generation) {
+      last = generation;
     }
-    close(said[0]);
+    close(reported[0]);
     DirectoryDisk disk(folder);
     const LoadResult loaded = SnapshotStore(disk).load();
     wrong +=
