--- a/src/operators/command.cpp
+++ b/src/operators/command.cpp
@@ -6,7 +6,7 @@
 
 namespace reedspindle::operators {
 
-int command_line(const Program& program, int count, const char* const* words) {
+int command_line(const Program& program, int argc, const char* const* argv) {
   CLI::App app{program.what, program.name};
   app.set_version_flag("--version", program.name + " " + program.version);
   app.require_subcommand(1);
@@ -20,9 +20,9 @@
   CLI::App* check = command("check", "validate the file and report all errors in it");
   CLI::App* show = command("show", "print every value and whether it comes from the file or is a default");
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& fault) {
-    return app.exit(fault) == 0 ? 0 : 2;
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : 2;
   }
   try {
     const File file = read_file(path);
@@ -39,11 +39,11 @@
       program.run(file, path);
     }
     return 0;
-  } catch (const InvalidFile& faulty) {
-    std::cerr << faulty.what() << '\n';
+  } catch (const InvalidFile& error) {
+    std::cerr << error.what() << '\n';
     return 2;
-  } catch (const std::exception& fault) {
-    std::cerr << program.name << ": " << fault.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << program.name << ": " << error.what() << '\n';
     return 1;
   }
 }
--- a/src/operators/command.hpp
+++ b/src/operators/command.hpp
@@ -18,6 +18,6 @@
 
 // Runs the command and returns the exit code: 0 after success, which includes a requested stop; 2 if the
 // arguments or the operators' file are invalid; 1 after any other error.
-int command_line(const Program& program, int count, const char* const* words);
+int command_line(const Program& program, int argc, const char* const* argv);
 
 }  // namespace reedspindle::operators
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -22,18 +22,18 @@
 
 using Json = nlohmann::json;
 
-void show_into(const Json& schema, const Json& values, const std::string& path, const File& file,
-               std::vector<std::string>& lines) {
+void append_values(const Json& schema, const Json& values, const std::string& path, const File& file,
+                   std::vector<std::string>& lines) {
   if (values.is_array()) {
     for (std::size_t at = 0; at < values.size(); ++at) {
-      show_into(schema["items"], values[at], fmt::format("{}[{}]", path, at), file, lines);
+      append_values(schema["items"], values[at], fmt::format("{}[{}]", path, at), file, lines);
     }
     return;
   }
   if (values.is_object()) {
     for (const auto& [key, inner] : values.items()) {
-      show_into(schema["properties"][key], inner, path.empty() ? key : fmt::format("{}.{}", path, key), file,
-                lines);
+      append_values(schema["properties"][key], inner, path.empty() ? key : fmt::format("{}.{}", path, key),
+                    file, lines);
     }
     return;
   }
@@ -53,15 +53,15 @@
   throw InvalidFile(std::move(lines));
 }
 
-InvalidFile::InvalidFile(std::vector<std::string> of)
-    : std::runtime_error([&of] {
+InvalidFile::InvalidFile(std::vector<std::string> messages)
+    : std::runtime_error([&messages] {
         std::string text;
-        for (const std::string& line : of) {
+        for (const std::string& line : messages) {
           text += fmt::format("{}{}", text.empty() ? "" : "\n", line);
         }
         return text;
       }()),
-      lines(std::move(of)) {}
+      lines(std::move(messages)) {}
 
 File read_text(std::string_view text, const std::string& name, const Form& form) {
   if (text.size() > kLongestFile) {
@@ -71,8 +71,9 @@
   if (lines.empty()) {
     throw_invalid_file(name, {{1, fmt::format("a list was expected: ({} ...)", form.head)}});
   }
-  std::string copy(text);
-  const std::unique_ptr<sexp_t, void (*)(sexp_t*)> tree(parse_sexp(copy.data(), copy.size()), destroy_sexp);
+  std::string buffer(text);
+  const std::unique_ptr<sexp_t, void (*)(sexp_t*)> tree(parse_sexp(buffer.data(), buffer.size()),
+                                                        destroy_sexp);
   if (!tree) {
     throw_invalid_file(name, {{1, "it does not read as S-expressions"}});
   }
@@ -95,7 +96,7 @@
 
 std::vector<std::string> show(const File& file, const Form& form) {
   std::vector<std::string> lines;
-  show_into(Json::parse(form.schema), file.values, "", file, lines);
+  append_values(Json::parse(form.schema), file.values, "", file, lines);
   return lines;
 }
 
--- a/src/operators/units.cpp
+++ b/src/operators/units.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Unit {
-  std::string_view word;
+  std::string_view suffix;
   double factor;
 };
 constexpr Unit kTimes[] = {{"ms", 1}, {"s", 1000}, {"m", 60000}, {"h", 3600000}};
@@ -18,8 +18,8 @@
 template <std::size_t N>
 std::optional<double> parse_with_unit(std::string_view text, const Unit (&units)[N]) {
   for (const Unit& unit : units) {
-    if (text.ends_with(unit.word)) {
-      if (const auto value = parse_number(text.substr(0, text.size() - unit.word.size()))) {
+    if (text.ends_with(unit.suffix)) {
+      if (const auto value = parse_number(text.substr(0, text.size() - unit.suffix.size()))) {
         return *value * unit.factor;
       }
     }
@@ -31,8 +31,8 @@
 
 std::optional<double> parse_number(std::string_view text) {
   double value = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) {
     return std::nullopt;
   }
   return value;
--- a/src/snapshot/directory_disk.cpp
+++ b/src/snapshot/directory_disk.cpp
@@ -14,8 +14,8 @@
 namespace reedspindle::snapshot {
 namespace {
 
-[[noreturn]] void throw_disk_error(const std::string& what, const std::string& path) {
-  throw DiskError(fmt::format("{} {}: {}", what, path, std::strerror(errno)));
+[[noreturn]] void throw_disk_error(const std::string& operation, const std::string& path) {
+  throw DiskError(fmt::format("{} {}: {}", operation, path, std::strerror(errno)));
 }
 
 // Owns a file descriptor and closes it on destruction.
@@ -43,21 +43,21 @@
 
 }  // namespace
 
-DirectoryDisk::DirectoryDisk(std::string folder) : folder_(std::move(folder)) {
-  if (mkdir(folder_.c_str(), 0700) != 0 && errno != EEXIST) {
-    throw_disk_error("create directory", folder_);
+DirectoryDisk::DirectoryDisk(std::string directory) : directory_(std::move(directory)) {
+  if (mkdir(directory_.c_str(), 0700) != 0 && errno != EEXIST) {
+    throw_disk_error("create directory", directory_);
   }
 }
 
 std::vector<std::string> DirectoryDisk::names() {
   std::vector<std::string> names;
   std::error_code code;
-  for (auto at = std::filesystem::directory_iterator(folder_, code);
+  for (auto at = std::filesystem::directory_iterator(directory_, code);
        !code && at != std::filesystem::directory_iterator(); at.increment(code)) {
     names.push_back(at->path().filename().string());
   }
   if (code) {
-    throw DiskError(fmt::format("list {}: {}", folder_, code.message()));
+    throw DiskError(fmt::format("list {}: {}", directory_, code.message()));
   }
   return names;
 }
@@ -65,9 +65,9 @@
 std::optional<std::string> DirectoryDisk::read(const std::string& name, std::size_t max_bytes) {
   const OpenFile file(path(name), O_RDONLY);
   std::string bytes;
-  char part[65536];
+  char buffer[65536];
   for (;;) {
-    const ssize_t count = ::read(file.fd(), part, sizeof part);
+    const ssize_t count = ::read(file.fd(), buffer, sizeof buffer);
     if (count < 0 && errno == EINTR) {
       continue;
     }
@@ -77,7 +77,7 @@
     if (count == 0) {
       return bytes;
     }
-    bytes.append(part, static_cast<std::size_t>(count));
+    bytes.append(buffer, static_cast<std::size_t>(count));
     if (bytes.size() > max_bytes) {
       return std::nullopt;
     }
@@ -99,7 +99,7 @@
 }
 
 void DirectoryDisk::sync(const std::string& name) { OpenFile(path(name), O_WRONLY).sync(); }
-void DirectoryDisk::sync_directory() { OpenFile(folder_, O_RDONLY | O_DIRECTORY).sync(); }
+void DirectoryDisk::sync_directory() { OpenFile(directory_, O_RDONLY | O_DIRECTORY).sync(); }
 
 void DirectoryDisk::rename(const std::string& from, const std::string& to) {
   if (::rename(path(from).c_str(), path(to).c_str()) != 0) {
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t kKeptGenerations =
     3;  // one may be damaged by the disk and another by a crash of its writer
 
-std::string name_of(std::uint64_t generation) { return fmt::format("{}{:020}", kPrefix, generation); }
+std::string file_name(std::uint64_t generation) { return fmt::format("{}{:020}", kPrefix, generation); }
 
 std::optional<std::uint64_t> generation_of(std::string_view name) {
   if (!name.starts_with(kPrefix) || name.size() != kPrefix.size() + 20) {
@@ -54,7 +54,7 @@
 }
 
 // Returns why the bytes are not a valid file of this generation, or an empty string if they are.
-std::string damage_in(std::string_view bytes, std::uint64_t generation) {
+std::string find_damage(std::string_view bytes, std::uint64_t generation) {
   if (bytes.size() < kHeaderBytes + kChecksumBytes) {
     return "it is cut short";
   }
@@ -90,14 +90,14 @@
   LoadResult loaded;
   // Damaged files are included, so that a generation number is never reused.
   if (!generations.empty()) {
-    last_ = generations.front();
+    last_generation_ = generations.front();
   }
   for (const std::uint64_t generation : generations) {
-    const std::string name = name_of(generation);
+    const std::string name = file_name(generation);
     std::string why;
     try {
       std::optional<std::string> bytes = disk_.read(name, kMaxStateBytes + kHeaderBytes + kChecksumBytes);
-      why = bytes ? damage_in(*bytes, generation) : "it is longer than any valid snapshot";
+      why = bytes ? find_damage(*bytes, generation) : "it is longer than any valid snapshot";
       if (why.empty()) {
         loaded.generation = generation;
         loaded.state = bytes->substr(kHeaderBytes, bytes->size() - kHeaderBytes - kChecksumBytes);
@@ -115,18 +115,18 @@
   if (state.size() > kMaxStateBytes) {
     throw DiskError("the state is longer than 16 MiB and can't be saved");
   }
-  const std::uint64_t generation = last_ + 1;
+  const std::uint64_t generation = last_generation_ + 1;
   std::string bytes(kMagic);
   append_number(bytes, kFormat);
   append_number(bytes, generation);
   append_number(bytes, state.size());
   bytes += state;
   append_number(bytes, XXH3_64bits(bytes.data(), bytes.size()));
-  const std::string name = name_of(generation);
+  const std::string name = file_name(generation);
   disk_.write(std::string(kTemporaryName), bytes);
   disk_.sync(std::string(kTemporaryName));
   // Set before the rename: even if that fails, the number counts as used.
-  last_ = generation;
+  last_generation_ = generation;
   disk_.rename(std::string(kTemporaryName), name);
   disk_.sync_directory();
   if (generation > kKeptGenerations) {
--- a/src/snapshot/snapshot_store.hpp
+++ b/src/snapshot/snapshot_store.hpp
@@ -40,7 +40,7 @@
 // Accesses a directory of the file system. Creates it, accessible only to its owner, if it does not exist.
 class DirectoryDisk final : public Disk {
  public:
-  explicit DirectoryDisk(std::string folder);
+  explicit DirectoryDisk(std::string directory);
   std::vector<std::string> names() override;
   std::optional<std::string> read(const std::string& name, std::size_t max_bytes) override;
   void write(const std::string& name, std::string_view bytes) override;
@@ -50,8 +50,8 @@
   void remove(const std::string& name) override;
 
  private:
-  [[nodiscard]] std::string path(const std::string& name) const { return folder_ + "/" + name; }
-  std::string folder_;
+  [[nodiscard]] std::string path(const std::string& name) const { return directory_ + "/" + name; }
+  std::string directory_;
 };
 
 // A file that load() skipped, and the reason.
@@ -81,7 +81,7 @@
 
  private:
   Disk& disk_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_generation_ = 0;
 };
 
 }  // namespace reedspindle::snapshot
--- a/src/snapshot/snapshot_writer.hpp
+++ b/src/snapshot/snapshot_writer.hpp
@@ -17,7 +17,7 @@
 class SnapshotWriter {
  public:
   // Called on the writer's thread after each save, with the disk error, or an empty string on success.
-  using OnSaved = std::function<void(std::string fault)>;
+  using OnSaved = std::function<void(std::string error)>;
 
   SnapshotWriter(SnapshotStore& store, OnSaved on_saved)
       : store_(store), on_saved_(std::move(on_saved)), thread_([this] { run(); }) {}
@@ -36,7 +36,7 @@
   void save(std::string state) {
     {
       const std::lock_guard lock(mutex_);
-      next_ = std::move(state);
+      waiting_ = std::move(state);
     }
     wake_.notify_one();
   }
@@ -45,19 +45,19 @@
   void run() {
     std::unique_lock lock(mutex_);
     for (;;) {
-      wake_.wait(lock, [this] { return next_ || stopping_; });
-      if (!next_) {
+      wake_.wait(lock, [this] { return waiting_ || stopping_; });
+      if (!waiting_) {
         return;
       }
-      const std::string state = *std::exchange(next_, std::nullopt);
+      const std::string state = *std::exchange(waiting_, std::nullopt);
       lock.unlock();
-      std::string fault;
+      std::string error;
       try {
         store_.save(state);
-      } catch (const DiskError& reported) {
-        fault = reported.what();
+      } catch (const DiskError& disk_error) {
+        error = disk_error.what();
       }
-      on_saved_(std::move(fault));
+      on_saved_(std::move(error));
       lock.lock();
     }
   }
@@ -66,7 +66,7 @@
   const OnSaved on_saved_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::optional<std::string> next_;
+  std::optional<std::string> waiting_;
   bool stopping_ = false;
   std::thread thread_;  // declared last, since it uses all members above
 };
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -20,9 +20,9 @@
       continue;
     }
     std::string text;
-    std::string wanted;
+    std::string prefix;
     std::istringstream words(line.substr(4));
-    words >> wanted;
+    words >> prefix;
     for (std::string inner; std::getline(file, inner);) {
       std::cout << inner << '\n';
       if (inner == "end") {
@@ -31,15 +31,15 @@
       text += inner + '\n';
     }
     try {
-      for (const std::string& shown :
+      for (const std::string& value :
            reedspindle::operators::show(reedspindle::operators::read_text(text, "FILE"))) {
-        if (shown.find("default") == std::string::npos || (!wanted.empty() && shown.starts_with(wanted))) {
-          std::cout << "  " << shown << '\n';
+        if (value.find("default") == std::string::npos || (!prefix.empty() && value.starts_with(prefix))) {
+          std::cout << "  " << value << '\n';
         }
       }
-    } catch (const reedspindle::operators::InvalidFile& faulty) {
-      for (const std::string& one : faulty.lines) {
-        std::cout << "  " << one << '\n';
+    } catch (const reedspindle::operators::InvalidFile& error) {
+      for (const std::string& message : error.lines) {
+        std::cout << "  " << message << '\n';
       }
     }
   }
