--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -1,6 +1,7 @@
-// Reads a case file: texts of the operators' file between lines "file" and "end", and prints what each gives:
-// all its faults, or the values it states and those of the defaults that the line "file" names. Lines
-// starting with two blanks outside a text hold what is expected and are skipped.
+// Reads a case file with texts of operators' files, each between a line "file [PREFIX]" and a line "end".
+// Prints the result of each text: all its errors, or the values it sets and the defaults whose path starts
+// with PREFIX. Outside of the texts, lines that start with two spaces hold the expected output and are
+// skipped.
 #include <fstream>
 #include <iostream>
 #include <sstream>
@@ -19,9 +20,9 @@
       continue;
     }
     std::string text;
-    std::string wanted;
+    std::string prefix;
     std::istringstream words(line.substr(4));
-    words >> wanted;
+    words >> prefix;
     for (std::string inner; std::getline(file, inner);) {
       std::cout << inner << '\n';
       if (inner == "end") {
@@ -30,15 +31,15 @@
       text += inner + '\n';
     }
     try {
-      for (const std::string& shown :
+      for (const std::string& value :
            reedspindle::operators::show(reedspindle::operators::read_text(text, "FILE"))) {
-        if (shown.find("default") == std::string::npos || (!wanted.empty() && shown.starts_with(wanted))) {
-          std::cout << "  " << shown << '\n';
+        if (value.find("default") == std::string::npos || (!prefix.empty() && value.starts_with(prefix))) {
+          std::cout << "  " << value << '\n';
         }
       }
-    } catch (const reedspindle::operators::InvalidFile& faulty) {
-      for (const std::string& one : faulty.lines) {
-        std::cout << "  " << one << '\n';
+    } catch (const reedspindle::operators::InvalidFile& error) {
+      for (const std::string& message : error.lines) {
+        std::cout << "  " << message << '\n';
       }
     }
   }
