--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -63,7 +63,7 @@
   ServiceProcess service(wish.program, folder, "bench", world.discovery_address(),
                          "(proxies (most 5000)) (sockets 8192)");
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.says("ready, sending resources")) {
     return 1;
   }
   std::vector<std::string> names;
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -20,23 +20,28 @@
 
 namespace discovery = xds::discovery;
 
-constexpr int kMaxRequestBytes = 4 << 20;  // of a proxy; some times what the names it may ask for come to
-constexpr Millis kFirstRequestTimeout = 10000;    // for the first request of a stream
+// A few times the size of a request with as many names as a stream may subscribe to.
+constexpr int kMaxRequestBytes = 4 << 20;
+constexpr Millis kFirstRequestTimeout = 10000;    // within which a new stream must send its first request
 constexpr unsigned kCertificateCheckSeconds = 1;  // between checks of the certificate files
 
 }  // namespace
 
 class Server::Impl {
  public:
-  // One stream, of either variant of the protocol.
+  // One stream, in either variant of the protocol.
   class StreamLink {
    public:
     virtual ~StreamLink() = default;
-    virtual void read_on() = 0;
+    // Reads the next message. Called on the event loop.
+    virtual void read_next() = 0;
+    // Closes the stream; does nothing if it is closed already. Called on the event loop.
     virtual void finish(const grpc::Status& status) = 0;
+    // opened: the listener has accepted the stream and has not been told of its end.
     bool finished = false, opened = false;
   };
 
+  // gRPC's handler of one stream. Keeps itself alive until gRPC reports that it is done.
   template <typename Message, typename Response>
   class TypedStreamLink final : public grpc::ServerBidiReactor<Message, Response>,
                                 public StreamLink,
@@ -48,38 +53,39 @@
       link->variant_ = variant;
       link->id_ = {++server.last_id_};
       link->self_ = link;
-      TypedStreamLink* bare = link.get();
+      TypedStreamLink* raw = link.get();
       server.post([&server, id = link->id_, link] { server.links_[id] = link; });
-      bare->StartRead(&bare->in_);
-      return bare;
+      raw->StartRead(&raw->incoming_);
+      return raw;
     }
 
-    // On the loop.
-    void read_on() override { this->StartRead(&in_); }
+    // Called on the event loop.
+    void read_next() override { this->StartRead(&incoming_); }
     void finish(const grpc::Status& status) override {
       const std::lock_guard lock(mutex_);
       if (!std::exchange(finished, true)) {
         this->Finish(status);
       }
     }
-    // On the writers' threads; one at a time.
+    // Called on the encoder threads, for one response at a time.
     void write(Response response) {
       const std::lock_guard lock(mutex_);
       if (finished) {
         return;
       }
-      out_ = std::move(response);
-      this->StartWrite(&out_);
+      outgoing_ = std::move(response);
+      this->StartWrite(&outgoing_);
     }
 
-    // On gRPC's threads.
+    // Called on gRPC's threads.
     void OnReadDone(bool ok) override {
       if (!ok) {
         return server_->post([server = server_, id = id_] { server->on_stream_ended(id); });
       }
-      server_->post([server = server_, id = id_, variant = variant_, message = std::move(in_)]() mutable {
-        server->read(id, variant, std::move(message));
-      });
+      server_->post(
+          [server = server_, id = id_, variant = variant_, message = std::move(incoming_)]() mutable {
+            server->read(id, variant, std::move(message));
+          });
     }
     void OnWriteDone(bool ok) override {
       server_->post([server = server_, id = id_, ok] {
@@ -94,15 +100,16 @@
     Impl* server_ = nullptr;
     ProtocolVariant variant_ = ProtocolVariant::state_of_the_world;
     StreamId id_;
-    std::mutex mutex_;  // nothing is written once it has been finished
-    Message in_;
-    Response out_;
-    std::shared_ptr<TypedStreamLink> self_;  // until gRPC is done with it
+    std::mutex mutex_;  // guards finished; nothing may be written after Finish
+    Message incoming_;
+    Response outgoing_;
+    std::shared_ptr<TypedStreamLink> self_;  // reset when gRPC calls OnDone
   };
   using StateOfTheWorldStream = TypedStreamLink<discovery::DiscoveryRequest, discovery::DiscoveryResponse>;
   using IncrementalStream =
       TypedStreamLink<discovery::DeltaDiscoveryRequest, discovery::DeltaDiscoveryResponse>;
 
+  // The Aggregated Discovery Service of the xDS protocol.
   class DiscoveryService final : public discovery::AggregatedDiscoveryService::CallbackService {
    public:
     explicit DiscoveryService(Impl& server) : server_(server) {}
@@ -120,7 +127,7 @@
   };
 
   Impl(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener)
-      : loop_(loop), listener_(listener), encoder_(options.name, epoch), service_(*this), sweep_(loop) {
+      : loop_(loop), listener_(listener), encoder_(options.name, epoch), service_(*this), sweep_timer_(loop) {
     grpc::ServerBuilder builder;
     builder.AddListeningPort(options.listen, credentials(options), &port_);
     builder.RegisterService(&service_);
@@ -136,27 +143,29 @@
         grpc::ResourceQuota("proxies").Resize(options.config.memory_bytes).SetMaxThreads(16));
     server_ = builder.BuildAndStart();
     if (!server_ || port_ == 0) {
-      throw std::runtime_error(fmt::format("can't listen at {}", options.listen));
+      throw std::runtime_error(fmt::format("cannot listen on {}", options.listen));
     }
-    sweep();
+    close_silent_streams();
   }
 
   ~Impl() {
-    if (stopper_.joinable()) {
-      stopper_.join();
+    if (shutdown_thread_.joinable()) {
+      shutdown_thread_.join();
     }
-    writers_.join();
+    encoder_threads_.join();
     if (server_) {
       server_->Shutdown(std::chrono::system_clock::now());
     }
-    // What gRPC's threads still post is not run any more.
+    // Tasks that gRPC's threads post from here on are not run: the event loop has stopped.
   }
 
+  // Runs the task on the event loop.
   template <typename Task>
   void post(Task task) {
     asio::post(loop_, std::move(task));
   }
 
+  // Handles a message from a client.
   template <typename Message>
   void read(StreamId id, ProtocolVariant variant, Message message) {
     const auto found = links_.find(id);
@@ -175,7 +184,7 @@
     if (auto request = xds::decode_request(std::move(message))) {
       listener_.on_request(id, std::move(*request));
     }
-    link.read_on();
+    link.read_next();
   }
 
   void write(ProtocolVariant variant, ResponseToSend response) {
@@ -183,7 +192,7 @@
     if (found == links_.end() || found->second->finished) {
       return;
     }
-    asio::post(writers_, [this, variant, link = found->second, response = std::move(response)] {
+    asio::post(encoder_threads_, [this, variant, link = found->second, response = std::move(response)] {
       if (variant == ProtocolVariant::state_of_the_world) {
         static_cast<StateOfTheWorldStream&>(*link).write(encoder_.encode_state_of_the_world(response));
       } else {
@@ -192,16 +201,16 @@
     });
   }
 
-  void end(StreamId id, const std::string& why) {
+  void end(StreamId id, const std::string& reason) {
     const auto found = links_.find(id);
     if (found == links_.end()) {
       return;
     }
-    found->second->finish({grpc::StatusCode::RESOURCE_EXHAUSTED, why});
+    found->second->finish({grpc::StatusCode::RESOURCE_EXHAUSTED, reason});
     notify_closed(id, *found->second);
   }
 
-  // The client has ended its side, or the connection has broken.
+  // Called when the client has closed its side of the stream, or the connection is lost.
   void on_stream_ended(StreamId id) {
     const auto found = links_.find(id);
     if (found == links_.end()) {
@@ -213,12 +222,12 @@
 
   void stop() {
     stopping_ = true;
-    sweep_.cancel();
+    sweep_timer_.cancel();
     for (const auto& [id, link] : std::map(links_)) {
       link->finish({grpc::StatusCode::UNAVAILABLE, "the control service stops"});
       notify_closed(id, *link);
     }
-    stopper_ = std::thread([this] {
+    shutdown_thread_ = std::thread([this] {
       server_->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(500));
       post([this] { stopped_ = true; });
     });
@@ -234,24 +243,26 @@
     }
   }
 
-  // Ends streams that are opened and send no request: nobody else counts them.
-  void sweep() {
-    sweep_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstRequestTimeout)));
-    sweep_.async_wait([this](const asio::error_code& fault) {
-      if (fault || stopping_) {
+  // Closes streams that have sent no request between two runs of this check. The listener does not know of
+  // them, so they are not counted towards its limit on streams.
+  void close_silent_streams() {
+    sweep_timer_.expires_after(std::chrono::milliseconds(static_cast<int>(kFirstRequestTimeout)));
+    sweep_timer_.async_wait([this](const asio::error_code& error) {
+      if (error || stopping_) {
         return;
       }
       for (const auto& [id, link] : std::map(links_)) {
-        if (!link->opened && !link->finished && id <= seen_) {
+        if (!link->opened && !link->finished && id <= last_swept_id_) {
           link->finish({grpc::StatusCode::DEADLINE_EXCEEDED, "nothing was said"});
         }
       }
-      seen_ = {last_id_};
-      sweep();
+      last_swept_id_ = {last_id_};
+      close_silent_streams();
     });
   }
 
-  // Certificates are read again when their files change, so a new one needs neither restart nor signal.
+  // Certificate files are read again when they change, so a new certificate needs neither a restart nor a
+  // signal.
   static std::shared_ptr<grpc::ServerCredentials> credentials(const Options& options) {
     if (!options.tls) {
       return grpc::InsecureServerCredentials();
@@ -277,15 +288,15 @@
   xds::Encoder encoder_;
   DiscoveryService service_;
   std::atomic<std::uint64_t> last_id_ = 0;
-  StreamId seen_;
-  std::map<StreamId, std::shared_ptr<StreamLink>> links_;  // on the loop only
-  asio::steady_timer sweep_;
+  StreamId last_swept_id_;  // the newest stream at the last run of close_silent_streams
+  std::map<StreamId, std::shared_ptr<StreamLink>> links_;  // used on the event loop only
+  asio::steady_timer sweep_timer_;
   bool stopping_ = false;
-  // Responses are put into bytes here: on the loop a thousand of them would keep probes waiting beyond their
-  // time, and members that look down for that are more to write.
-  asio::thread_pool writers_{2};
+  // Encode and write responses. On the event loop, a thousand responses would delay probes beyond their
+  // timeout, and servers that seem unavailable for that reason would cause further responses.
+  asio::thread_pool encoder_threads_{2};
   std::unique_ptr<grpc::Server> server_;
-  std::thread stopper_;
+  std::thread shutdown_thread_;
 };
 
 Server::Server(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener)
@@ -294,7 +305,7 @@
 void Server::write(ProtocolVariant variant, ResponseToSend response) {
   impl_->write(variant, std::move(response));
 }
-void Server::end(StreamId id, const std::string& why) { impl_->end(id, why); }
+void Server::end(StreamId id, const std::string& reason) { impl_->end(id, reason); }
 void Server::stop() { impl_->stop(); }
 bool Server::stopped() const { return impl_->stopped_; }
 int Server::port() const { return impl_->port_; }
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -1,6 +1,6 @@
-// The gRPC server of the discovery streams: reads requests and writes responses on gRPC's own threads, and
-// posts every event to the service's loop, which alone decides. Each stream has at most one message in flight
-// in either direction.
+// The gRPC server for xDS discovery streams: reads requests on gRPC's threads, encodes and writes responses
+// on threads of its own, and posts every event to the service's event loop, where all decisions are made.
+// Each stream has at most one message in flight in either direction.
 #pragma once
 
 #include <asio.hpp>
@@ -15,29 +15,37 @@
 
 namespace reedspindle::control {
 
-// The events of streams; called on the loop.
+// Receives the events of streams, on the event loop.
 struct StreamListener {
   virtual ~StreamListener() = default;
-  // The first message of a stream. False: the stream is rejected.
+  // Called for the first message of a stream. Returns whether the stream is accepted.
   virtual bool on_stream_opened(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
                                 const std::string& node) = 0;
+  // Called for every message of a type that is served, the first one included.
   virtual void on_request(StreamId id, SubscriptionRequest request) = 0;
+  // The next response can be written.
   virtual void on_response_sent(StreamId id) = 0;
+  // Called once for each accepted stream, whichever side closed it.
   virtual void on_stream_closed(StreamId id) = 0;
 };
 
+// To be called on the event loop only.
 class Server {
  public:
-  // Throws std::runtime_error where it can't listen. The listener has to outlive the server.
+  // Starts to listen. Throws std::runtime_error if that fails. The listener has to outlive the server.
   Server(asio::io_context& loop, const Options& options, std::uint64_t epoch, StreamListener& listener);
   ~Server();
 
-  // On the loop.
+  // Writes a response to its stream, in the stream's protocol variant. on_response_sent must have reported
+  // the previous one. Does nothing if the stream is closed.
   void write(ProtocolVariant variant, ResponseToSend response);
-  void end(StreamId id, const std::string& why);
-  // Ends all streams; the loop has to run on until stopped.
+  // Closes the stream with status RESOURCE_EXHAUSTED and that message.
+  void end(StreamId id, const std::string& reason);
+  // Closes all streams with status UNAVAILABLE and shuts down. The event loop has to run until stopped()
+  // returns true.
   void stop();
   [[nodiscard]] bool stopped() const;
+  // Returns the port in use, also where the options left the choice to the system.
   [[nodiscard]] int port() const;
 
  private:
--- a/src/control/service.cpp
+++ b/src/control/service.cpp
@@ -9,23 +9,23 @@
 namespace reedspindle::control {
 namespace {
 
-constexpr int kMaxCallbacksPerTurn = 64;        // callbacks before the router is asked, as in the proxy
-constexpr Millis kPersistRetryDelay = 1000;     // after the disk has reported a fault
-constexpr Millis kSnapshotInterval = 20;        // between snapshots; a tenth of the health checks' interval
-constexpr Millis kStateLogInterval = 60000;     // between log lines of the service's state
+constexpr int kMaxCallbacksPerTurn = 64;        // run before the router is called, as in the proxy
+constexpr Millis kPersistRetryDelay = 1000;     // after a disk fault
+constexpr Millis kSnapshotInterval = 20;        // between snapshots; a tenth of the probe interval
+constexpr Millis kStateLogInterval = 60000;     // between log lines with the service's state
 constexpr std::size_t kMaxLoggedNodeName = 64;  // bytes
 
 RegistryUpdate registry_update(const net::EndpointList& list) {
-  RegistryUpdate told{list.kind, list.revision, {}};
-  for (const net::ListedEndpoint& store : list.servers) {
-    told.members.push_back({store.entry, config::format_endpoint(store.endpoint), store.zone});
+  RegistryUpdate update{list.kind, list.revision, {}};
+  for (const net::ListedEndpoint& server : list.servers) {
+    update.members.push_back({server.entry, config::format_endpoint(server.endpoint), server.zone});
   }
-  return told;
+  return update;
 }
 
 const char* describe(UpdateVerdict verdict) {
-  constexpr const char* words[] = {"none", "it is empty", "it has lost much at once",
-                                   "its revision is older"};
+  constexpr const char* words[] = {"none", "list is empty", "list removes too many servers at once",
+                                   "list revision is older"};
   return words[static_cast<int>(verdict)];
 }
 
@@ -44,39 +44,41 @@
       router_(make_router(options_.config.router_settings, options_.config.seed)),
       snapshot_builder_(options_.request_classes, options_.leases, options_.startup_timeout),
       subscriptions_(options_.streams, options_.name, epoch_),
-      members_(
+      server_connections_(
           io_, timers_, clock_, log_, options_.config, [](AttemptCompleted, std::string) {},
-          [this](ProbeCompleted ended) {
-            router_->enqueue(std::move(ended));
-            due_ = router_pending_ = true;
+          [this](ProbeCompleted result) {
+            router_->enqueue(std::move(result));
+            work_pending_ = router_pending_ = true;
           }),
-      endpoint_watch_(io_, timers_, clock_, log_, options_.config, discovery::Client::Delivery::per_list,
-                      [this](net::EndpointList list) { on_endpoint_list(std::move(list)); }),
+      discovery_client_(io_, timers_, clock_, log_, options_.config, discovery::Client::Delivery::per_list,
+                        [this](net::EndpointList list) { on_endpoint_list(std::move(list)); }),
       snapshot_writer_(
-          store_, [this](std::string fault) { asio::post(io_, [this, fault] { on_persisted(fault); }); }),
+          store_, [this](std::string error) { asio::post(io_, [this, error] { on_persisted(error); }); }),
       server_(io_, options_, epoch_, *this) {}
 
-// Restores the persisted registry and saves it again at once; returns the new generation as this start's
-// epoch. A generation's number is never used twice, even where its content is damaged, so versions never go
-// back.
+// Restores the saved registry and saves it again at once. Returns the number of the new generation, which is
+// the epoch of this start: the store never uses a generation's number twice, not even that of a damaged one,
+// so the versions of resources never go back.
 std::uint64_t Service::restore_registry() {
   log_.set_options(options_.log);
   const snapshot::LoadResult loaded = store_.load();
   for (const snapshot::DamagedFile& damage : loaded.damaged) {
-    log_.error("keep", "damaged", {{"file", damage.name}, {"why", damage.why}});
+    log_.error("snapshot", "snapshot file damaged", {{"file", damage.name}, {"error", damage.why}});
   }
   if (loaded.state) {
     try {
       registry_.restore(registry_state_in(*loaded.state));
-      log_.info("keep", "roster found",
+      log_.info("snapshot", "registry restored",
                 {{"generation", loaded.generation},
                  {"revision", registry_.revision()},
-                 {"members", registry_.members().size()}});
-    } catch (const InvalidInput& fault) {
-      log_.error("keep", "roster unreadable", {{"generation", loaded.generation}, {"why", fault.what()}});
+                 {"servers", registry_.members().size()}});
+    } catch (const InvalidInput& error) {
+      log_.error("snapshot", "saved registry unreadable",
+                 {{"generation", loaded.generation}, {"error", error.what()}});
     }
   } else if (loaded.damaged.empty()) {
-    log_.info("keep", "first start", {{"folder", options_.keep}});
+    log_.info("snapshot", "no snapshot found, starting with an empty registry",
+              {{"directory", options_.keep}});
   }
   persisted_state_ = text_of(registry_.persisted_state());
   return store_.save(persisted_state_);
@@ -88,56 +90,59 @@
     notify_router();
   }
   if (!options_.config.polls_endpoints) {
-    endpoint_watch_.start();
+    discovery_client_.start();
   }
-  log_.info("control", "listens",
-            {{"name", options_.name}, {"at", options_.listen}, {"port", server_.port()}, {"epoch", epoch_}});
+  log_.info(
+      "control", "listening",
+      {{"name", options_.name}, {"address", options_.listen}, {"port", server_.port()}, {"epoch", epoch_}});
   log_state();
   while (!server_.stopped()) {
-    if (!due_) {
+    if (!work_pending_) {
       io_.run_one();
     }
     int callbacks = 0;
     while (callbacks < kMaxCallbacksPerTurn && io_.poll_one() > 0) {
       ++callbacks;
     }
-    if (std::exchange(due_, false) && !stopping_) {
+    if (std::exchange(work_pending_, false) && !stopping_) {
       process_events();
     }
     log_.flush();
   }
-  log_.info("control", "stops", {{"name", options_.name}});
-  endpoint_watch_.stop();
-  members_.stop();
+  log_.info("control", "stopped", {{"name", options_.name}});
+  discovery_client_.stop();
+  server_connections_.stop();
 }
 
 void Service::on_endpoint_list(net::EndpointList list) {
   if (list.kind == EndpointListKind::failed) {
     router_->enqueue(EndpointListReceived{EndpointListKind::failed, {}});
-    due_ = router_pending_ = true;
+    work_pending_ = router_pending_ = true;
     return;
   }
-  const auto out = registry_.apply_update(registry_update(list), clock_.now());
-  for (const ServerId& member : out) {
-    log_.info("drains", "drains or is gone", {{"member", member.address}, {"revision", list.revision}});
+  const auto removed = registry_.apply_update(registry_update(list), clock_.now());
+  for (const ServerId& server : removed) {
+    log_.info("draining", "server draining or removed",
+              {{"server", server.address}, {"revision", list.revision}});
   }
   if (const UpdateVerdict verdict = registry_.verdict(); verdict != logged_verdict_) {
     logged_verdict_ = verdict;
     if (verdict != UpdateVerdict::accepted) {
-      log_.warn("roster", "list in doubt, the roster is held",
-                {{"why", describe(verdict)},
+      log_.warn("registry", "endpoint list suspect, keeping known servers",
+                {{"reason", describe(verdict)},
                  {"revision", list.revision},
-                 {"listed", list.servers.size()},
-                 {"held", registry_.members().size()}});
+                 {"listed_servers", list.servers.size()},
+                 {"known_servers", registry_.members().size()}});
     } else {
-      log_.info("roster", "list believed",
-                {{"revision", list.revision}, {"members", registry_.members().size()}});
+      log_.info("registry", "endpoint list accepted",
+                {{"revision", list.revision}, {"servers", registry_.members().size()}});
     }
   }
   notify_router();
 }
 
-// The router and the connections to stores follow the registry, never a suspect list.
+// Passes the registry's servers to the router and to the server connections. Neither is given the list from
+// discovery itself, which may be suspect.
 void Service::notify_router() {
   net::EndpointList list{EndpointListKind::complete, registry_.revision(), {}};
   for (const auto& [id, entry] : registry_.members()) {
@@ -145,34 +150,35 @@
       list.servers.push_back({entry.listed, entry.zone, *endpoint});
     }
   }
-  members_.apply_endpoint_list(list);
+  server_connections_.apply_endpoint_list(list);
   router_->enqueue(registry_.endpoint_list());
-  due_ = router_pending_ = registry_changed_ = true;
+  work_pending_ = router_pending_ = registry_changed_ = true;
 }
 
 void Service::process_events() {
   const Millis now = clock_.now();
-  if (const auto ask = registry_.poll_at(); ask && now >= *ask) {
+  if (const auto poll_at = registry_.poll_at(); poll_at && now >= *poll_at) {
     registry_.on_poll_sent(now);
-    endpoint_watch_.request_full_list();
+    discovery_client_.request_full_list();
   }
   if (std::exchange(router_pending_, false)) {
     for (const Decision& decision : router_->process(now)) {
-      std::visit([this](const auto& taken) { execute(taken); }, decision);
+      std::visit([this](const auto& one) { execute(one); }, decision);
     }
   }
-  const bool listed = registry_changed_;
+  const bool save_registry = registry_changed_;
   send_responses(now);
-  // After the responses: clients with a newer list than a service has keep what they have, so a crash in
-  // between does not bring a draining server back.
-  if (listed) {
+  // The registry is saved after the responses, which are urgent. A crash in between does not bring a draining
+  // server back: a client with a newer list than the service's keeps the resources that it has.
+  if (save_registry) {
     persist_registry();
   }
 }
 
 void Service::send_responses(Millis now) {
-  // At once after a list, since draining can't wait; else at an interval, so that the health checks of
-  // hundreds of servers don't cause as many snapshots.
+  // Snapshots are built at once after an endpoint list, since draining servers must be announced without
+  // delay. Otherwise they are built at an interval, so that the probes of hundreds of servers don't cause as
+  // many snapshots.
   const std::set<ClientCapabilities> capabilities = subscriptions_.capabilities();
   if (registry_changed_ || capabilities != snapshot_capabilities_ ||
       now - snapshot_built_at_ >= kSnapshotInterval) {
@@ -184,21 +190,23 @@
   wake_at(snapshot_built_at_ + kSnapshotInterval);
   if (!was_ready_ && snapshot_builder_.ready()) {
     was_ready_ = true;
-    log_.info("control", "hands out",
-              {{"members", registry_.members().size()}, {"revision", registry_.revision()}});
+    log_.info("control", "ready, sending resources",
+              {{"servers", registry_.members().size()}, {"revision", registry_.revision()}});
   }
-  for (const StreamAction& act : subscriptions_.collect_actions(now)) {
-    std::visit([this](const auto& taken) { execute(taken); }, act);
+  for (const StreamAction& action : subscriptions_.collect_actions(now)) {
+    std::visit([this](const auto& one) { execute(one); }, action);
   }
-  // Leases expire and lists are polled by time alone; the router's own timers are more frequent.
+  // Lease renewals and polls of discovery depend on time alone, so the loop has to wake up for them. The
+  // router sets its own timers.
   if (const auto deadline = subscriptions_.next_deadline()) {
     wake_at(*deadline);
   }
-  if (const auto ask = registry_.poll_at()) {
-    wake_at(*ask);
+  if (const auto poll_at = registry_.poll_at()) {
+    wake_at(*poll_at);
   }
 }
 
+// Calls process_events at that time at the latest; an earlier wake-up stays.
 void Service::wake_at(Millis at) {
   if (wake_ && wake_time_ <= at) {
     return;
@@ -207,10 +215,11 @@
   wake_time_ = at;
   wake_ = timers_.set(at, [this] {
     wake_.reset();
-    due_ = true;
+    work_pending_ = true;
   });
 }
 
+// Saves the registry if its state has changed since the last save.
 void Service::persist_registry() {
   std::string text = text_of(registry_.persisted_state());
   if (text == persisted_state_) {
@@ -220,20 +229,21 @@
   snapshot_writer_.save(std::move(text));
 }
 
-void Service::on_persisted(const std::string& fault) {
-  if (fault.empty()) {
+// An empty error stands for success.
+void Service::on_persisted(const std::string& error) {
+  if (error.empty()) {
     return;
   }
-  log_.error("keep", "not kept, tried again", {{"why", fault}});
+  log_.error("snapshot", "registry save failed, will retry", {{"error", error}});
   timers_.set(clock_.now() + kPersistRetryDelay, [this] { snapshot_writer_.save(persisted_state_); });
 }
 
 void Service::wait_for_signals() {
-  signals_.async_wait([this](const asio::error_code& fault, int signal) {
-    if (fault) {
+  signals_.async_wait([this](const asio::error_code& error, int signal) {
+    if (error) {
       return;
     }
-    log_.info("control", "told to stop", {{"signal", signal}});
+    log_.info("control", "shutdown started", {{"signal", signal}});
     if (!std::exchange(stopping_, true)) {
       server_.stop();
     }
@@ -245,74 +255,78 @@
   const Subscriptions::Counts& counts = subscriptions_.counts();
   log_.info("control", "state",
             {{"streams", subscriptions_.size()},
-             {"members", registry_.members().size()},
+             {"servers", registry_.members().size()},
              {"revision", registry_.revision()},
              {"responses", counts.responses},
-             {"urgent", counts.urgent},
-             {"taken", counts.acknowledged},
-             {"turned_down", counts.rejected},
+             {"urgent_responses", counts.urgent},
+             {"acknowledged", counts.acknowledged},
+             {"rejected", counts.rejected},
              {"stale_nonces", counts.stale_nonces},
-             {"ended", counts.ended}});
+             {"closed_streams", counts.ended}});
   timers_.set(clock_.now() + kStateLogInterval, [this] { log_state(); });
 }
 
 bool Service::on_stream_opened(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
                                const std::string& node) {
   if (stopping_ || !subscriptions_.open_stream(id, variant, capabilities, clock_.now())) {
-    log_.warn("proxies", "not taken",
-              {{"node", node.substr(0, kMaxLoggedNodeName)}, {"open", subscriptions_.size()}});
+    log_.warn("streams", "stream rejected",
+              {{"node", node.substr(0, kMaxLoggedNodeName)}, {"open_streams", subscriptions_.size()}});
     return false;
   }
-  proxies_[id] = {variant, node.substr(0, kMaxLoggedNodeName)};
-  log_.debug("proxies", "opened", {{"node", proxies_[id].node}, {"stream", id.number}});
-  due_ = true;
+  open_streams_[id] = {variant, node.substr(0, kMaxLoggedNodeName)};
+  log_.debug("streams", "stream opened", {{"node", open_streams_[id].node}, {"stream", id.number}});
+  work_pending_ = true;
   return true;
 }
 
 void Service::on_request(StreamId id, SubscriptionRequest request) {
   subscriptions_.on_request(id, request, clock_.now());
-  due_ = true;
+  work_pending_ = true;
 }
 
 void Service::on_response_sent(StreamId id) {
   subscriptions_.on_response_sent(id);
-  due_ = true;
+  work_pending_ = true;
 }
 
 void Service::on_stream_closed(StreamId id) {
   subscriptions_.close_stream(id);
-  proxies_.erase(id);
-  due_ = true;
+  open_streams_.erase(id);
+  work_pending_ = true;
 }
 
-void Service::execute(const StartProbe& decision) { members_.probe(decision.server, decision.timeout); }
+void Service::execute(const StartProbe& decision) {
+  server_connections_.probe(decision.server, decision.timeout);
+}
 void Service::execute(const SetTimer& decision) {
   timers_.set(decision.at, [this, timer = decision.timer] {
     router_->enqueue(TimerExpired{timer});
-    due_ = router_pending_ = true;
+    work_pending_ = router_pending_ = true;
   });
 }
-void Service::execute(const WatchEndpoints& /*unused*/) { endpoint_watch_.start(); }
-void Service::execute(const ForgetServer& decision) { members_.forget(decision.server); }
-void Service::execute(const LogMessage& decision) { log_.info("decisions", decision.text); }
+void Service::execute(const WatchEndpoints& /*unused*/) { discovery_client_.start(); }
+void Service::execute(const ForgetServer& decision) { server_connections_.forget(decision.server); }
+void Service::execute(const LogMessage& decision) { log_.info("routing", decision.text); }
 
 void Service::execute(const ResponseToSend& response) {
-  const auto proxy = proxies_.find(response.stream);
-  if (proxy == proxies_.end()) {
+  const auto client_stream = open_streams_.find(response.stream);
+  if (client_stream == open_streams_.end()) {
     return;
   }
-  server_.write(proxy->second.variant, response);
+  server_.write(client_stream->second.variant, response);
 }
 
-void Service::execute(const StreamToClose& end) {
-  log_.warn("proxies", "let go", {{"node", proxies_[end.stream].node}, {"why", end.why}});
-  server_.end(end.stream, end.why);
+void Service::execute(const StreamToClose& closure) {
+  log_.warn("streams", "stream closed",
+            {{"node", open_streams_[closure.stream].node}, {"reason", closure.why}});
+  server_.end(closure.stream, closure.why);
 }
 
 void Service::execute(const OperatorNotice& notice) {
-  const auto proxy = proxies_.find(notice.stream);
-  log_.warn("proxies", notice.event,
-            {{"node", proxy == proxies_.end() ? "" : proxy->second.node}, {"why", notice.detail}});
+  const auto client_stream = open_streams_.find(notice.stream);
+  log_.warn("streams", notice.event,
+            {{"node", client_stream == open_streams_.end() ? "" : client_stream->second.node},
+             {"detail", notice.detail}});
 }
 
 }  // namespace reedspindle::control
--- a/src/control/service.hpp
+++ b/src/control/service.hpp
@@ -1,6 +1,6 @@
-// The control service: feeds endpoint lists and health checks to the router and sends its view to clients as
-// xDS resources. One event loop decides; gRPC's threads and the snapshot writer's only post to it. The
-// service owns all parts of the process.
+// The control service: passes endpoint lists and probe results to the router, builds xDS resources from the
+// router's view of the servers and sends them to clients. All decisions are made on one event loop; the
+// threads of gRPC and of the snapshot writer only post to it.
 #pragma once
 
 #include <asio.hpp>
@@ -26,12 +26,14 @@
 
 namespace reedspindle::control {
 
+// Owns every component of the process and connects them.
 class Service : private StreamListener {
  public:
-  // Throws snapshot::DiskFault or std::runtime_error where it can't start.
+  // Restores the saved registry and starts the gRPC server. Throws snapshot::DiskFault or std::runtime_error
+  // if that fails.
   explicit Service(Options options);
 
-  // Runs until a signal stops it.
+  // Runs the event loop; returns after SIGTERM or SIGINT, once the server has stopped.
   void run();
 
  private:
@@ -47,7 +49,7 @@
   void process_events();
   void send_responses(Millis now);
   void persist_registry();
-  void on_persisted(const std::string& fault);
+  void on_persisted(const std::string& error);
   void wait_for_signals();
   void wake_at(Millis at);
   void log_state();
@@ -58,15 +60,15 @@
   void execute(const ForgetServer& decision);
   void execute(const LogMessage& decision);
   template <typename Op>
-  void execute(const Op& /*unused*/) {}  // the control service has no requests and no peers
+  void execute(const Op& /*unused*/) {}  // not applicable: the control service has no requests and no peers
 
   void execute(const ResponseToSend& response);
-  void execute(const StreamToClose& end);
+  void execute(const StreamToClose& closure);
   void execute(const OperatorNotice& notice);
 
-  struct Proxy {
+  struct OpenStream {
     ProtocolVariant variant;
-    std::string node;
+    std::string node;  // the client's node id, truncated for the log
   };
 
   const Options options_;
@@ -78,23 +80,24 @@
   snapshot::DirectoryDisk disk_;
   snapshot::SnapshotStore store_;
   EndpointRegistry registry_;
-  std::string
-      persisted_state_;        // what the store was told last; made before the start's number, which tells it
-  const std::uint64_t epoch_;  // the number of this start
+  // The registry state that was last passed to the store. Declared before epoch_, whose initializer sets it.
+  std::string persisted_state_;
+  const std::uint64_t epoch_;  // unique for each start of the service, and higher than all before
   std::unique_ptr<Router> router_;
   SnapshotBuilder snapshot_builder_;
   Subscriptions subscriptions_;
-  upstream::ConnectionPool members_;
-  discovery::Client endpoint_watch_;
-  std::map<StreamId, Proxy> proxies_;
+  upstream::ConnectionPool server_connections_;
+  discovery::Client discovery_client_;
+  std::map<StreamId, OpenStream> open_streams_;
   UpdateVerdict logged_verdict_ = UpdateVerdict::accepted;
-  // Since the last process_events: anything, an event for the router, a change of the registry.
-  bool due_ = true, router_pending_ = true, registry_changed_ = true;
-  Millis snapshot_built_at_ = 0;  // when the snapshots were built last
+  // Whether any work, an event for the router or a change of the registry is pending since the last
+  // process_events.
+  bool work_pending_ = true, router_pending_ = true, registry_changed_ = true;
+  Millis snapshot_built_at_ = 0;  // time of the last build
   bool stopping_ = false, was_ready_ = false;
-  std::set<ClientCapabilities> snapshot_capabilities_;
+  std::set<ClientCapabilities> snapshot_capabilities_;  // for which the last snapshots were built
   std::optional<net::Timers::Handle> wake_;
-  Millis wake_time_ = 0;
+  Millis wake_time_ = 0;  // when wake_ expires
   snapshot::SnapshotWriter snapshot_writer_;
   Server server_;
 };
--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -111,7 +111,7 @@
     }));
   }
   service.end(SIGTERM);
-  say("one told to stop says so", service.says("stops name=a"));
+  say("one told to stop says so", service.says("stopped name=a"));
 }
 
 // A drain heard while every stream is down, by the service killed and started again, with discovery silent:
@@ -144,7 +144,7 @@
   service.end(SIGKILL);
   world.change([](auto& states) { states[2].draining = true; });
   service.start();
-  say("heard by the next start", service.says("hands out"));
+  say("heard by the next start", service.says("ready, sending resources"));
   for (auto& proxy : proxies) {
     if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); })) {
       return say("a proxy still has it");
@@ -241,11 +241,11 @@
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.says("ready, sending resources")) {
     return say("not started");
   }
   world.change([](auto& states) { states[2].draining = true; });
-  if (!service.says("member=s-002")) {
+  if (!service.says("server draining or removed server=s-002")) {
     return say("not heard");
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
@@ -294,14 +294,14 @@
   say("told", proxy.wait(settled));
   world.discovery(Manner::empty_list);
   world.change([](auto&) {});
-  say("an empty list is doubted", service.says("why=\"it is empty\""));
+  say("an empty list is doubted", service.says("reason=\"list is empty\""));
   world.discovery(Manner::answers);
   world.change([](auto& states) { states[1].draining = true; });
   say("the whole list counts again",
       proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-001"); }));
   world.revision(0);
   world.change([](auto& states) { states[1].draining = false, states[2].draining = true; });
-  say("an older list is doubted", service.says("why=\"its revision is older\""));
+  say("an older list is doubted", service.says("reason=\"list revision is older\""));
   say("it takes away", proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
   say("it gives back", names(proxy, "group-0.any", "s-001"));
   world.revision(100);
@@ -319,7 +319,7 @@
   ServiceProcess one(program, folder, "a", world.discovery_address());
   ServiceProcess other(program, folder, "b", behind.discovery_address());
   one.start(), other.start();
-  if (!one.says("hands out") || !other.says("hands out")) {
+  if (!one.says("ready, sending resources") || !other.says("ready, sending resources")) {
     return say("not started");
   }
   for (const ProxyCan& can : {kWhole, kChanges}) {
@@ -372,11 +372,11 @@
       return say("the well one was not told");
     }
   }
-  say("the mute one is let go", service.says("node=mute why=\"it does not answer\""));
+  say("the mute one is let go", service.says("node=mute reason=\"it does not answer\""));
   const auto before = contrary.responses();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   say("a loop of rejections", contrary.responses() > before + 3);
-  say("its reason is told", service.says("turned down node=contrary why=\"turned down on purpose\""));
+  say("its reason is told", service.says("turned down node=contrary detail=\"turned down on purpose\""));
 }
 
 // Noise on the port, half a handshake, streams that say nothing, names by thousands.
@@ -413,13 +413,13 @@
     many.push_back(fmt::format("nobody-{}", i));
   }
   Proxy greedy("greedy", target, kChanges, many);
-  say("the greedy one is let go", service.says("node=greedy why=\"more than 100 names\""));
+  say("the greedy one is let go", service.says("node=greedy reason=\"more than 100 names\""));
   greedy.stop();
   std::vector<std::unique_ptr<Proxy>> crowd;
   for (int i = 0; i < 8; ++i) {
     crowd.push_back(std::make_unique<Proxy>(fmt::format("crowd-{}", i), target, kWhole, kNames));
   }
-  say("the crowd is limited", service.says("not taken"));
+  say("the crowd is limited", service.says("stream rejected"));
   world.change([](auto& states) { states[2].draining = true; });
   say("the well one is told all the same",
       well.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
@@ -550,7 +550,7 @@
           "(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") (proxies \"{0}/ours.pem\"))",
           folder));
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.says("ready, sending resources")) {
     return say("not started");
   }
   const auto proxy_of = [&](const std::string& name) {
