--- a/src/control/request_handler.cpp
+++ b/src/control/request_handler.cpp
@@ -8,14 +8,14 @@
 namespace reedspindle::control {
 namespace {
 
-// How long the next ordinary response waits after a rejection; doubles with each further one.
+// Delay of the next non-urgent response after a rejection. Doubles with each further one, up to the maximum.
 constexpr Millis kInitialBackoff = 1000;
 constexpr Millis kMaxBackoff = 60000;
-// How long a client that answered later than leases allow gets none.
+// For how long a client that acknowledged a lease too late gets no leases.
 constexpr Millis kLeaseSuspension = 30000;
-constexpr std::size_t kMaxReasonLength = 512;
+constexpr std::size_t kMaxReasonLength = 512;  // bytes of a rejection's reason that are logged
 
-// Whether the request asks for nothing but what the client is subscribed to already.
+// Returns whether the request leaves the subscribed names as they are, apart from any that it unsubscribes.
 bool repeats_names(const ClientStream& stream, const TypeSubscription& subscription,
                    const SubscriptionRequest& request) {
   if (stream.variant == ProtocolVariant::incremental) {
@@ -49,6 +49,7 @@
   subscribe(subscription, request);
 }
 
+// Returns false, and closes the stream, if a name is empty or too long.
 bool RequestHandler::check_names(const SubscriptionRequest& request) {
   for (const auto* names : {&request.names, &request.unsubscribed}) {
     for (const std::string& name : *names) {
@@ -61,9 +62,9 @@
   return true;
 }
 
-// False: the request has to be ignored. An answer to a response that was answered already, or that another
-// stream sent, says nothing of this stream. In the state-of-the-world variant its names don't count either:
-// the answer to the newer response will repeat them.
+// Returns false if the request has to be ignored. A nonce of a response that was answered already, or that
+// was sent on another stream, acknowledges nothing. In the state-of-the-world variant the names of such a
+// request are ignored too: the answer to the newer response repeats them.
 bool RequestHandler::handle_nonce(TypeSubscription& subscription, const SubscriptionRequest& request) {
   const bool pending = std::ranges::any_of(
       subscription.unacknowledged,
@@ -77,14 +78,15 @@
   if (pending) {
     acknowledge(subscription, request);
   }
-  // Clusters that only older routes led to may be removed now.
+  // Clusters to which only earlier routes referred may be removed now.
   if (pending && request.type == ResourceType::routes) {
     stream_.of(ResourceType::clusters).complete_as_of = 0;
   }
   return true;
 }
 
-// A client answers responses in the order they came; an answer acknowledges those before it, too.
+// A client answers responses in the order in which they were sent, so an answer also acknowledges all
+// responses before it.
 void RequestHandler::acknowledge(TypeSubscription& subscription, const SubscriptionRequest& request) {
   bool last = false;
   while (!last && !subscription.unacknowledged.empty()) {
@@ -100,7 +102,8 @@
       subscription.backoff = std::clamp(subscription.backoff * 2, kInitialBackoff, kMaxBackoff);
       subscription.backoff_until = now_ + subscription.backoff;
       subscription.complete_as_of = 0;
-      context_.notices.push_back({id_, "turned down", request.rejection_reason->substr(0, kMaxReasonLength)});
+      context_.notices.push_back(
+          {id_, "response rejected", request.rejection_reason->substr(0, kMaxReasonLength)});
     } else if (last) {
       subscription.backoff = 0;
       subscription.backoff_until = 0;
@@ -109,6 +112,7 @@
   }
 }
 
+// Records for each resource of the response that the client has accepted or rejected it.
 void RequestHandler::record_answer(TypeSubscription& subscription, const PendingResponse& response,
                                    bool accepted) {
   for (const auto& [name, resource] : response.sent) {
@@ -128,22 +132,25 @@
   }
 }
 
-// A response that took longer to be answered than leases allow for shows a path on which a time to live
-// starts too late, so that data would be used beyond its bound. The cost: a client that is slow to answer,
-// though it reads at once, sends its reads to the primary for a while.
+// Suspends leases for a client that took longer to acknowledge a lease than the leases allow for. On such a
+// path the client's time to live starts too late, so it would use a replica whose data is older than the
+// bound. The cost: a client that reads responses at once but is slow to acknowledge them sends its reads to
+// the primary until the suspension ends.
 void RequestHandler::check_response_delay(Millis delay) {
   if (delay > context_.bounds.transit && stream_.declared_capabilities.expiry == Expiry::time_to_live) {
     stream_.leases_disabled_until = now_ + kLeaseSuspension;
   }
 }
 
+// Records which endpoint list the client is known to have, and whether it got it from this service.
 void RequestHandler::note_known_version(const Version& version) {
   stream_.required_revision = std::max(stream_.required_revision, version.revision);
   stream_.is_reconnecting |= version.service == context_.service;
 }
 
-// What a client brings from an earlier stream counts as acknowledged where it is this service's newest
-// version; unknown names are remembered, so that the client is notified of their removal.
+// Imports the versions that a client has from an earlier stream. A resource counts as acknowledged if the
+// client has this service's newest version of it. Names that the service does not know are recorded, so that
+// the client is notified of their removal.
 void RequestHandler::import_known_versions(TypeSubscription& subscription,
                                            const SubscriptionRequest& request) {
   if (subscription.requested) {
@@ -175,6 +182,7 @@
   }
 }
 
+// Changes the subscribed names; closes the stream if there are too many.
 void RequestHandler::subscribe(TypeSubscription& subscription, const SubscriptionRequest& request) {
   const bool first = !std::exchange(subscription.requested, true);
   if (!first && request.unsubscribed.empty() && repeats_names(stream_, subscription, request)) {
@@ -191,22 +199,23 @@
   }
 }
 
-// State of the world: a request lists all names.
+// Handles the names of a state-of-the-world request, which lists all subscribed names.
 void RequestHandler::replace_names(TypeSubscription& subscription, const SubscriptionRequest& request,
                                    bool first) {
   std::set<std::string> names(request.names.begin(), request.names.end());
-  // No names in the first request, and none since, stand for every resource; so does "*".
+  // The client subscribes to every resource with "*", or with no names in its first request and none since.
   const bool star = names.erase("*") > 0;
   subscription.wildcard = star || (names.empty() && (first || subscription.wildcard));
   stream_.subscribed_names += names.size() - subscription.names.size();
-  // A name that is subscribed to again later has to be sent again.
+  // Resources that are no longer subscribed are forgotten, so that they are sent again if the client
+  // subscribes again.
   if (!subscription.wildcard) {
     std::erase_if(subscription.resources, [&names](const auto& item) { return !names.contains(item.first); });
   }
   subscription.names = std::move(names);
 }
 
-// Incremental: a request lists names to add and to remove.
+// Handles the names of an incremental request, which lists names to add and names to remove.
 void RequestHandler::change_names(TypeSubscription& subscription, const SubscriptionRequest& request,
                                   bool first) {
   if (first && request.names.empty()) {
@@ -219,7 +228,8 @@
     }
     stream_.subscribed_names += subscription.names.insert(name).second ? 1 : 0;
     subscription.reported_missing.erase(name);
-    // Subscribed to again: it is sent again, unless the client brought it from an earlier stream.
+    // A resource is sent again if the client subscribes again. The first request on the stream is different:
+    // the client may have the resource from an earlier stream.
     if (!first) {
       subscription.resources.erase(name);
     }
--- a/src/control/request_handler.hpp
+++ b/src/control/request_handler.hpp
@@ -1,4 +1,4 @@
-// Applies one request of a client to the state of its stream.
+// Applies a client's request to the state of its stream.
 #pragma once
 
 #include "control/client_stream.hpp"
@@ -6,15 +6,16 @@
 
 namespace reedspindle::control {
 
-// Lives for one request; holds references alone.
+// Created for one request; the arguments must outlive it.
 class RequestHandler {
  public:
-  // The snapshot is the one for the stream's capabilities; null where none is ready.
+  // `snapshot` is the one for the stream's capabilities, or null if none is ready.
   RequestHandler(const StreamContext& context, StreamId id, ClientStream& stream,
                  const ResourceSnapshot* snapshot, Millis now)
       : context_(context), id_(id), stream_(stream), snapshot_(snapshot), now_(now) {}
 
-  // A request beyond the bounds closes the stream.
+  // Handles the acknowledgement or rejection in the request and the changes of subscriptions. A request that
+  // exceeds the bounds sets the stream's close_reason.
   void handle(const SubscriptionRequest& request);
 
  private:
--- a/src/control/subscriptions.cpp
+++ b/src/control/subscriptions.cpp
@@ -11,10 +11,10 @@
 namespace reedspindle::control {
 namespace {
 
-// Responses of one call; the rest waits for the next, so that health checks don't wait for a thousand
-// clients.
+// Responses returned by one call of collect_actions. The others follow in later calls, so that probes don't
+// wait until a thousand clients have been served.
 constexpr std::size_t kMaxResponsesPerTurn = 64;
-// In which a reconnecting client sends all of its subscriptions: some round trips.
+// Time for a reconnecting client to send all of its subscriptions, which takes a few round trips.
 constexpr Millis kReconnectGrace = 50;
 
 }  // namespace
@@ -69,7 +69,7 @@
   return all;
 }
 
-// Only streams whose snapshot has changed are compared again.
+// Marks only those streams for a comparison whose snapshot has changed.
 void Subscriptions::update_snapshots(
     std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> snapshots) {
   std::erase_if(snapshots_, [&snapshots](const auto& item) { return !snapshots.contains(item.first); });
@@ -84,37 +84,39 @@
   }
 }
 
-// Null where no snapshot is ready for the stream's capabilities.
+// Returns the history of the stream's snapshot; null if no snapshot is ready for its capabilities.
 const SnapshotHistory* Subscriptions::snapshot_for(const ClientStream& stream) const {
   const auto found = snapshots_.find(stream.capabilities);
   return found == snapshots_.end() || !found->second.snapshot()->ready ? nullptr : &found->second;
 }
 
-// A client whose answers come late gets no leases for a while.
+// Withholds leases from a client for as long as RequestHandler::check_response_delay has suspended them, and
+// restores them afterwards. Resources are compared anew after each change.
 void Subscriptions::update_capabilities(StreamId id, ClientStream& stream, Millis now) {
-  const bool trusted = now >= stream.leases_disabled_until;
+  const bool leases_allowed = now >= stream.leases_disabled_until;
   ClientCapabilities capabilities = stream.declared_capabilities;
-  if (!trusted) {
+  if (!leases_allowed) {
     capabilities.expiry = Expiry::none;
     capabilities.checks_session_tokens = false;
   }
   if (capabilities != stream.capabilities) {
-    notices_.push_back({id, trusted ? "trusted with leases" : "not trusted with leases",
-                        trusted ? "" : "its answers come late"});
+    notices_.push_back({id, leases_allowed ? "leases restored" : "leases suspended",
+                        leases_allowed ? "" : "acknowledgements arrive too late"});
     stream.capabilities = capabilities;
     for (TypeSubscription& type : stream.types) {
       type.complete_as_of = 0;
     }
     stream.schedule_check(now);
   }
-  if (!trusted) {
+  if (!leases_allowed) {
     stream.schedule_check(stream.leases_disabled_until);
   }
 }
 
-// A client that comes from another service, or from before a crash, and has a newer endpoint list than ours
-// keeps what it has until our list is as new, so that a draining server isn't brought back; though not for
-// ever.
+// Returns whether the client has resources from a newer endpoint list than this service has, and so must not
+// be sent any. Such a client was connected to another instance of the service, or to this one before a crash.
+// It keeps its resources until the list here is as new, so that a draining server is not brought back, but no
+// longer than SubscriptionBounds::behind after the stream was opened.
 bool Subscriptions::has_newer_list(StreamId id, ClientStream& stream, long long revision, Millis now) {
   if (revision >= stream.required_revision) {
     return false;
@@ -125,11 +127,13 @@
     return true;
   }
   notices_.push_back(
-      {id, "older list told", fmt::format("ours {}, the proxy's {}", revision, stream.required_revision)});
+      {id, "sending an older endpoint list",
+       fmt::format("service revision {}, client revision {}", revision, stream.required_revision)});
   stream.required_revision = 0;
   return false;
 }
 
+// Returns the next response for the stream; none if nothing can be sent now.
 std::optional<ResponseToSend> Subscriptions::next_response(StreamId id, ClientStream& stream,
                                                            bool urgent_only, Millis now) {
   update_capabilities(id, stream, now);
@@ -138,8 +142,9 @@
     return std::nullopt;
   }
   ResponseBuilder builder(context(), id, stream, *history, urgent_only, now);
-  // A reconnecting client has clusters and routes already. What it must learn first is which endpoints were
-  // taken away meanwhile, so its endpoints go first, if it asks for any soon.
+  // A reconnecting client has clusters and routes already. The most urgent news for it is which endpoints
+  // have been removed in the meantime, so endpoints are sent first. Other types wait a short time for the
+  // client to subscribe to endpoints.
   const bool endpoints_first = stream.is_reconnecting &&
                                stream.of(ResourceType::endpoints).last_nonce.empty() &&
                                now < stream.opened_at + kReconnectGrace;
@@ -158,6 +163,7 @@
   return std::nullopt;
 }
 
+// Marks streams for a comparison whose time for it has come.
 void Subscriptions::mark_due_streams(Millis now) {
   for (auto& [id, stream] : streams_) {
     stream.needs_check |= stream.next_check && now >= *stream.next_check;
@@ -167,7 +173,7 @@
   }
 }
 
-// Responses that take an endpoint away go first, to every client.
+// Collects the responses that remove an endpoint, for all clients, before any other.
 void Subscriptions::collect_responses(std::vector<StreamAction>& actions, Millis now) {
   std::size_t sent = 0;
   for (const bool urgent : {true, false}) {
@@ -194,6 +200,7 @@
   }
 }
 
+// Collects each stream to close once, and computes next_deadline_ from those that stay open.
 void Subscriptions::collect_closures(std::vector<StreamAction>& actions, Millis now) {
   next_deadline_.reset();
   for (auto& [id, stream] : streams_) {
--- a/src/control/subscriptions.hpp
+++ b/src/control/subscriptions.hpp
@@ -1,5 +1,5 @@
 // The discovery streams of all clients: decides which responses to send, which streams to close and what to
-// report. Free of I/O and of the xDS messages' own types; called from one thread. Times in ms.
+// report to operators. Does no I/O and does not use the xDS message types. Times in ms.
 #pragma once
 
 #include <cstdint>
@@ -18,31 +18,36 @@
 
 namespace reedspindle::control {
 
+// Not thread-safe: all calls come from one thread.
 class Subscriptions {
  public:
   using Bounds = SubscriptionBounds;
   using Counts = SubscriptionCounts;
 
-  // The service's name and the epoch go into the versions of all responses.
+  // The service's name and the epoch become part of the versions in all responses.
   Subscriptions(Bounds bounds, std::string service, std::uint64_t epoch);
 
-  // False: there are too many streams.
+  // Returns false, and ignores the stream, if the limit on streams is reached.
   [[nodiscard]] bool open_stream(StreamId id, ProtocolVariant variant, ClientCapabilities capabilities,
                                  Millis now);
+  // Applies a client's request to its stream. The response comes from a later collect_actions.
   void on_request(StreamId id, const SubscriptionRequest& request, Millis now);
-  // The transport can take the next response of that stream.
+  // Tells that the transport has sent the last response of that stream and can take the next.
   void on_response_sent(StreamId id);
+  // Forgets a stream that has ended, whichever side closed it.
   void close_stream(StreamId id);
 
-  // The capabilities for which snapshots are needed.
+  // Returns the sets of client capabilities for which snapshots are needed.
   [[nodiscard]] std::set<ClientCapabilities> capabilities() const;
+  // Replaces the snapshots that responses are built from, one for each of capabilities().
   void update_snapshots(std::map<ClientCapabilities, std::shared_ptr<const ResourceSnapshot>> snapshots);
-  // What is to be done now: urgent responses first, then a bounded number of the others.
+  // Returns what is to be done now: responses, urgent ones first and a bounded number in all, then streams to
+  // close, then notices.
   [[nodiscard]] std::vector<StreamAction> collect_actions(Millis now);
-  // When collect_actions has to be called though nothing happens; none: no need.
+  // Returns when collect_actions must be called even if no event occurs before; none if not needed.
   [[nodiscard]] std::optional<Millis> next_deadline() const { return next_deadline_; }
 
-  // The number of open streams.
+  // Returns the number of open streams.
   [[nodiscard]] std::size_t size() const { return streams_.size(); }
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -62,8 +67,8 @@
   const std::uint64_t epoch_;
   std::map<StreamId, ClientStream> streams_;
   std::map<ClientCapabilities, SnapshotHistory> snapshots_;
-  std::uint64_t last_serial_ = 0;
-  std::vector<OperatorNotice> notices_;
+  std::uint64_t last_serial_ = 0;        // of the snapshot that changed last, of all capabilities
+  std::vector<OperatorNotice> notices_;  // since the last collect_actions
   Counts counts_;
   std::optional<Millis> next_deadline_;
 };
