--- a/src/control/response_builder.cpp
+++ b/src/control/response_builder.cpp
@@ -10,12 +10,13 @@
 namespace reedspindle::control {
 namespace {
 
-// Bounds the time to encode one response, so that an urgent one does not wait behind a huge one.
+// Limits the time that it takes to encode a response, so that a large one does not delay an urgent one.
 constexpr std::size_t kMaxResourcesPerResponse = 64;
-// Responses of a type that a client may leave unacknowledged: one in the ordinary course, more only while
-// each takes an endpoint away.
+// Responses of a type that may be unacknowledged at a time, as long as each removes an endpoint. Any other
+// response is sent only if none is unacknowledged.
 constexpr std::size_t kMaxUnacknowledged = 8;
 
+// Returns the clusters to which the routes refer; empty for resources of other types.
 std::set<std::string> clusters_in(const Resource& resource) {
   std::set<std::string> names;
   if (const auto* routes = std::get_if<Routes>(&resource.body)) {
@@ -70,7 +71,7 @@
   if (!(difference.changed || difference.renewed) || (full && response.items.empty())) {
     return std::nullopt;
   }
-  // A full state that was rejected is sent again only when it has changed.
+  // After a rejection, a response with the full state is sent again only if the state has changed.
   const std::uint64_t version = snapshot_.versions[static_cast<std::size_t>(type)];
   if (full && subscription.sent_version == version && subscription.backoff > 0) {
     return std::nullopt;
@@ -81,12 +82,15 @@
   return std::move(difference.response);
 }
 
-// Whether responses of that type list every resource, as the state-of-the-world variant demands.
+// Returns whether responses of that type must contain every resource, as the state-of-the-world variant
+// requires for clusters and listeners.
 bool ResponseBuilder::sends_full_state(ResourceType type) const {
   return stream_.variant == ProtocolVariant::state_of_the_world &&
          (type == ResourceType::clusters || type == ResourceType::listeners);
 }
 
+// Returns whether responses of that type have to wait: routes for their clusters, any type for the end of the
+// back-off after a rejection. Urgent responses never wait.
 bool ResponseBuilder::is_blocked(ResourceType type) {
   if (urgent_only_) {
     return false;
@@ -102,9 +106,9 @@
   return false;
 }
 
-// Make before break: routes wait until the client has acknowledged the clusters they lead to, and the
-// endpoints of those. Only for clients that subscribe to every cluster; others ask for clusters when they
-// have seen the routes.
+// Make before break: routes are sent only after the client has acknowledged the clusters to which they refer
+// and the endpoints of those clusters. This applies only to clients that subscribe to every cluster; others
+// subscribe to clusters after they have received the routes.
 bool ResponseBuilder::must_wait_for_clusters() const {
   const TypeSubscription& clusters = stream_.of(ResourceType::clusters);
   const TypeSubscription& endpoints = stream_.of(ResourceType::endpoints);
@@ -128,7 +132,7 @@
   return false;
 }
 
-// What the client should have under a name; null: nothing.
+// Returns the resource that the client should have under that name; null if none.
 ResourcePtr ResponseBuilder::wanted_resource(ResourceType type, const std::string& name) const {
   const TypeSubscription& subscription = stream_.of(type);
   if (!subscription.wildcard && !subscription.names.contains(name)) {
@@ -141,7 +145,9 @@
   return type == ResourceType::clusters && subscription.wildcard ? referenced_cluster(name) : nullptr;
 }
 
-// Break only after make: a removed cluster that the client's routes may still lead to stays as it was sent.
+// Returns a removed cluster, as it was sent, if the client's routes may still refer to it; null otherwise.
+// This is the second half of make before break: the cluster is removed only after the client has acknowledged
+// routes without it.
 ResourcePtr ResponseBuilder::referenced_cluster(const std::string& name) const {
   const ClientResource* cluster = find(stream_.of(ResourceType::clusters), name);
   if (!cluster || !cluster->sent) {
@@ -157,6 +163,7 @@
   return nullptr;
 }
 
+// Returns every name that may need a comparison: subscribed, sent before or, for a wildcard, in the snapshot.
 std::set<std::string> ResponseBuilder::relevant_names(ResourceType type) const {
   const TypeSubscription& subscription = stream_.of(type);
   std::set<std::string> names = subscription.names;
@@ -171,8 +178,8 @@
   return names;
 }
 
-// A name that doesn't exist is reported once, in the incremental variant also where the client never had it.
-// Resources that are only withheld still exist.
+// Returns whether the client must be told that no resource has that name. Each name is reported once; in the
+// incremental variant even if the client never had the resource. Resources that are only withheld do exist.
 bool ResponseBuilder::must_report_missing(const TypeSubscription& subscription,
                                           const std::string& name) const {
   if (snapshot_.withheld.contains(name)) {
@@ -185,6 +192,7 @@
          !subscription.reported_missing.contains(name);
 }
 
+// Adds the differences for those names to `difference`.
 void ResponseBuilder::compare(const std::set<std::string>& names, Difference& difference) const {
   const ResourceType type = difference.response.type;
   const TypeSubscription& subscription = stream_.of(type);
@@ -197,6 +205,9 @@
   }
 }
 
+// Adds the resource to the response if the client needs it: it is new or has changed, its lease can be
+// renewed, or the response contains the full state. `client` is null if the client has never been sent the
+// resource.
 void ResponseBuilder::compare_resource(const ResourcePtr& wanted, const ClientResource* client,
                                        Difference& difference) const {
   const bool full = sends_full_state(difference.response.type);
@@ -223,7 +234,8 @@
   difference.response.items.push_back({wanted, time_to_live, full || !renewed});
 }
 
-// The newest changes stay: of what a reconnecting client lacks, those are the ones it can't know.
+// Limits the number of resources and keeps those that changed last. A reconnecting client may know the others
+// from its earlier stream, but not these.
 void ResponseBuilder::truncate(Difference& difference) {
   auto& items = difference.response.items;
   if (items.size() <= kMaxResourcesPerResponse) {
@@ -235,6 +247,7 @@
   difference.truncated = true;
 }
 
+// Forgets the missing names, and in the incremental variant lists them in the response as removed.
 void ResponseBuilder::remove_missing(TypeSubscription& subscription, Difference& difference) {
   const bool incremental = stream_.variant == ProtocolVariant::incremental;
   std::vector<std::string>& removed = difference.response.removed;
@@ -251,6 +264,7 @@
   }
 }
 
+// Gives the response its nonce and records what it sends as unacknowledged.
 void ResponseBuilder::record_sent(TypeSubscription& subscription, ResponseToSend& response) {
   response.nonce = fmt::format("{}.{}", id_.number, ++stream_.nonces);
   subscription.last_nonce = response.nonce;
--- a/src/control/response_builder.hpp
+++ b/src/control/response_builder.hpp
@@ -1,4 +1,5 @@
-// The difference between what a stream has and what the snapshot wants it to have, as the next response.
+// Builds the next response for a stream from the difference between the resources that its client has and
+// those in the snapshot.
 #pragma once
 
 #include <optional>
@@ -11,10 +12,10 @@
 
 namespace reedspindle::control {
 
-// Lives for one look at one stream; holds references alone.
+// Created for one comparison of one stream; the arguments must outlive it.
 class ResponseBuilder {
  public:
-  // urgent_only: nothing but responses that take an endpoint away.
+  // urgent_only: builds only responses that remove an endpoint.
   ResponseBuilder(const StreamContext& context, StreamId id, ClientStream& stream,
                   const SnapshotHistory& history, bool urgent_only, Millis now)
       : context_(context),
@@ -25,16 +26,17 @@
         urgent_only_(urgent_only),
         now_(now) {}
 
-  // The next response of that type, recorded in the stream as sent; none where nothing is to be sent now.
+  // Returns the next response of that type and records it in the stream as sent. None if nothing is to be
+  // sent now.
   [[nodiscard]] std::optional<ResponseToSend> build(ResourceType type);
 
  private:
   struct Difference {
     ResponseToSend response;
-    std::vector<std::string> missing;  // names that the client has or asks for and that don't exist
-    bool changed = false;              // a resource is new or another
-    bool renewed = false;              // a time to live is longer
-    bool truncated = false;            // more is left for later responses
+    std::vector<std::string> missing;  // names that the client has or subscribes to, but that don't exist
+    bool changed = false;              // a resource is new or has changed
+    bool renewed = false;              // a time to live is extended
+    bool truncated = false;            // later responses have to send the rest
   };
 
   [[nodiscard]] bool sends_full_state(ResourceType type) const;
--- a/src/control/xds.cpp
+++ b/src/control/xds.cpp
@@ -29,16 +29,18 @@
                                      "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
                                      "type.googleapis.com/envoy.config.listener.v3.Listener",
                                      "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"};
-constexpr std::size_t kMaxCachedResources = 4096;  // resources; some times what a thousand groups have
+constexpr std::size_t kMaxCachedResources = 4096;  // a few times what a thousand groups have
 constexpr const char* kGroupHeader = "x-group";
 constexpr const char* kTypeHeader = "x-op-type";
 
+// Makes the client request the resource on the same aggregated stream.
 void set_ads_source(core::ConfigSource& source) {
   source.mutable_ads();
   source.set_resource_api_version(core::V3);
 }
 
-void encode(const Cluster& body, const Resource& resource, std::string& into) {
+// A cluster with fallback clusters becomes an aggregate cluster, any other one gets its endpoints by EDS.
+void encode(const Cluster& body, const Resource& resource, std::string& output) {
   cluster::Cluster message;
   message.set_name(resource.name);
   if (body.fallback_clusters.empty()) {
@@ -54,16 +56,17 @@
     message.set_lb_policy(cluster::Cluster::CLUSTER_PROVIDED);
   }
   message.mutable_connect_timeout()->set_seconds(1);
-  // Who drains or has gone is out at once: not merged with later updates, not kept for its health, not taken
-  // back because few others are left.
+  // The client must stop using draining and removed endpoints at once: the update is not merged with later
+  // ones, a removed endpoint is not kept while it is healthy, and the panic threshold does not bring
+  // endpoints back when few others are left.
   auto& common = *message.mutable_common_lb_config();
   common.mutable_healthy_panic_threshold()->set_value(0);
   common.mutable_update_merge_window()->set_seconds(0);
   message.set_ignore_health_on_host_removal(true);
-  message.SerializeToString(&into);
+  message.SerializeToString(&output);
 }
 
-// "10.1.0.18:6432" or "[::1]:6432"; port 0 where there is none.
+// Sets the address from text such as "10.1.0.18:6432" or "[::1]:6432"; the port is 0 if the text has none.
 void set_address(const std::string& text, core::SocketAddress& address) {
   const std::size_t colon = text.rfind(':');
   std::string_view host = std::string_view(text).substr(0, colon);
@@ -94,10 +97,11 @@
   row.set_health_status(health_status_of(e.health_status));
   row.mutable_load_balancing_weight()->set_value(e.weight);
   auto& fields = *(*row.mutable_metadata()->mutable_filter_metadata())[kMetadata].mutable_fields();
-  static const char* const hindrances[] = {"none", "drains", "gone", "down", "resting"};  // the wire's words
+  // The values of Unavailability as clients receive them.
+  static const char* const unavailability_names[] = {"none", "drains", "gone", "down", "resting"};
   fields["member"].set_string_value(e.server.address);
   fields["role"].set_string_value(e.primary ? "primary" : "replica");
-  fields["hindrance"].set_string_value(hindrances[static_cast<int>(e.unavailability)]);
+  fields["hindrance"].set_string_value(unavailability_names[static_cast<int>(e.unavailability)]);
   if (e.position >= 0) {
     fields["position_ms"].set_number_value(e.position);
   }
@@ -106,22 +110,23 @@
   }
 }
 
-void encode(const Assignment& body, const Resource& resource, std::string& into) {
+// Endpoints of the same rank and zone form a locality, with the rank as its priority.
+void encode(const Assignment& body, const Resource& resource, std::string& output) {
   endpoint::ClusterLoadAssignment message;
   message.set_cluster_name(resource.name);
-  struct Locality {
+  struct LocalityKey {
     int rank;
     std::string zone;
-    auto operator<=>(const Locality&) const = default;
+    auto operator<=>(const LocalityKey&) const = default;
   };
-  std::map<Locality, std::vector<const Endpoint*>> localities;
+  std::map<LocalityKey, std::vector<const Endpoint*>> localities;
   for (const Endpoint& e : body.endpoints) {
     localities[{e.rank, e.zone}].push_back(&e);
   }
-  for (const auto& [place, endpoints] : localities) {
+  for (const auto& [key, endpoints] : localities) {
     endpoint::LocalityLbEndpoints& locality = *message.add_endpoints();
-    locality.set_priority(static_cast<std::uint32_t>(place.rank));
-    locality.mutable_locality()->set_zone(place.zone);
+    locality.set_priority(static_cast<std::uint32_t>(key.rank));
+    locality.mutable_locality()->set_zone(key.zone);
     std::uint32_t weight = 0;
     for (const Endpoint* e : endpoints) {
       encode_endpoint(*e, *locality.add_lb_endpoints());
@@ -129,10 +134,11 @@
     }
     locality.mutable_load_balancing_weight()->set_value(weight);
   }
-  message.SerializeToString(&into);
+  message.SerializeToString(&output);
 }
 
-void encode(const Listener& body, const Resource& resource, std::string& into) {
+// An API listener, as gRPC clients use it: it binds no port.
+void encode(const Listener& body, const Resource& resource, std::string& output) {
   hcm::HttpConnectionManager manager;
   manager.set_stat_prefix(resource.name);
   manager.mutable_rds()->set_route_config_name(body.routes);
@@ -143,10 +149,11 @@
   listener::Listener message;
   message.set_name(resource.name);
   message.mutable_api_listener()->mutable_api_listener()->PackFrom(manager);
-  message.SerializeToString(&into);
+  message.SerializeToString(&output);
 }
 
-void encode(const Routes& body, const Resource& resource, std::string& into) {
+// Routes match the group and the request class in request headers.
+void encode(const Routes& body, const Resource& resource, std::string& output) {
   route::RouteConfiguration message;
   message.set_name(resource.name);
   route::VirtualHost& host = *message.add_virtual_hosts();
@@ -169,10 +176,10 @@
     match(kTypeHeader, one.request_class);
     row.mutable_route()->set_cluster(one.cluster);
   }
-  message.SerializeToString(&into);
+  message.SerializeToString(&output);
 }
 
-void set(google::protobuf::Duration& duration, Millis ms) {
+void set_duration(google::protobuf::Duration& duration, Millis ms) {
   const auto seconds = static_cast<std::int64_t>(ms / 1000);
   duration.set_seconds(seconds);
   duration.set_nanos(static_cast<std::int32_t>((ms - static_cast<double>(seconds) * 1000) * 1e6));
@@ -180,14 +187,14 @@
 
 template <typename Names>
 std::vector<std::string> move_names(Names& names) {
-  std::vector<std::string> taken;
+  std::vector<std::string> moved;
   for (std::string& name : names) {
-    taken.push_back(std::move(name));
+    moved.push_back(std::move(name));
   }
-  return taken;
+  return moved;
 }
 
-// What requests of both variants of the protocol share; none: of a type that is not served.
+// Decodes the fields that requests of both protocol variants share; none if the type is not served.
 template <typename Message>
 std::optional<SubscriptionRequest> decode_common(const Message& message) {
   const auto type = resource_type_of(message.type_url());
@@ -206,27 +213,28 @@
 }  // namespace
 
 std::optional<ResourceType> resource_type_of(const std::string& type_url) {
-  for (std::size_t kind = 0; kind < kResourceTypes; ++kind) {
-    if (type_url == kTypeUrls[kind]) {
-      return static_cast<ResourceType>(kind);
+  for (std::size_t type = 0; type < kResourceTypes; ++type) {
+    if (type_url == kTypeUrls[type]) {
+      return static_cast<ResourceType>(type);
     }
   }
   return std::nullopt;
 }
-const char* type_url(ResourceType kind) { return kTypeUrls[static_cast<std::size_t>(kind)]; }
+const char* type_url(ResourceType type) { return kTypeUrls[static_cast<std::size_t>(type)]; }
 
 ClientCapabilities capabilities_of(const core::Node& node) {
-  const auto can = [&node](const char* feature) {
+  const auto has_feature = [&node](const char* feature) {
     return std::ranges::find(node.client_features(), feature) != node.client_features().end();
   };
   const bool envoy = node.user_agent_name() == "envoy";
   ClientCapabilities capabilities;
-  capabilities.expiry = can(kStatedExpiryFeature)          ? Expiry::stated
-                        : can(kTimeToLiveFeature) || envoy ? Expiry::time_to_live
-                                                           : Expiry::none;
-  capabilities.uses_weights = can(kWeightsFeature) || envoy;
-  capabilities.checks_session_tokens = can(kTokensFeature);
-  // Its client turned string_match down up to 1.51, which is where we have met it; later ones read both.
+  capabilities.expiry = has_feature(kStatedExpiryFeature)          ? Expiry::stated
+                        : has_feature(kTimeToLiveFeature) || envoy ? Expiry::time_to_live
+                                                                   : Expiry::none;
+  capabilities.uses_weights = has_feature(kWeightsFeature) || envoy;
+  capabilities.checks_session_tokens = has_feature(kTokensFeature);
+  // gRPC clients up to 1.51, the version in which this was found, reject string_match. Later ones read both
+  // forms.
   capabilities.legacy_matchers = node.user_agent_name().starts_with("gRPC");
   return capabilities;
 }
@@ -254,34 +262,36 @@
   return request;
 }
 
-std::shared_ptr<const std::string> Encoder::encoded(const Resource& resource) {
+// Returns the resource's encoded body, from the cache or added to it.
+std::shared_ptr<const std::string> Encoder::encoded_bytes(const Resource& resource) {
   const std::lock_guard lock(mutex_);
-  const auto found = encoded_.find(resource.version);
-  if (found != encoded_.end()) {
+  const auto found = cache_.find(resource.version);
+  if (found != cache_.end()) {
     return found->second;
   }
-  while (encoded_.size() >= kMaxCachedResources) {
-    encoded_.erase(encoded_.begin());
+  while (cache_.size() >= kMaxCachedResources) {
+    cache_.erase(cache_.begin());
   }
   auto bytes = std::make_shared<std::string>();
   std::visit([&](const auto& body) { encode(body, resource, *bytes); }, resource.body);
-  return encoded_[resource.version] = std::move(bytes);
+  return cache_[resource.version] = std::move(bytes);
 }
 
-void Encoder::wrap(const ResponseToSend::Item& item, discovery::Resource& into) {
-  into.set_name(item.resource->name);
-  into.set_version(resource_version_text(*item.resource, epoch_, service_));
+// Fills the envelope of a resource: name, version, time to live, and the body unless this is a heartbeat.
+void Encoder::fill_resource(const ResponseToSend::Item& item, discovery::Resource& output) {
+  output.set_name(item.resource->name);
+  output.set_version(resource_version_text(*item.resource, epoch_, service_));
   if (item.time_to_live) {
-    set(*into.mutable_ttl(), *item.time_to_live);
+    set_duration(*output.mutable_ttl(), *item.time_to_live);
   }
   if (item.body) {
-    put(*item.resource, *into.mutable_resource());
+    fill_any(*item.resource, *output.mutable_resource());
   }
 }
 
-void Encoder::put(const Resource& resource, google::protobuf::Any& into) {
-  into.set_type_url(type_url(resource.type));
-  into.set_value(*encoded(resource));
+void Encoder::fill_any(const Resource& resource, google::protobuf::Any& output) {
+  output.set_type_url(type_url(resource.type));
+  output.set_value(*encoded_bytes(resource));
 }
 
 discovery::DiscoveryResponse Encoder::encode_state_of_the_world(const ResponseToSend& response) {
@@ -293,11 +303,11 @@
   for (const ResponseToSend::Item& item : response.items) {
     google::protobuf::Any& any = *message.add_resources();
     if (!item.time_to_live) {
-      put(*item.resource, any);
+      fill_any(*item.resource, any);
       continue;
     }
     discovery::Resource wrapped;
-    wrap(item, wrapped);
+    fill_resource(item, wrapped);
     any.PackFrom(wrapped);
   }
   return message;
@@ -310,7 +320,7 @@
   message.set_nonce(response.nonce);
   message.mutable_control_plane()->set_identifier(service_);
   for (const ResponseToSend::Item& item : response.items) {
-    wrap(item, *message.add_resources());
+    fill_resource(item, *message.add_resources());
   }
   for (const std::string& name : response.removed) {
     message.add_removed_resources(name);
