--- a/src/operators/reader.cpp
+++ b/src/operators/reader.cpp
@@ -65,44 +65,45 @@
       errors_.push_back({line, fmt::format("{}: a key was expected here", path.empty() ? "file" : path)});
       return skip(list->list);
     }
-    std::string full = path.empty() ? key : fmt::format("{}.{}", path, key);
-    const Json* of = nullptr;
+    std::string full_path = path.empty() ? key : fmt::format("{}.{}", path, key);
+    const Json* value_schema = nullptr;
     if (schema.contains("properties") && schema["properties"].contains(key)) {
-      of = &schema["properties"][key];
+      value_schema = &schema["properties"][key];
     }
-    if (!of) {
-      errors_.push_back({line, fmt::format("{}: unknown key", full)});
+    if (!value_schema) {
+      errors_.push_back({line, fmt::format("{}: unknown key", full_path)});
       return skip(list->list->next);
     }
-    Json* place = nullptr;
-    if ((*of)["type"] == "array") {
-      of = &(*of)["items"];
-      Json& rows = into[key];
-      if (rows.is_null()) {
-        rows = Json::array();
+    Json* value = nullptr;
+    if ((*value_schema)["type"] == "array") {
+      value_schema = &(*value_schema)["items"];
+      Json& items = into[key];
+      if (items.is_null()) {
+        items = Json::array();
       }
-      file_.lines.emplace(full, line);
-      full = fmt::format("{}[{}]", full, rows.size());
-      place = &rows.emplace_back();
+      file_.lines.emplace(full_path, line);
+      full_path = fmt::format("{}[{}]", full_path, items.size());
+      value = &items.emplace_back();
     } else {
       if (into.contains(key)) {
-        errors_.push_back({line, fmt::format("{}: is already set in line {}", full, file_.lines[full])});
+        errors_.push_back(
+            {line, fmt::format("{}: is already set in line {}", full_path, file_.lines[full_path])});
         return skip(list->list->next);
       }
-      place = &into[key];
+      value = &into[key];
     }
-    file_.lines[full] = line;
+    file_.lines[full_path] = line;
     const sexp_t* rest = list->list->next;
-    if ((*of)["type"] == "object") {
-      *place = Json::object();
-      return read_entries(rest, *of, *place, full);
+    if ((*value_schema)["type"] == "object") {
+      *value = Json::object();
+      return read_entries(rest, *value_schema, *value, full_path);
     }
     if (!rest || rest->next || rest->ty != SEXP_VALUE) {
-      errors_.push_back({line, fmt::format("{}: one value was expected", full)});
-      invalid_keys_.insert(full);
+      errors_.push_back({line, fmt::format("{}: one value was expected", full_path)});
+      invalid_keys_.insert(full_path);
       return skip(rest);
     }
-    *place = read_value(rest->val ? rest->val : "", *of, full, line);
+    *value = read_value(rest->val ? rest->val : "", *value_schema, full_path, line);
   }
 
   // Consumes the line numbers of lists that are not read, so that later lists get their own.
@@ -208,60 +209,60 @@
 
   // Returns what the schema expects at this place, as text for an error message.
   static std::optional<std::string> expectation(const Json& schema, const std::vector<std::string>& context) {
-    const Json* of = &schema;
+    const Json* value_schema = &schema;
     for (const std::string& part : context) {
       if (part.size() < 3 || part.front() != '[') {
         continue;
       }
       const std::string inner = part.substr(1, part.size() - 2);
-      if (of->contains("items")) {
-        of = &(*of)["items"];
-      } else if (of->contains("properties") && (*of)["properties"].contains(inner)) {
-        of = &(*of)["properties"][inner];
+      if (value_schema->contains("items")) {
+        value_schema = &(*value_schema)["items"];
+      } else if (value_schema->contains("properties") && (*value_schema)["properties"].contains(inner)) {
+        value_schema = &(*value_schema)["properties"][inner];
       } else {
         return std::nullopt;
       }
     }
-    if (of->contains("enum")) {
+    if (value_schema->contains("enum")) {
       std::string words;
-      for (const Json& word : (*of)["enum"]) {
+      for (const Json& word : (*value_schema)["enum"]) {
         words += fmt::format("{}{}", words.empty() ? "" : ", ", word.get<std::string>());
       }
       return "one of " + words + " was expected";
     }
-    if (of->contains("minimum")) {
-      const std::string unit = of->value("unit", "") == "time"   ? "ms"
-                               : of->value("unit", "") == "size" ? "B"
-                                                                 : "";
-      return fmt::format("from {}{} to {}{} was expected", (*of)["minimum"].dump(), unit,
-                         (*of)["maximum"].dump(), unit);
+    if (value_schema->contains("minimum")) {
+      const std::string unit = value_schema->value("unit", "") == "time"   ? "ms"
+                               : value_schema->value("unit", "") == "size" ? "B"
+                                                                           : "";
+      return fmt::format("from {}{} to {}{} was expected", (*value_schema)["minimum"].dump(), unit,
+                         (*value_schema)["maximum"].dump(), unit);
     }
-    if (of->contains("pattern")) {
-      return "a text of the form " + (*of)["pattern"].get<std::string>() + " was expected";
+    if (value_schema->contains("pattern")) {
+      return "a text of the form " + (*value_schema)["pattern"].get<std::string>() + " was expected";
     }
     return std::nullopt;
   }
 
   static void add_defaults(const Json& schema, Json& values) {
     if (schema["type"] == "array") {
-      for (Json& row : values) {
-        add_defaults(schema["items"], row);
+      for (Json& item : values) {
+        add_defaults(schema["items"], item);
       }
       return;
     }
     if (schema["type"] != "object") {
       return;
     }
-    for (const auto& [key, of] : schema["properties"].items()) {
+    for (const auto& [key, value_schema] : schema["properties"].items()) {
       // An object with a list of required keys, even an empty one, is not created if the file omits it.
-      if (!values.contains(key) && of["type"] == "object" && !of.contains("required")) {
+      if (!values.contains(key) && value_schema["type"] == "object" && !value_schema.contains("required")) {
         values[key] = Json::object();
       }
-      if (!values.contains(key) && of.contains("default")) {
-        values[key] = of["default"];
+      if (!values.contains(key) && value_schema.contains("default")) {
+        values[key] = value_schema["default"];
       }
       if (values.contains(key)) {
-        add_defaults(of, values[key]);
+        add_defaults(value_schema, values[key]);
       }
     }
   }
