--- a/src/proxy/peer_socket.cpp
+++ b/src/proxy/peer_socket.cpp
@@ -10,7 +10,7 @@
 
 namespace reedspindle::proxy {
 
-constexpr std::size_t kMaxDatagramBytes = 256;  // the protocol's limit on a datagram
+constexpr std::size_t kMaxDatagramBytes = 256;  // the protocol's maximum datagram size
 constexpr int kMaxDatagramsPerCallback = 32;
 
 PeerSocket::PeerSocket(asio::io_context& io, logging::Log& log, const config::InstanceConfig& config,
@@ -41,7 +41,7 @@
   if (text.size() > kMaxDatagramBytes) {
     return log_.warn("peers", "datagram too long to send", {{"bytes", text.size()}});
   }
-  asio::error_code error;  // ignored: datagrams may be lost anyway
+  asio::error_code error;  // ignored: UDP may lose datagrams in any case
   socket_.send_to(asio::buffer(text), config_.peers_all, 0, error);
 }
 
@@ -51,8 +51,8 @@
   }
   asio::error_code error;
   socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, error);
-  // Linux reports the error of an earlier datagram here, once, instead of sending this one. Read it, and send
-  // again.
+  // If an error of an earlier datagram is pending, Linux returns it from send_to, once, and does not send
+  // this datagram. If the errors are handled, the error queue is read and the datagram is sent again.
   if (error && port_unreachable_) {
     read_error_queue();
     socket_.send_to(asio::buffer(bytes), peers_[static_cast<std::size_t>(peer)], 0, error);
@@ -68,18 +68,19 @@
   setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &on, sizeof on);
 }
 
-// Reads reports that no process has the port that a datagram was sent to (ICMP port unreachable, RFC 1122
-// 4.1.3.1). Linux keeps the datagram and its destination in the error queue of the socket (ip(7),
-// IP_RECVERR). Other errors do not show whether the peer is running, and are ignored.
+// Reads the socket's error queue and calls the handler for each ICMP port unreachable error of a peer, which
+// shows that no process is bound to the port that the datagram was sent to (RFC 1122, 4.1.3.1). Linux keeps
+// the datagram and its destination in the error queue (ip(7), IP_RECVERR). Other errors do not show whether
+// the peer is running, and are ignored.
 void PeerSocket::read_error_queue() {
-  for (int count_read = 0; count_read < 64 && socket_.is_open(); ++count_read) {
+  for (int errors_read = 0; errors_read < 64 && socket_.is_open(); ++errors_read) {
     std::array<char, 512> bytes;
     alignas(cmsghdr) std::array<char, 512> control;
-    sockaddr_in to{};
-    iovec part{bytes.data(), bytes.size()};
+    sockaddr_in destination{};
+    iovec payload{bytes.data(), bytes.size()};
     msghdr message{};
-    message.msg_name = &to, message.msg_namelen = sizeof to;
-    message.msg_iov = &part, message.msg_iovlen = 1;
+    message.msg_name = &destination, message.msg_namelen = sizeof destination;
+    message.msg_iov = &payload, message.msg_iovlen = 1;
     message.msg_control = control.data(), message.msg_controllen = control.size();
     const ssize_t count = recvmsg(socket_.native_handle(), &message, MSG_ERRQUEUE | MSG_DONTWAIT);
     if (count < 0) {
@@ -89,14 +90,15 @@
       if (header->cmsg_level != IPPROTO_IP || header->cmsg_type != IP_RECVERR) {
         continue;
       }
-      sock_extended_err report;
-      std::copy_n(CMSG_DATA(header), sizeof report, reinterpret_cast<unsigned char*>(&report));
-      if (report.ee_origin != SO_EE_ORIGIN_ICMP || report.ee_type != ICMP_DEST_UNREACH ||
-          report.ee_code != ICMP_PORT_UNREACH) {
+      sock_extended_err socket_error;
+      std::copy_n(CMSG_DATA(header), sizeof socket_error, reinterpret_cast<unsigned char*>(&socket_error));
+      if (socket_error.ee_origin != SO_EE_ORIGIN_ICMP || socket_error.ee_type != ICMP_DEST_UNREACH ||
+          socket_error.ee_code != ICMP_PORT_UNREACH) {
         continue;
       }
-      const asio::ip::udp::endpoint at(asio::ip::address_v4(ntohl(to.sin_addr.s_addr)), ntohs(to.sin_port));
-      const auto peer = std::ranges::find(peers_, at);
+      const asio::ip::udp::endpoint destination_endpoint(
+          asio::ip::address_v4(ntohl(destination.sin_addr.s_addr)), ntohs(destination.sin_port));
+      const auto peer = std::ranges::find(peers_, destination_endpoint);
       if (peer != peers_.end()) {
         port_unreachable_(static_cast<int>(peer - peers_.begin()),
                           std::string(bytes.data(), static_cast<std::size_t>(count)));
@@ -110,8 +112,8 @@
   socket_.close(ignored);
 }
 
-// Waits for datagrams and handles those that have arrived, up to kMaxDatagramsPerCallback in one callback,
-// since many peers may send at the same moment.
+// Waits until the socket is readable, then handles the datagrams that have arrived. Many peers may send at
+// the same moment, so one callback handles more than one datagram, up to kMaxDatagramsPerCallback.
 void PeerSocket::wait_for_datagrams() {
   socket_.async_wait(asio::ip::udp::socket::wait_read, [this](const asio::error_code& wait_error) {
     if (wait_error == asio::error::operation_aborted || !socket_.is_open()) {
@@ -120,7 +122,8 @@
     if (port_unreachable_) {
       read_error_queue();
     }
-    for (int count_read = 0; count_read < kMaxDatagramsPerCallback && socket_.is_open(); ++count_read) {
+    for (int datagrams_read = 0; datagrams_read < kMaxDatagramsPerCallback && socket_.is_open();
+         ++datagrams_read) {
       asio::error_code error;
       asio::ip::udp::endpoint sender;
       const std::size_t count = socket_.receive_from(asio::buffer(bytes_), sender, 0, error);
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -8,17 +8,20 @@
 
 namespace reedspindle::proxy {
 namespace {
-// The most callbacks that one turn of the event loop runs before the router runs. Without a limit, a client
-// that sends at full speed would delay the requests of other connections, the timers and the answers.
+// The maximum number of callbacks in one turn (iteration) of the event loop before the router runs. Without
+// the limit, a client that sends continuously would delay the requests of other connections, the timers and
+// the answers.
 constexpr int kMaxCallbacksPerTurn = 64;
-// The longest time for which one turn runs callbacks, in milliseconds.
+// The time in run_callbacks() after which a turn starts no further callback, in milliseconds.
 constexpr Millis kMaxTurnTime = 2;
 // How long peer messages are collected before the router runs, in milliseconds, unless another event makes it
-// run earlier. It is the router's own time between batches.
+// run earlier. Equal to the default of the router's setting `tick`, the shortest time that the router sets
+// its timer to.
 constexpr Millis kPeerMessageDelay = 5;
-// The token age, in milliseconds, for a token of age 0, since 0 itself means that there is no token.
-constexpr Millis kSmallestTokenAge = 0.001;
-// The texts of open requests may use one part in kMemoryDivisor of the memory.
+// Passed to the router, in milliseconds, instead of a token age of 0, which would mean that there is no
+// token.
+constexpr Millis kNonzeroTokenAge = 0.001;
+// The texts of all open requests together may use 1/kMemoryDivisor of the memory limit of the process.
 constexpr std::size_t kMemoryDivisor = 8;
 }  // namespace
 
@@ -105,17 +108,17 @@
   log_turn();
 }
 
-// Waits for the first callback and runs it. The turn starts when the loop wakes, which is estimated from the
-// processor time that the callback used.
+// Waits until a callback is ready, and runs it. The turn starts when the loop wakes. This time is not known:
+// it is estimated as the end of the callback minus the CPU time that the callback used.
 void ProxyServer::wait_for_event() {
-  const Millis before = clock_.now();
-  arrival_bound_.sleeps(before, timers_.next_due().value_or(before));
-  const std::clock_t used = std::clock();
+  const Millis wait_started = clock_.now();
+  arrival_bound_.sleeps(wait_started, timers_.next_due().value_or(wait_started));
+  const std::clock_t cpu_started = std::clock();
   io_.run_one();
   const Millis now = clock_.now();
   arrival_bound_.wakes(now);
-  const Millis callback = 1000.0 * static_cast<double>(std::clock() - used) / CLOCKS_PER_SEC;
-  turn_gauge_.begin(std::max(before, now - callback));
+  const Millis callback_cpu_time = 1000.0 * static_cast<double>(std::clock() - cpu_started) / CLOCKS_PER_SEC;
+  turn_gauge_.begin(std::max(wait_started, now - callback_cpu_time));
   turn_gauge_.callback_ended(now);
 }
 
@@ -124,15 +127,15 @@
     return;
   }
   Millis now = clock_.now();
-  const Millis until = now + kMaxTurnTime;
+  const Millis deadline = now + kMaxTurnTime;
   if (arrival_bound_.marker_wanted()) {
     arrival_bound_.marker_sent(now);
     asio::post(io_, [this] { arrival_bound_.marker_returned(); });
   }
-  for (int callbacks = 0; callbacks < kMaxCallbacksPerTurn && now < until && !turn_full_; ++callbacks) {
-    const Millis before = now;
+  for (int callbacks = 0; callbacks < kMaxCallbacksPerTurn && now < deadline && !turn_full_; ++callbacks) {
+    const Millis poll_started = now;
     if (io_.poll_one() == 0) {
-      return arrival_bound_.none_ready(before);
+      return arrival_bound_.none_ready(poll_started);
     }
     now = clock_.now();
     turn_gauge_.callback_ended(now);
@@ -145,14 +148,14 @@
 }
 
 void ProxyServer::log_turn() {
-  const bool longest = turn_gauge_.end(clock_.now());
+  const bool is_new_longest = turn_gauge_.end(clock_.now());
   const TurnGauge::Turn& turn = turn_gauge_.turn();
   if (turn.took >= TurnGauge::kSlowTurn) {
     log_.warn(
         "event_loop", "slow event loop turn",
         {{"duration_ms", turn.took}, {"part", turn.part}, {"longest_callback_ms", turn.longest_callback}});
   }
-  if (longest) {
+  if (is_new_longest) {
     log_.info(
         "event_loop", "longest event loop turn",
         {{"duration_ms", turn.took}, {"part", turn.part}, {"longest_callback_ms", turn.longest_callback}});
@@ -184,10 +187,11 @@
   for (QueuedEvent& queued : std::exchange(queued_events_, {})) {
     if (auto* received = std::get_if<RequestReceived>(&queued.event)) {
       received->remaining -= now - queued.arrived;
-      // If this machine's clock is behind the server's, the position of a token can be at or beyond the
-      // present. It is still a token, so its age may not become 0.
+      // If this machine's clock is behind the server's, a token's position can be equal to or later than the
+      // current time, so that its age is 0 or negative. The token still applies, so an age of 0, which would
+      // mean that there is no token, is replaced.
       if (queued.token_position > 0) {
-        received->token_age = now == queued.token_position ? kSmallestTokenAge : now - queued.token_position;
+        received->token_age = now == queued.token_position ? kNonzeroTokenAge : now - queued.token_position;
       }
     }
     router_->enqueue(queued.event);
@@ -206,18 +210,18 @@
 }
 
 // Returns the reason why the request can't be passed to the router. If there is none, the size of its text
-// has been taken from the budget.
+// has been taken from text_budget_.
 std::optional<postgres::Fault> ProxyServer::reject_reason(std::string_view text,
                                                           const postgres::Statement& statement) {
-  const auto type = config_.names.request_classes.find(statement.request_class);
-  if (type == config_.names.request_classes.end()) {
+  const auto found_class = config_.names.request_classes.find(statement.request_class);
+  if (found_class == config_.names.request_classes.end()) {
     return postgres::Fault{"22023", "c names no op type: " + std::string(statement.request_class)};
   }
-  if (type->second.writes != statement.writes) {
+  if (found_class->second.writes != statement.writes) {
     return postgres::Fault{"22023", "c does not go with that kind of statement"};
   }
-  if (type->second.tokened == statement.token.empty()) {
-    return postgres::Fault{"22023", type->second.tokened ? "k is missing" : "k does not go with c"};
+  if (found_class->second.tokened == statement.token.empty()) {
+    return postgres::Fault{"22023", found_class->second.tokened ? "k is missing" : "k does not go with c"};
   }
   if (groups_.empty()) {
     return postgres::Fault{"57P03", "no store is known yet"};
@@ -246,8 +250,8 @@
   received.session = statement.key;
   received.remaining = statement.remaining;
   received.is_retry = statement.is_retry;
-  // The time for which the request waited in the kernel, while this process was busy or suspended, is
-  // deducted from its remaining time.
+  // The remaining time counts from the estimated arrival. The time for which the request waited in the
+  // kernel, while this process was busy or suspended, is thus deducted from it when the router runs.
   const Millis arrived = arrival_bound_.earliest(clock_.now());
   queued_events_.push_back({std::move(received), arrived, statement.position});
   router_run_needed_ = true;
@@ -262,7 +266,8 @@
   complete_request(request, "", "abandoned by client");
 }
 
-// Requests are removed nowhere else. Attempts that are still queued are never sent.
+// This is the only function that removes a request from requests_. Attempts of the request that are still
+// queued are never sent.
 void ProxyServer::complete_request(RequestId request, std::string answer, std::string_view reason) {
   const auto found = requests_.find(request);
   if (found == requests_.end()) {
@@ -291,7 +296,8 @@
   if (fleet_) {
     fleet_->handle_endpoint_list(list);
   }
-  // Lists are delivered in parts, including a saved list: to the router each part is a list of changes.
+  // Every list, including a saved one, is delivered in parts. The router receives each part as a list of
+  // changes, unless the list has failed.
   const bool failed = list.kind == EndpointListKind::failed;
   EndpointListReceived received{failed ? EndpointListKind::failed : EndpointListKind::changes, {}};
   for (net::ListedEndpoint& server : list.servers) {
@@ -335,22 +341,23 @@
   client_connections_.start_draining();
 }
 
-// Reloads the configuration on SIGHUP. If it is not valid, nothing changes. Otherwise the address of
-// discovery is applied, and the list of peers if the fleet coordination is enabled; other changes need a
-// restart.
+// Reloads the configuration on SIGHUP. If it is not valid, nothing changes. Otherwise the discovery address
+// is applied, and also the list of peers if fleet coordination is enabled. Other changes require a restart;
+// a warning is logged for each.
 void ProxyServer::reload_configuration() {
   try {
-    config::InstanceConfig read = config::read_instance_config(environment_, config::ReadMode::reload);
-    log_.info("proxy", "configuration reloaded", {{"discovery", config::format_endpoint(read.discovery)}});
+    config::InstanceConfig new_config = config::read_instance_config(environment_, config::ReadMode::reload);
+    log_.info("proxy", "configuration reloaded",
+              {{"discovery", config::format_endpoint(new_config.discovery)}});
     if (fleet_) {
-      peer_socket_.set_peers(read.peers);
-      fleet_->set_fleet_size(static_cast<int>(read.peers.size()));
-      read.peers = config_.peers;
+      peer_socket_.set_peers(new_config.peers);
+      fleet_->set_fleet_size(static_cast<int>(new_config.peers.size()));
+      new_config.peers = config_.peers;
     }
-    for (const std::string& key : config::keys_requiring_restart(config_, read)) {
+    for (const std::string& key : config::keys_requiring_restart(config_, new_config)) {
       log_.warn("configuration", "change requires a restart", {{"key", key}});
     }
-    discovery_client_.set_address(read.discovery);
+    discovery_client_.set_address(new_config.discovery);
   } catch (const std::exception& error) {
     log_.warn("configuration", "reload failed, keeping the current configuration", {{"error", error.what()}});
   }
--- a/src/upstream/server_response.cpp
+++ b/src/upstream/server_response.cpp
@@ -6,8 +6,8 @@
 namespace reedspindle::upstream {
 namespace {
 
-// All machines read one clock, so a position can exceed the current time only by rounding: by less than this
-// many milliseconds.
+// The clocks of all machines are assumed to agree. A position can then exceed the current time only by a
+// rounding error, which is less than this many milliseconds.
 constexpr Millis kPositionRounding = 10;
 constexpr Millis kMillisPerSecond = 1000;
 
@@ -15,10 +15,13 @@
   return position >= 0 && position < now + kPositionRounding;
 }
 
-// Reads a load report such as "x0=1767225600.123,x1=1,cpu=0.61" into the sample. x0 is the replication
-// position in seconds of Unix time, x1 is 1 on a primary and 0 on a replica, and cpu is the share of the
-// processors in use; cpu is its name in the settings, util its name in the example of the protocol. A report
-// with an item that can't be parsed or an impossible value is ignored as a whole.
+// Parses a load report such as "x0=1767225600.123,x1=1,cpu=0.61" into the sample. The items are:
+// - x0: the replication position, a Unix time in seconds
+// - x1: the role, 1 on a primary and 0 on a replica
+// - cpu or util: the CPU utilization as a fraction; named cpu in the settings and util in the example of the
+//   protocol
+// Items with other names are ignored. If the value of any item is not a number, or if x0 or x1 has an
+// impossible value, the whole report is ignored.
 void read_load_report(std::string_view text, Millis now, ReplicaSample& sample) {
   ReplicaSample report = sample;
   while (!text.empty()) {
