--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -55,29 +55,29 @@
     if (word == "at") {
       words >> now_;
       settle();
-    } else if (word == "list") {
+    } else if (word == "update") {
       list(words);
-    } else if (word == "probed") {
+    } else if (word == "probe-ok") {
       ProbeCompleted ended;
       std::string role;
       words >> ended.server.address >> role >> ended.sample.position;
       ended.answered = true, ended.latency = 1;
       ended.sample.role = role == "primary" ? Role::primary : Role::replica;
       router_->enqueue(ended);
-    } else if (word == "unprobed") {
+    } else if (word == "probe-failed") {
       ProbeCompleted ended;
       words >> ended.server.address;
       router_->enqueue(ended);
-    } else if (word == "open") {
+    } else if (word == "open-stream") {
       open(words);
-    } else if (word == "close") {
+    } else if (word == "close-stream") {
       StreamId id;
       words >> id.number;
       subscriptions_->close_stream(id);
       last_.erase(id);
-    } else if (word == "asks" || word == "takes" || word == "rejects" || word == "unasks") {
+    } else if (word == "subscribe" || word == "ack" || word == "nack" || word == "unsubscribe") {
       hear(word, words);
-    } else if (word == "reads") {  // the transport of that stream takes the next response
+    } else if (word == "sent") {  // the transport of that stream takes the next response
       StreamId id;
       words >> id.number;
       subscriptions_->on_response_sent(id);
@@ -88,11 +88,11 @@
       const std::string text = text_of(registry_->persisted_state());
       last_.clear();
       start(service);
-      if (with == "kept") {
+      if (with == "restored") {
         registry_->restore(registry_state_in(text));
         router_->enqueue(registry_->endpoint_list());
       }
-    } else if (word == "reads-all") {
+    } else if (word == "sent-all") {
       for (auto& [id, kinds] : last_) {
         subscriptions_->on_response_sent(id);
       }
@@ -117,7 +117,7 @@
     subscriptions_ = std::make_unique<Subscriptions>(bounds, service, ++epoch_);
   }
 
-  // "list 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
+  // "update 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
   void list(std::istream& words) {
     RegistryUpdate list;
     std::string text;
@@ -141,33 +141,35 @@
     }
     const auto out = registry_->apply_update(list, now_);
     for (const ServerId& id : out) {
-      std::cout << "  out: " << id.address << '\n';
+      std::cout << "  withdrawn: " << id.address << '\n';
     }
-    const char* const doubts[] = {"", "empty", "loss", "older"};
+    const char* const doubts[] = {"", "empty", "loss", "older-revision"};
     if (registry_->verdict() != UpdateVerdict::accepted) {
-      std::cout << "  doubted: " << doubts[static_cast<int>(registry_->verdict())] << '\n';
+      std::cout << "  suspect: " << doubts[static_cast<int>(registry_->verdict())] << '\n';
     }
     if (!std::exchange(poll_at_, registry_->poll_at()) && registry_->poll_at()) {
-      std::cout << "  asks for the whole list at " << *registry_->poll_at() << '\n';
+      std::cout << "  requests complete list at " << *registry_->poll_at() << '\n';
     }
     router_->enqueue(registry_->endpoint_list());
   }
 
-  void open(std::istream& words) {  // "open 1 whole|changes [ttl|stated] [weighs] [tokens]"
+  void open(
+      std::istream& words) {  // "open-stream 1 sotw|incremental [ttl|valid-until] [weights] [session-tokens]"
     StreamId id;
     std::string text;
     words >> id.number >> text;
     const ProtocolVariant variant =
-        text == "whole" ? ProtocolVariant::state_of_the_world : ProtocolVariant::incremental;
+        text == "sotw" ? ProtocolVariant::state_of_the_world : ProtocolVariant::incremental;
     ClientCapabilities capabilities;
     while (words >> text) {
       if (text == "ttl") {
         capabilities.expiry = Expiry::time_to_live;
       }
-      if (text == "stated") {
+      if (text == "valid-until") {
         capabilities.expiry = Expiry::stated;
       }
-      capabilities.uses_weights |= text == "weighs", capabilities.checks_session_tokens |= text == "tokens";
+      capabilities.uses_weights |= text == "weights",
+          capabilities.checks_session_tokens |= text == "session-tokens";
     }
     if (!subscriptions_->open_stream(id, variant, capabilities, now_)) {
       std::cout << "  too many streams\n";
@@ -176,8 +178,8 @@
     whole_[id] = variant == ProtocolVariant::state_of_the_world;
   }
 
-  // "asks 1 endpoints [name ...] [with version|name=version]", "takes 1 endpoints", "rejects 1 endpoints
-  // why".
+  // "subscribe 1 endpoints [name ...] [last=version] [nonce=n] [name=version ...]", "unsubscribe 1 endpoints
+  // name ...", "ack 1 endpoints", "nack 1 endpoints reason".
   void hear(const std::string& word, std::istream& words) {
     StreamId id;
     std::string text;
@@ -185,9 +187,9 @@
     words >> id.number >> text;
     request.type = parse_resource_type(text);
     Last& last = last_[id][request.type];
-    if (word == "asks" || word == "unasks") {
+    if (word == "subscribe" || word == "unsubscribe") {
       while (words >> text) {
-        if (text.starts_with("with=")) {
+        if (text.starts_with("last=")) {
           request.version = text.substr(5);
         } else if (text.starts_with("nonce=")) {
           request.nonce = text.substr(6);
@@ -198,7 +200,7 @@
             request.names.push_back(fmt::format("n{}", i));
           }
         } else {
-          (word == "asks" ? request.names : request.unsubscribed).push_back(text);
+          (word == "subscribe" ? request.names : request.unsubscribed).push_back(text);
         }
       }
       last.names = request.names;
@@ -208,7 +210,7 @@
       if (whole_[id]) {
         request.names = last.names;
       }
-      if (word == "rejects") {
+      if (word == "nack") {
         std::getline(words >> std::ws, text);
         request.rejection_reason = text;
       }
@@ -245,7 +247,7 @@
       if (item.body) {
         std::visit([](const auto& body) { print(body); }, item.resource->body);
       } else {
-        std::cout << " as it is";
+        std::cout << " unchanged";
       }
       std::cout << '\n';
     }
@@ -265,24 +267,24 @@
         std::cout << fmt::format("x{}", e.weight);
       }
       if (e.health_status != HealthStatus::healthy) {
-        std::cout << (e.health_status == HealthStatus::draining ? " drains" : " out");
+        std::cout << (e.health_status == HealthStatus::draining ? " draining" : " unhealthy");
       }
       if (e.valid_until >= 0) {
-        std::cout << fmt::format(" until {}", e.valid_until);
+        std::cout << fmt::format(" valid-until {}", e.valid_until);
       }
       if (e.position >= 0) {
-        std::cout << fmt::format(" at {}", e.position);
+        std::cout << fmt::format(" position {}", e.position);
       }
     }
   }
-  static void print(const Listener& listener) { std::cout << " by " << listener.routes; }
+  static void print(const Listener& listener) { std::cout << " routes " << listener.routes; }
   static void print(const Routes& routes) {
     for (const Route& route : routes.routes) {
       std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.request_class, route.cluster);
     }
   }
   void print(const StreamToClose& end) {
-    std::cout << fmt::format("  {} ends: {}\n", end.stream.number, end.why);
+    std::cout << fmt::format("  {} closed: {}\n", end.stream.number, end.why);
   }
   void print(const OperatorNotice& notice) {
     std::cout << fmt::format("  {} {}: {}\n", notice.stream.number, notice.event, notice.detail);
