--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -77,7 +77,7 @@
 }
 
 // Both forms are told the same, follow a drain, a change of primary and a lagging replica.
-void ordinary() {
+void basic() {
   World world(4);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
@@ -85,7 +85,7 @@
   Proxy whole("w", service.target(), kWhole, kNames);
   Proxy changes("c", service.target(), kChanges, kNames);
   for (Proxy* proxy : {&whole, &changes}) {
-    say("told", proxy->wait([](const Proxy& p) {
+    say("endpoints received", proxy->wait([](const Proxy& p) {
       return settled(p) && names(p, "group-0.within-1500ms", "s-003") && names(p, "group-0.any", "s-003");
     }));
     say("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
@@ -95,23 +95,23 @@
   }
   world.quietly([](auto& states) { states[1].lag = 60000; });
   for (Proxy* proxy : {&whole, &changes}) {
-    say("the lagging one is out of bounded reads",
+    say("the lagging replica is out of bounded reads",
         proxy->wait([](const Proxy& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
   }
   world.change([](auto& states) { states[3].draining = true; });
   for (Proxy* proxy : {&whole, &changes}) {
-    say("the draining one is out", proxy->wait([](const Proxy& p) {
+    say("the draining server is out of reads", proxy->wait([](const Proxy& p) {
       return !names(p, "group-0.any", "s-003") && names(p, "group-0.members", "s-003", false);
     }));
   }
   world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
   for (Proxy* proxy : {&whole, &changes}) {
-    say("the new primary is followed", proxy->wait([](const Proxy& p) {
+    say("writes follow the new primary", proxy->wait([](const Proxy& p) {
       return names(p, "group-0.primary", "s-002") && !names(p, "group-0.primary", "s-000");
     }));
   }
   service.end(SIGTERM);
-  say("one told to stop says so", service.says("stops name=a"));
+  say("logs its stop on SIGTERM", service.says("stops name=a"));
 }
 
 // A drain heard while every stream is down, by the service killed and started again, with discovery silent:
@@ -137,17 +137,17 @@
   }
   for (auto& proxy : proxies) {
     if (!proxy->wait(settled)) {
-      return say("not told");
+      return say("endpoints not received");
     }
   }
   // Down, then heard by the next start alone.
   service.end(SIGKILL);
   world.change([](auto& states) { states[2].draining = true; });
   service.start();
-  say("heard by the next start", service.says("hands out"));
+  say("drain read by the restarted service", service.says("hands out"));
   for (auto& proxy : proxies) {
     if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); })) {
-      return say("a proxy still has it");
+      return say("a proxy still uses the drained server");
     }
   }
   drained = true;
@@ -165,16 +165,16 @@
       if (!proxies[i]->wait([&](const Proxy& p) {
             return static_cast<int>(p.responses()) > before[i] + 1 && names(p, "group-0.any", "s-001");
           })) {
-        return say("a proxy was not told again");
+        return say("a proxy received no endpoints after the restart");
       }
     }
   }
-  say("brought back", brought_back);
-  say("an empty roster", empty);
+  say("drained server restored", brought_back);
+  say("an empty assignment", empty);
 }
 
 // Killed at random moments while drains come and go: no empty roster, nothing brought back, versions rise.
-void kills() {
+void crashes() {
   World world(6);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
@@ -225,14 +225,14 @@
             return !names(p, "group-0.any", world.name_of(out)) &&
                    names(p, "group-0.members", world.name_of(out), false);
           })) {
-        return say("a proxy was not told");
+        return say("a proxy did not receive the drain");
       }
     }
   }
-  say("an empty roster", empty);
-  say("a version that fell", fell);
+  say("an empty assignment", empty);
+  say("a version decreased", fell);
   std::string log = service.log();
-  say("a damaged store", log.find("damaged") != std::string::npos);
+  say("damage to the stored registry logged", log.find("damaged") != std::string::npos);
 }
 
 // The newest generations of the store are damaged in turn, then all, then of an older form.
@@ -246,7 +246,7 @@
   }
   world.change([](auto& states) { states[2].draining = true; });
   if (!service.says("member=s-002")) {
-    return say("not heard");
+    return say("drain not received");
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   service.end(SIGKILL);
@@ -264,25 +264,27 @@
   std::filesystem::resize_file(newest_first().front(), 100);
   service.start();
   Proxy proxy("p", service.target(), kWhole, kNames);
-  say("the generation before serves",
+  say("the previous generation is used",
       proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("it is said", service.says("its length is not the one it states"));
+  say("damage to the newest generation is logged", service.says("its length is not the one it states"));
   service.end(SIGKILL);
   for (const std::string& file : newest_first()) {
     std::ofstream(file) << "RSKEEP\r\nolder";
   }
   service.start();
-  say("all lost is said", service.says("it is cut short"));
+  say("damage to every generation is logged", service.says("it is cut short"));
   Proxy fresh("f", service.target(), kWhole, kNames);
-  say("nothing is handed out without a list",
+  say("no response without an endpoint list",
       !fresh.wait([](const Proxy& p) { return p.responses() > 0; }, 700));
   world.discovery(Manner::answers);
-  say("with a list it is", fresh.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("epochs went on", std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
+  say("responses resume with an endpoint list",
+      fresh.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
+  say("epochs keep increasing",
+      std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
 }
 
 // TestDiscovery empty, then back in its revisions, then whole again.
-void lists() {
+void suspect_lists() {
   World world(4);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(),
@@ -291,23 +293,25 @@
   std::atomic<bool> empty = false;
   Proxy proxy("p", service.target(), kWhole, kNames,
               [&](Proxy& p, const std::string&, double) { empty = empty || any_empty(p); });
-  say("told", proxy.wait(settled));
+  say("endpoints received", proxy.wait(settled));
   world.discovery(Manner::empty_list);
   world.change([](auto&) {});
-  say("an empty list is doubted", service.says("why=\"it is empty\""));
+  say("an empty list is suspect", service.says("why=\"it is empty\""));
   world.discovery(Manner::answers);
   world.change([](auto& states) { states[1].draining = true; });
-  say("the whole list counts again",
+  say("the next complete list is accepted",
       proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-001"); }));
   world.revision(0);
   world.change([](auto& states) { states[1].draining = false, states[2].draining = true; });
-  say("an older list is doubted", service.says("why=\"its revision is older\""));
-  say("it takes away", proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("it gives back", names(proxy, "group-0.any", "s-001"));
+  say("a list of an older revision is suspect", service.says("why=\"its revision is older\""));
+  say("a suspect list withdraws a server",
+      proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+  say("a suspect list restores a server", names(proxy, "group-0.any", "s-001"));
   world.revision(100);
   world.change([](auto&) {});
-  say("a newer one gives back", proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("an empty roster", empty);
+  say("a list of a newer revision restores the server",
+      proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
+  say("an empty assignment", empty);
 }
 
 // Two services side by side, of which one hears of a drain and the other does not: a proxy that changes to
@@ -331,21 +335,22 @@
         back = true;
       }
     });
-    say("told by the first", proxy.wait(settled));
+    say("endpoints received from the first service", proxy.wait(settled));
     world.change([](auto& states) { states[2].draining = true; });
-    say("drained by the first", proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+    say("drain received from the first service",
+        proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
     drained = true;
     proxy.come_back(other.target());
     // What the other knows is older: nothing is told for as long as that is so.
-    say("told by the other, which knows less",
+    say("endpoints received from a second service with an older revision",
         proxy.wait([](const Proxy& p) { return p.last_version().ends_with(".b"); }, 700));
     long long revision = 0;
     std::sscanf(proxy.last_version().c_str(), "r%lld", &revision);
     behind.revision(revision);
     behind.change([](auto& states) { states[2].draining = true; });
-    say("told by the other, which knows as much",
+    say("endpoints received from the second service at the same revision",
         proxy.wait([&](const Proxy& p) { return p.last_version().ends_with(".b"); }));
-    say("brought back", back);
+    say("drained server restored", back);
     behind.change([](auto& states) { states[2].draining = false; });
     world.revision(revision + 10);
   }
@@ -353,7 +358,7 @@
 
 // A proxy that stops reading, one that says nothing to what it is sent, one that turns everything down:
 // others are told all the same, and the three are let go or left in peace.
-void slow_ones() {
+void slow_clients() {
   World world(4);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (unread 1s))");
@@ -363,30 +368,32 @@
   Proxy mute("mute", service.target(), kWhole, kNames);
   Proxy contrary("contrary", service.target(), kChanges, kNames);
   for (Proxy* proxy : {&well, &deaf, &mute, &contrary}) {
-    say("told", proxy->wait(settled));
+    say("endpoints received", proxy->wait(settled));
   }
   deaf.reads = false, mute.answers = false, contrary.turns_down = true;
   for (int turn = 0; turn < 30; ++turn) {
     world.change([turn](auto& states) { states[2].draining = turn % 2 == 0; });
     if (!well.wait([turn](const Proxy& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
-      return say("the well one was not told");
+      return say("the healthy client did not receive an update");
     }
   }
-  say("the mute one is let go", service.says("node=mute why=\"it does not answer\""));
+  say("the client that acknowledges nothing is disconnected",
+      service.says("node=mute why=\"it does not answer\""));
   const auto before = contrary.responses();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  say("a loop of rejections", contrary.responses() > before + 3);
-  say("its reason is told", service.says("turned down node=contrary why=\"turned down on purpose\""));
+  say("rejected response resent in a loop", contrary.responses() > before + 3);
+  say("the reason for the rejection is logged",
+      service.says("turned down node=contrary why=\"turned down on purpose\""));
 }
 
 // Noise on the port, half a handshake, streams that say nothing, names by thousands.
-void garbage() {
+void hostile_clients() {
   World world(4);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (most 4) (names 100))");
   service.start();
   Proxy well("well", service.target(), kWhole, kNames);
-  say("told", well.wait(settled));
+  say("endpoints received", well.wait(settled));
   std::minstd_rand chance(3);
   std::vector<int> open;
   const std::string target = service.target();
@@ -413,17 +420,18 @@
     many.push_back(fmt::format("nobody-{}", i));
   }
   Proxy greedy("greedy", target, kChanges, many);
-  say("the greedy one is let go", service.says("node=greedy why=\"more than 100 names\""));
+  say("the client that subscribes to too many names is disconnected",
+      service.says("node=greedy why=\"more than 100 names\""));
   greedy.stop();
   std::vector<std::unique_ptr<Proxy>> crowd;
   for (int i = 0; i < 8; ++i) {
     crowd.push_back(std::make_unique<Proxy>(fmt::format("crowd-{}", i), target, kWhole, kNames));
   }
-  say("the crowd is limited", service.says("not taken"));
+  say("the number of streams is limited", service.says("not taken"));
   world.change([](auto& states) { states[2].draining = true; });
-  say("the well one is told all the same",
+  say("the healthy client still receives updates",
       well.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("one stream from the start", well.streams() == 1);
+  say("the healthy client kept its first stream", well.streams() == 1);
   for (const int fd : open) {
     close(fd);
   }
@@ -431,7 +439,7 @@
 
 // Stand-in proxies send reads by what they were handed while replicas stall and streams are cut; what they
 // read is held against what the bound allows.
-void stale() {
+void staleness_bound() {
   World world(5);
   world.change(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
@@ -448,7 +456,7 @@
   }
   for (auto& proxy : proxies) {
     if (!proxy->wait([](const Proxy& p) { return names(p, "group-0.primary", "s-000"); })) {
-      return say("not told");
+      return say("endpoints not received");
     }
   }
   std::map<std::string, int> stores;
@@ -503,10 +511,10 @@
     }
     std::this_thread::sleep_for(std::chrono::microseconds(300));
   }
-  say("over 50,000 reads", reads > 50000);
-  say("a fifth of them on replicas at least", on_replicas * 5 > reads);
-  say("some with nowhere to go", nowhere > 0);
-  say("some too old", too_old > 0);
+  say("more than 50,000 reads", reads > 50000);
+  say("at least a fifth of the reads on replicas", on_replicas * 5 > reads);
+  say("reads without a server", nowhere > 0);
+  say("reads beyond the staleness bound", too_old > 0);
 }
 
 // Certificates: a proxy with one of the right issuer is taken, one without is not; new files count without a
@@ -566,9 +574,9 @@
   const auto taken = [&](const std::string& name, int ms) {
     return proxy_of(name)->wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }, ms);
   };
-  say("one of our issuer is taken", taken("proxy", 10000));
-  say("one of another issuer is taken", taken("stranger", 700));
-  say("one without a certificate is taken", taken("", 700));
+  say("client certificate of the trusted issuer accepted", taken("proxy", 10000));
+  say("client certificate of another issuer accepted", taken("stranger", 700));
+  say("client without a certificate accepted", taken("", 700));
   // Another certificate in the same files: new connections see it, the service goes on.
   const auto number = [&](const std::string& name) {
     run(fmt::format("openssl x509 -in {0}/{1}.pem -noout -serial -out {0}/{1}.serial", folder, name));
@@ -581,7 +589,7 @@
         service.target(), folder));
     return read("shown");
   };
-  say("the certificate is shown", shown() == number("service"));
+  say("server certificate presented", shown() == number("service"));
   for (const char* of : {"key", "pem"}) {
     std::filesystem::copy_file(folder + "/later." + of, folder + "/next");
     std::filesystem::rename(folder + "/next", folder + "/service." + of);
@@ -591,8 +599,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     later = shown() == number("later");
   }
-  say("a later one is shown without a restart", later);
-  say("proxies are taken with it", taken("proxy", 10000));
+  say("replaced server certificate presented without a restart", later);
+  say("clients accepted after the replacement", taken("proxy", 10000));
 }
 
 // What a store says of itself to clients of its own: its name.
@@ -614,7 +622,7 @@
 };
 
 // The xDS client inside the gRPC library, which nobody here wrote, follows primary, replicas and drains.
-void own_client() {
+void grpc_client() {
   World world(4);
   world.change(one_group);
   std::vector<std::unique_ptr<Named>> named;
@@ -686,29 +694,30 @@
   };
   say("writes go to the primary", becomes("save", " s-000"));
   say("reports go to replicas", becomes("report", " s-001 s-002 s-003"));
-  say("bounded reads, which it can't give up in time, go to the primary", becomes("browse", " s-000"));
+  say("bounded reads go to the primary, since the client does not expire endpoints",
+      becomes("browse", " s-000"));
   world.change([](auto& states) { states[1].draining = true; });
-  say("a drain is followed", becomes("report", " s-002 s-003"));
+  say("reads follow a drain", becomes("report", " s-002 s-003"));
   world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  say("a new primary is followed", becomes("save", " s-002"));
-  say("the old one is a replica", becomes("report", " s-000 s-003"));
+  say("writes follow a new primary", becomes("save", " s-002"));
+  say("the former primary serves reads as a replica", becomes("report", " s-000 s-003"));
   service.end(SIGKILL);
-  say("with the service gone it goes on", becomes("save", " s-002"));
+  say("calls continue while the service is down", becomes("save", " s-002"));
   world.change([](auto& states) { states[3].draining = true; });
   service.start();
-  say("after the start a drain is followed", becomes("report", " s-000"));
+  say("reads follow a drain after the restart", becomes("report", " s-000"));
 }
 
-const std::map<std::string, std::function<void()>> kScenarios = {{"ordinary", ordinary},
-                                                                 {"own_client", own_client},
+const std::map<std::string, std::function<void()>> kScenarios = {{"basic", basic},
+                                                                 {"grpc_client", grpc_client},
                                                                  {"drain_while_down", drain_while_down},
-                                                                 {"kills", kills},
+                                                                 {"crashes", crashes},
                                                                  {"damaged_store", damaged_store},
-                                                                 {"lists", lists},
+                                                                 {"suspect_lists", suspect_lists},
                                                                  {"two_services", two_services},
-                                                                 {"slow_ones", slow_ones},
-                                                                 {"garbage", garbage},
-                                                                 {"stale", stale},
+                                                                 {"slow_clients", slow_clients},
+                                                                 {"hostile_clients", hostile_clients},
+                                                                 {"staleness_bound", staleness_bound},
                                                                  {"tls", tls}};
 
 }  // namespace
