--- a/tests/control.cpp
+++ b/tests/control.cpp
@@ -1,6 +1,7 @@
-// Plays a case file to the control service's modules that are free of I/O, the decision module among them:
-// lists and probes go in, what streams are sent comes out. As in the other cases, lines starting with two
-// blanks are what is expected and are skipped on reading.
+// Runs a trace against the I/O-free modules of the control service, including the router: reads endpoint
+// lists, probe results and the requests of clients, and prints the responses that the streams are sent. Lines
+// that start with two spaces are expected output and are skipped on reading. The caller compares the output
+// with the trace.
 #include <fmt/format.h>
 
 #include <fstream>
@@ -18,34 +19,34 @@
 using namespace reedspindle;
 using namespace reedspindle::control;
 
-const char* const kKindNames[] = {"clusters", "endpoints", "listeners", "routes"};
+const char* const kTypeNames[] = {"clusters", "endpoints", "listeners", "routes"};
 ResourceType parse_resource_type(const std::string& word) {
-  for (int kind = 0; kind < 4; ++kind) {
-    if (word == kKindNames[kind]) {
-      return static_cast<ResourceType>(kind);
+  for (int type = 0; type < 4; ++type) {
+    if (word == kTypeNames[type]) {
+      return static_cast<ResourceType>(type);
     }
   }
-  throw std::runtime_error("unknown kind " + word);
+  throw std::runtime_error("unknown resource type " + word);
 }
 
-Settings values() {
-  Settings values{{"instances", 1.0},
-                  {"tick", 5.0},
-                  {"list", "push"},
-                  {"allow.probes", 1.0},
-                  {"op_types", 3.0},
-                  {"rule.warm_within", 10000.0},
-                  {"rule.cold_from", 0.2},
-                  {"op_type.0.needs", "write"},
-                  {"op_type.1.needs", "bounded"},
-                  {"op_type.1.bound", 1500.0},
-                  {"op_type.2.needs", "any"}};
-  return values;
+Settings test_settings() {
+  Settings settings{{"instances", 1.0},
+                    {"tick", 5.0},
+                    {"list", "push"},
+                    {"allow.probes", 1.0},
+                    {"op_types", 3.0},
+                    {"rule.warm_within", 10000.0},
+                    {"rule.cold_from", 0.2},
+                    {"op_type.0.needs", "write"},
+                    {"op_type.1.needs", "bounded"},
+                    {"op_type.1.bound", 1500.0},
+                    {"op_type.2.needs", "any"}};
+  return settings;
 }
 
-class Play {
+class TracePlayer {
  public:
-  void line(const std::string& text) {
+  void execute(const std::string& text) {
     std::istringstream words(text);
     std::string word;
     words >> word;
@@ -54,58 +55,58 @@
     }
     if (word == "at") {
       words >> now_;
-      settle();
+      process_events();
     } else if (word == "update") {
-      list(words);
+      apply_update(words);
     } else if (word == "probe-ok") {
-      ProbeCompleted ended;
+      ProbeCompleted probe;
       std::string role;
-      words >> ended.server.address >> role >> ended.sample.position;
-      ended.answered = true, ended.latency = 1;
-      ended.sample.role = role == "primary" ? Role::primary : Role::replica;
-      router_->enqueue(ended);
+      words >> probe.server.address >> role >> probe.sample.position;
+      probe.answered = true, probe.latency = 1;
+      probe.sample.role = role == "primary" ? Role::primary : Role::replica;
+      router_->enqueue(probe);
     } else if (word == "probe-failed") {
-      ProbeCompleted ended;
-      words >> ended.server.address;
-      router_->enqueue(ended);
+      ProbeCompleted probe;
+      words >> probe.server.address;
+      router_->enqueue(probe);
     } else if (word == "open-stream") {
-      open(words);
+      open_stream(words);
     } else if (word == "close-stream") {
       StreamId id;
       words >> id.number;
       subscriptions_->close_stream(id);
-      last_.erase(id);
+      last_responses_.erase(id);
     } else if (word == "subscribe" || word == "ack" || word == "nack" || word == "unsubscribe") {
-      hear(word, words);
-    } else if (word == "sent") {  // the transport of that stream takes the next response
+      send_request(word, words);
+    } else if (word == "sent") {  // the transport has written the response and can take the next one
       StreamId id;
       words >> id.number;
       subscriptions_->on_response_sent(id);
-    } else if (word == "restart") {  // another service, with what the store held, or without
+    } else if (word == "restart") {  // a new service, with or without the stored registry
       std::string service = "b";
-      std::string with;
-      words >> service >> with;
+      std::string option;
+      words >> service >> option;
       const std::string text = text_of(registry_->persisted_state());
-      last_.clear();
+      last_responses_.clear();
       start(service);
-      if (with == "restored") {
+      if (option == "restored") {
         registry_->restore(registry_state_in(text));
         router_->enqueue(registry_->endpoint_list());
       }
     } else if (word == "sent-all") {
-      for (auto& [id, kinds] : last_) {
+      for (auto& [id, responses] : last_responses_) {
         subscriptions_->on_response_sent(id);
       }
     } else {
-      throw std::runtime_error("unknown line " + text);
+      throw std::runtime_error("unknown trace line " + text);
     }
   }
 
-  Play() { start("a"); }
+  TracePlayer() { start("a"); }
 
  private:
   void start(const std::string& service) {
-    router_ = make_router(values(), 7);
+    router_ = make_router(test_settings(), 7);
     registry_ = std::make_unique<EndpointRegistry>(EndpointRegistry::Bounds{2000, 0.5, 30000});
     snapshot_builder_ = std::make_unique<SnapshotBuilder>(
         std::vector<RoutedRequestClass>{{"save", RoutedRequestClass::Needs::primary, 0},
@@ -117,35 +118,36 @@
     subscriptions_ = std::make_unique<Subscriptions>(bounds, service, ++epoch_);
   }
 
-  // "update 7 complete a:ready:0 b:draining:0": revision, kind, then id, state and group of each.
-  void list(std::istream& words) {
-    RegistryUpdate list;
+  // "update 7 complete|changes a:ready:0 b:draining:0 c:ready:0:9000": the revision and kind of the list,
+  // then the id, state, group and, optionally, start time of each server.
+  void apply_update(std::istream& words) {
+    RegistryUpdate update;
     std::string text;
-    std::string part;
-    words >> list.revision >> text;
-    list.kind = text == "changes" ? EndpointListKind::changes : EndpointListKind::complete;
+    std::string field_text;
+    words >> update.revision >> text;
+    update.kind = text == "changes" ? EndpointListKind::changes : EndpointListKind::complete;
     while (words >> text) {
       std::istringstream parts(text);
       RegistryEntry entry;
       std::getline(parts, entry.listed.id.address, ':');
-      std::getline(parts, part, ':');
-      entry.listed.state = part == "ready"      ? ServerState::ready
-                           : part == "draining" ? ServerState::draining
-                                                : ServerState::gone;
+      std::getline(parts, field_text, ':');
+      entry.listed.state = field_text == "ready"      ? ServerState::ready
+                           : field_text == "draining" ? ServerState::draining
+                                                      : ServerState::gone;
       parts >> entry.listed.group.number;
-      if (std::string rest; std::getline(parts, rest, ':') && std::getline(parts, rest, ':')) {
-        entry.listed.started_at = std::stod(rest);
+      if (std::string field; std::getline(parts, field, ':') && std::getline(parts, field, ':')) {
+        entry.listed.started_at = std::stod(field);
       }
       entry.endpoint = entry.listed.id.address + ":1";
-      list.members.push_back(entry);
+      update.members.push_back(entry);
     }
-    const auto out = registry_->apply_update(list, now_);
-    for (const ServerId& id : out) {
+    const auto withdrawn = registry_->apply_update(update, now_);
+    for (const ServerId& id : withdrawn) {
       std::cout << "  withdrawn: " << id.address << '\n';
     }
-    const char* const doubts[] = {"", "empty", "loss", "older-revision"};
+    const char* const verdict_names[] = {"", "empty", "loss", "older-revision"};
     if (registry_->verdict() != UpdateVerdict::accepted) {
-      std::cout << "  suspect: " << doubts[static_cast<int>(registry_->verdict())] << '\n';
+      std::cout << "  suspect: " << verdict_names[static_cast<int>(registry_->verdict())] << '\n';
     }
     if (!std::exchange(poll_at_, registry_->poll_at()) && registry_->poll_at()) {
       std::cout << "  requests complete list at " << *registry_->poll_at() << '\n';
@@ -153,8 +155,8 @@
     router_->enqueue(registry_->endpoint_list());
   }
 
-  void open(
-      std::istream& words) {  // "open-stream 1 sotw|incremental [ttl|valid-until] [weights] [session-tokens]"
+  // "open-stream 1 sotw|incremental [ttl|valid-until] [weights] [session-tokens]"
+  void open_stream(std::istream& words) {
     StreamId id;
     std::string text;
     words >> id.number >> text;
@@ -174,28 +176,28 @@
     if (!subscriptions_->open_stream(id, variant, capabilities, now_)) {
       std::cout << "  too many streams\n";
     }
-    last_[id];
-    whole_[id] = variant == ProtocolVariant::state_of_the_world;
+    last_responses_[id];
+    is_sotw_[id] = variant == ProtocolVariant::state_of_the_world;
   }
 
   // "subscribe 1 endpoints [name ...] [last=version] [nonce=n] [name=version ...]", "unsubscribe 1 endpoints
   // name ...", "ack 1 endpoints", "nack 1 endpoints reason".
-  void hear(const std::string& word, std::istream& words) {
+  void send_request(const std::string& word, std::istream& words) {
     StreamId id;
     std::string text;
     SubscriptionRequest request;
     words >> id.number >> text;
     request.type = parse_resource_type(text);
-    Last& last = last_[id][request.type];
+    LastResponse& last_response = last_responses_[id][request.type];
     if (word == "subscribe" || word == "unsubscribe") {
       while (words >> text) {
         if (text.starts_with("last=")) {
           request.version = text.substr(5);
         } else if (text.starts_with("nonce=")) {
           request.nonce = text.substr(6);
-        } else if (const auto sign = text.find('='); sign != std::string::npos) {
-          request.known_versions[text.substr(0, sign)] = text.substr(sign + 1);
-        } else if (text.starts_with("x*")) {  // many names, or a long one
+        } else if (const auto separator = text.find('='); separator != std::string::npos) {
+          request.known_versions[text.substr(0, separator)] = text.substr(separator + 1);
+        } else if (text.starts_with("x*")) {  // 20 names, more than the limit
           for (int i = 0; i < 20; ++i) {
             request.names.push_back(fmt::format("n{}", i));
           }
@@ -203,12 +205,12 @@
           (word == "subscribe" ? request.names : request.unsubscribed).push_back(text);
         }
       }
-      last.names = request.names;
+      last_response.names = request.names;
     } else {
-      request.nonce = last.nonce;
-      request.version = last.version;
-      if (whole_[id]) {
-        request.names = last.names;
+      request.nonce = last_response.nonce;
+      request.version = last_response.version;
+      if (is_sotw_[id]) {
+        request.names = last_response.names;
       }
       if (word == "nack") {
         std::getline(words >> std::ws, text);
@@ -218,26 +220,27 @@
     subscriptions_->on_request(id, request, now_);
   }
 
-  void settle() {
+  void process_events() {
     for (const Decision& decision : router_->process(now_)) {
-      if (const auto* forget = std::get_if<ForgetServer>(&decision)) {
-        std::cout << "  forget " << forget->server.address << '\n';
+      if (const auto* forgotten = std::get_if<ForgetServer>(&decision)) {
+        std::cout << "  forget " << forgotten->server.address << '\n';
       }
     }
-    for (int turn = 0; turn < 2; ++turn) {  // once more where abilities have changed
+    // The second round uses the snapshots for capabilities that the first round has changed.
+    for (int round = 0; round < 2; ++round) {
       subscriptions_->update_snapshots(
           snapshot_builder_->build(router_->view(), *registry_, subscriptions_->capabilities(), now_));
-      for (const StreamAction& act : subscriptions_->collect_actions(now_)) {
-        std::visit([this](const auto& a) { print(a); }, act);
+      for (const StreamAction& action : subscriptions_->collect_actions(now_)) {
+        std::visit([this](const auto& value) { print(value); }, action);
       }
     }
   }
 
   void print(const ResponseToSend& response) {
-    Last& last = last_[response.stream][response.type];
-    last.nonce = response.nonce, last.version = response.version;
+    LastResponse& last_response = last_responses_[response.stream][response.type];
+    last_response.nonce = response.nonce, last_response.version = response.version;
     std::cout << fmt::format("  {} {} {} {}{}\n", response.stream.number,
-                             kKindNames[static_cast<int>(response.type)], response.nonce, response.version,
+                             kTypeNames[static_cast<int>(response.type)], response.nonce, response.version,
                              response.urgent ? " urgent" : "");
     for (const ResponseToSend::Item& item : response.items) {
       std::cout << "    " << item.resource->name;
@@ -256,24 +259,25 @@
     }
   }
   static void print(const Cluster& cluster) {
-    for (const std::string& other : cluster.fallback_clusters) {
-      std::cout << " > " << other;
+    for (const std::string& fallback : cluster.fallback_clusters) {
+      std::cout << " > " << fallback;
     }
   }
   static void print(const Assignment& assignment) {
-    for (const Endpoint& e : assignment.endpoints) {
-      std::cout << fmt::format(" {}{}/{}", e.primary ? "*" : "", e.server.address, e.rank);
-      if (e.weight != 100) {
-        std::cout << fmt::format("x{}", e.weight);
+    for (const Endpoint& endpoint : assignment.endpoints) {
+      std::cout << fmt::format(" {}{}/{}", endpoint.primary ? "*" : "", endpoint.server.address,
+                               endpoint.rank);
+      if (endpoint.weight != 100) {
+        std::cout << fmt::format("x{}", endpoint.weight);
       }
-      if (e.health_status != HealthStatus::healthy) {
-        std::cout << (e.health_status == HealthStatus::draining ? " draining" : " unhealthy");
+      if (endpoint.health_status != HealthStatus::healthy) {
+        std::cout << (endpoint.health_status == HealthStatus::draining ? " draining" : " unhealthy");
       }
-      if (e.valid_until >= 0) {
-        std::cout << fmt::format(" valid-until {}", e.valid_until);
+      if (endpoint.valid_until >= 0) {
+        std::cout << fmt::format(" valid-until {}", endpoint.valid_until);
       }
-      if (e.position >= 0) {
-        std::cout << fmt::format(" position {}", e.position);
+      if (endpoint.position >= 0) {
+        std::cout << fmt::format(" position {}", endpoint.position);
       }
     }
   }
@@ -283,14 +287,14 @@
       std::cout << fmt::format("\n      {} {} to {}", route.group.number, route.request_class, route.cluster);
     }
   }
-  void print(const StreamToClose& end) {
-    std::cout << fmt::format("  {} closed: {}\n", end.stream.number, end.why);
+  void print(const StreamToClose& closure) {
+    std::cout << fmt::format("  {} closed: {}\n", closure.stream.number, closure.why);
   }
   void print(const OperatorNotice& notice) {
     std::cout << fmt::format("  {} {}: {}\n", notice.stream.number, notice.event, notice.detail);
   }
 
-  struct Last {
+  struct LastResponse {
     std::string nonce, version;
     std::vector<std::string> names;
   };
@@ -301,19 +305,19 @@
   std::unique_ptr<EndpointRegistry> registry_;
   std::unique_ptr<SnapshotBuilder> snapshot_builder_;
   std::unique_ptr<Subscriptions> subscriptions_;
-  std::map<StreamId, std::map<ResourceType, Last>> last_;
-  std::map<StreamId, bool> whole_;
+  std::map<StreamId, std::map<ResourceType, LastResponse>> last_responses_;
+  std::map<StreamId, bool> is_sotw_;
 };
 }  // namespace
 
 int main(int /*unused*/, char** argv) {
   std::ifstream file(argv[1]);
-  Play play;
+  TracePlayer player;
   for (std::string text; std::getline(file, text);) {
     if (text.starts_with("  ")) {
       continue;
     }
     std::cout << text << '\n';
-    play.line(text);
+    player.execute(text);
   }
 }
