--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -14,9 +14,9 @@
 #include <random>
 #include <thread>
 
-#include "testservers/proxies.hpp"
-#include "testservers/service.hpp"
-#include "testservers/world.hpp"
+#include "testservers/service_process.hpp"
+#include "testservers/test_environment.hpp"
+#include "testservers/xds_client.hpp"
 
 namespace {
 using namespace reedspindle::testservers;
@@ -41,10 +41,10 @@
   std::map<std::string, double> out;  // by proxy: the time from which it does not send there
 };
 
-bool has(const Proxy& proxy, const std::string& assignment, const std::string& member) {
+bool has(const XdsClient& proxy, const std::string& assignment, const std::string& member) {
   const auto handed = proxy.assignment(assignment);
-  return handed &&
-         std::ranges::any_of(*handed, [&](const Handed& h) { return h.server == member && h.healthy; });
+  return handed && std::ranges::any_of(
+                       *handed, [&](const ReceivedEndpoint& h) { return h.server == member && h.healthy; });
 }
 
 int run(const Wish& wish) {
@@ -53,8 +53,8 @@
     return 1;
   }
   const std::string folder = made;
-  World world(wish.members);
-  world.change([](auto& states) {
+  TestEnvironment world(wish.members);
+  world.update([](auto& states) {
     for (std::size_t i = 0; i < states.size(); ++i) {
       states[i].group = static_cast<int>(i) / kOfGroup, states[i].primary = i % kOfGroup == 0;
     }
@@ -63,7 +63,7 @@
   ServiceProcess service(wish.program, folder, "bench", world.discovery_address(),
                          "(proxies (most 5000)) (sockets 8192)");
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.wait_for_log("hands out")) {
     return 1;
   }
   std::vector<std::string> names;
@@ -76,7 +76,7 @@
   }
   Watch watch;
   std::atomic<bool> empty = false;
-  const auto look = [&](Proxy& proxy, const std::string&, double at) {
+  const auto look = [&](XdsClient& proxy, const std::string&, double at) {
     const std::lock_guard lock(watch.mutex);
     if (watch.server.empty()) {
       return;
@@ -92,19 +92,20 @@
       empty = true;
     }
   };
-  ProxyCan can{wish.changes, {"reedspindle.weights"}, "stand-in"};
+  ClientOptions can{wish.changes, {"reedspindle.weights"}, "stand-in"};
   if (wish.leases) {
     can.features.push_back("reedspindle.expiry.stated");
   }
-  const long alone = service.cost().resident;
+  const long alone = service.resource_usage().resident_kb;
   const double connect_from = now_ms();
-  std::vector<std::unique_ptr<Proxy>> proxies;
+  std::vector<std::unique_ptr<XdsClient>> proxies;
   for (int i = 0; i < wish.proxies; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{:04}", i), service.target(), can, names, look));
+    proxies.push_back(
+        std::make_unique<XdsClient>(fmt::format("p{:04}", i), service.target(), can, names, look));
   }
   const std::string last_any = fmt::format("group-{}.any", groups - 1);
   for (auto& proxy : proxies) {
-    if (!proxy->wait([&](const Proxy& p) { return p.assignments().size() == names.size(); }, 120000)) {
+    if (!proxy->wait([&](const XdsClient& p) { return p.assignments().size() == names.size(); }, 120000)) {
       std::cout << "not all proxies were told\n";
       return 1;
     }
@@ -122,7 +123,7 @@
   };
   const auto bytes_before = bytes_of();
   const double from = now_ms();
-  const double processor_before = service.cost().processor;
+  const double processor_before = service.resource_usage().processor_ms;
   int lost = 0;
   for (int round = 0; round < wish.rounds; ++round) {
     const int group =
@@ -136,11 +137,11 @@
     }
     if (wish.reconnect) {
       for (auto& proxy : proxies) {
-        proxy->come_back();
+        proxy->reconnect();
       }
     }
     const double told =
-        world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = true; });
+        world.update([store](auto& states) { states[static_cast<std::size_t>(store)].draining = true; });
     const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     for (bool all = false; !all && std::chrono::steady_clock::now() < give_up;) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -155,16 +156,18 @@
       }
       watch.server.clear();
     }
-    world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = false; });
+    world.update([store](auto& states) { states[static_cast<std::size_t>(store)].draining = false; });
     for (auto& proxy : proxies) {
       proxy->wait(
-          [&](const Proxy& p) { return has(p, fmt::format("group-{}.any", group), world.name_of(store)); },
+          [&](const XdsClient& p) {
+            return has(p, fmt::format("group-{}.any", group), world.name_of(store));
+          },
           30000);
     }
   }
   const double took = now_ms() - from;
   const auto bytes_after = bytes_of();
-  const ServiceProcess::Cost cost = service.cost();
+  const ServiceProcess::ResourceUsage cost = service.resource_usage();
   std::ranges::sort(delays);
   const double responses = bytes_after.second - bytes_before.second;
   std::cout << fmt::format(
@@ -177,8 +180,8 @@
       wish.leases ? "leases" : "none", part(delays, 0.5), part(delays, 0.99), part(delays, 1),
       std::ranges::count_if(delays, [](double d) { return d > 500; }), lost, all_told,
       (bytes_after.first - bytes_before.first) / std::max(1.0, responses),
-      (cost.processor - processor_before) / std::max(1.0, responses), responses / took * 1000 / wish.proxies,
-      (cost.resident - alone) / wish.proxies, alone);
+      (cost.processor_ms - processor_before) / std::max(1.0, responses),
+      responses / took * 1000 / wish.proxies, (cost.resident_kb - alone) / wish.proxies, alone);
 
   if (wish.kills > 0) {
     {
@@ -187,13 +190,13 @@
     }
     std::vector<double> times;
     for (int kill = 0; kill < wish.kills; ++kill) {
-      world.change([&](auto& states) {
+      world.update([&](auto& states) {
         const std::size_t one = chance() % states.size();
         states[one].draining = !states[one].draining && one % kOfGroup != 0;
       });
       std::this_thread::sleep_for(std::chrono::microseconds(chance() % 150000));
       std::vector<std::size_t> before;
-      service.end(SIGKILL);
+      service.stop(SIGKILL);
       for (auto& proxy : proxies) {
         before.push_back(proxy->responses());
       }
@@ -203,7 +206,7 @@
         continue;
       }
       for (std::size_t i = 0; i < proxies.size(); ++i) {
-        proxies[i]->wait([&](const Proxy& p) { return p.responses() >= before[i] + 2; }, 30000);
+        proxies[i]->wait([&](const XdsClient& p) { return p.responses() >= before[i] + 2; }, 30000);
       }
       times.push_back(now_ms() - down);
     }
--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -22,9 +22,9 @@
 #include <set>
 #include <thread>
 
-#include "testservers/proxies.hpp"
-#include "testservers/service.hpp"
-#include "testservers/world.hpp"
+#include "testservers/service_process.hpp"
+#include "testservers/test_environment.hpp"
+#include "testservers/xds_client.hpp"
 
 namespace {
 using namespace reedspindle::testservers;
@@ -36,8 +36,8 @@
 
 const std::vector<std::string> kNames = {"group-0.primary", "group-0.any", "group-0.within-1500ms",
                                          "group-0.members"};
-const ProxyCan kWhole{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
-const ProxyCan kChanges{true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
+const ClientOptions kWhole{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
+const ClientOptions kChanges{true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
 
 // One group: a primary and replicas.
 void one_group(std::vector<StoreState>& states) {
@@ -47,16 +47,18 @@
   }
 }
 
-bool names(const Proxy& proxy, const std::string& assignment, const std::string& member,
+bool names(const XdsClient& proxy, const std::string& assignment, const std::string& member,
            bool healthy = true) {
   const auto handed = proxy.assignment(assignment);
-  return handed && std::ranges::any_of(
-                       *handed, [&](const Handed& h) { return h.server == member && h.healthy == healthy; });
+  return handed && std::ranges::any_of(*handed, [&](const ReceivedEndpoint& h) {
+           return h.server == member && h.healthy == healthy;
+         });
 }
-std::string healthy_in(const Proxy& proxy, const std::string& assignment) {
+std::string healthy_in(const XdsClient& proxy, const std::string& assignment) {
   std::string text;
   std::map<unsigned, std::set<std::string>> by_priority;
-  for (const Handed& handed : proxy.assignment(assignment).value_or(std::vector<Handed>{})) {
+  for (const ReceivedEndpoint& handed :
+       proxy.assignment(assignment).value_or(std::vector<ReceivedEndpoint>{})) {
     if (handed.healthy) {
       by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
     }
@@ -68,24 +70,24 @@
   }
   return text;
 }
-bool any_empty(const Proxy& proxy) {
+bool any_empty(const XdsClient& proxy) {
   return std::ranges::any_of(proxy.assignments(), [](const auto& item) { return item.second.empty(); });
 }
-bool settled(const Proxy& proxy) {
+bool settled(const XdsClient& proxy) {
   return names(proxy, "group-0.primary", "s-000") && names(proxy, "group-0.any", "s-001") &&
          names(proxy, "group-0.any", "s-002");
 }
 
 // Both forms are told the same, follow a drain, a change of primary and a lagging replica.
 void basic() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  Proxy whole("w", service.target(), kWhole, kNames);
-  Proxy changes("c", service.target(), kChanges, kNames);
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("endpoints received", proxy->wait([](const Proxy& p) {
+  XdsClient whole("w", service.target(), kWhole, kNames);
+  XdsClient changes("c", service.target(), kChanges, kNames);
+  for (XdsClient* proxy : {&whole, &changes}) {
+    say("endpoints received", proxy->wait([](const XdsClient& p) {
       return settled(p) && names(p, "group-0.within-1500ms", "s-003") && names(p, "group-0.any", "s-003");
     }));
     say("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
@@ -93,47 +95,47 @@
     const auto clusters = proxy->clusters();
     say(fmt::format("clusters: {}", clusters.size()));
   }
-  world.quietly([](auto& states) { states[1].lag = 60000; });
-  for (Proxy* proxy : {&whole, &changes}) {
+  world.update_unpublished([](auto& states) { states[1].lag = 60000; });
+  for (XdsClient* proxy : {&whole, &changes}) {
     say("the lagging replica is out of bounded reads",
-        proxy->wait([](const Proxy& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
+        proxy->wait([](const XdsClient& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
   }
-  world.change([](auto& states) { states[3].draining = true; });
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("the draining server is out of reads", proxy->wait([](const Proxy& p) {
+  world.update([](auto& states) { states[3].draining = true; });
+  for (XdsClient* proxy : {&whole, &changes}) {
+    say("the draining server is out of reads", proxy->wait([](const XdsClient& p) {
       return !names(p, "group-0.any", "s-003") && names(p, "group-0.members", "s-003", false);
     }));
   }
-  world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("writes follow the new primary", proxy->wait([](const Proxy& p) {
+  world.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  for (XdsClient* proxy : {&whole, &changes}) {
+    say("writes follow the new primary", proxy->wait([](const XdsClient& p) {
       return names(p, "group-0.primary", "s-002") && !names(p, "group-0.primary", "s-000");
     }));
   }
-  service.end(SIGTERM);
-  say("logs its stop on SIGTERM", service.says("stops name=a"));
+  service.stop(SIGTERM);
+  say("logs its stop on SIGTERM", service.wait_for_log("stops name=a"));
 }
 
 // A drain heard while every stream is down, by the service killed and started again, with discovery silent:
 // the drained member never comes back, and no roster is empty.
 void drain_while_down() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
   std::atomic<bool> drained = false;
   std::atomic<bool> brought_back = false;
   std::atomic<bool> empty = false;
-  const auto look = [&](Proxy& proxy, const std::string&, double) {
+  const auto look = [&](XdsClient& proxy, const std::string&, double) {
     empty = empty || any_empty(proxy);
     if (drained && names(proxy, "group-0.any", "s-002")) {
       brought_back = true;
     }
   };
-  std::vector<std::unique_ptr<Proxy>> proxies;
+  std::vector<std::unique_ptr<XdsClient>> proxies;
   for (int i = 0; i < 6; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(),
-                                              i % 2 ? kChanges : kWhole, kNames, look));
+    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(),
+                                                  i % 2 ? kChanges : kWhole, kNames, look));
   }
   for (auto& proxy : proxies) {
     if (!proxy->wait(settled)) {
@@ -141,28 +143,28 @@
     }
   }
   // Down, then heard by the next start alone.
-  service.end(SIGKILL);
-  world.change([](auto& states) { states[2].draining = true; });
+  service.stop(SIGKILL);
+  world.update([](auto& states) { states[2].draining = true; });
   service.start();
-  say("drain read by the restarted service", service.says("hands out"));
+  say("drain read by the restarted service", service.wait_for_log("hands out"));
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); })) {
+    if (!proxy->wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); })) {
       return say("a proxy still uses the drained server");
     }
   }
   drained = true;
   // The store has it now; with discovery silent the next start goes by that.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  world.discovery(Manner::silent);
+  world.set_discovery_mode(DiscoveryMode::silent);
   for (int round = 0; round < 3; ++round) {
     std::vector<int> before;
     for (auto& proxy : proxies) {
       before.push_back(static_cast<int>(proxy->responses()));
     }
-    service.end(SIGKILL);
+    service.stop(SIGKILL);
     service.start();
     for (std::size_t i = 0; i < proxies.size(); ++i) {
-      if (!proxies[i]->wait([&](const Proxy& p) {
+      if (!proxies[i]->wait([&](const XdsClient& p) {
             return static_cast<int>(p.responses()) > before[i] + 1 && names(p, "group-0.any", "s-001");
           })) {
         return say("a proxy received no endpoints after the restart");
@@ -175,8 +177,8 @@
 
 // Killed at random moments while drains come and go: no empty roster, nothing brought back, versions rise.
 void crashes() {
-  World world(6);
-  world.change(one_group);
+  TestEnvironment world(6);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
   std::atomic<bool> empty = false;
@@ -185,8 +187,8 @@
   std::atomic<int> drained = -1;
   std::mutex mutex;
   std::map<std::string, std::pair<long long, long long>> last;  // epoch and change, by proxy
-  std::vector<std::unique_ptr<Proxy>> proxies;
-  const auto look = [&](Proxy& proxy, const std::string& type, double) {
+  std::vector<std::unique_ptr<XdsClient>> proxies;
+  const auto look = [&](XdsClient& proxy, const std::string& type, double) {
     empty = empty || any_empty(proxy);
     long long revision = 0;
     long long epoch = 0;
@@ -203,25 +205,26 @@
     of = {epoch, change};
   };
   for (int i = 0; i < 4; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(), kWhole, kNames, look));
+    proxies.push_back(
+        std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(), kWhole, kNames, look));
   }
   std::minstd_rand chance(11);
   for (int kill = 0; kill < 25; ++kill) {
     const int out = 1 + static_cast<int>(chance() % 5);
-    world.change([out](auto& states) {
+    world.update([out](auto& states) {
       for (int i = 1; i < 6; ++i) {
         states[static_cast<std::size_t>(i)].draining = i == out;
       }
     });
     std::this_thread::sleep_for(std::chrono::microseconds(chance() % 120000));
-    service.end(SIGKILL);
+    service.stop(SIGKILL);
     service.start();
     if (kill % 5 != 4) {
       continue;
     }
     // Let it come up and see that everyone has the latest.
     for (auto& proxy : proxies) {
-      if (!proxy->wait([&](const Proxy& p) {
+      if (!proxy->wait([&](const XdsClient& p) {
             return !names(p, "group-0.any", world.name_of(out)) &&
                    names(p, "group-0.members", world.name_of(out), false);
           })) {
@@ -237,23 +240,23 @@
 
 // The newest generations of the store are damaged in turn, then all, then of an older form.
 void damaged_store() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.wait_for_log("hands out")) {
     return say("not started");
   }
-  world.change([](auto& states) { states[2].draining = true; });
-  if (!service.says("member=s-002")) {
+  world.update([](auto& states) { states[2].draining = true; });
+  if (!service.wait_for_log("member=s-002")) {
     return say("drain not received");
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  service.end(SIGKILL);
-  world.discovery(Manner::silent);
+  service.stop(SIGKILL);
+  world.set_discovery_mode(DiscoveryMode::silent);
   const auto newest_first = [&] {
     std::vector<std::string> files;
-    for (const auto& entry : std::filesystem::directory_iterator(service.keep())) {
+    for (const auto& entry : std::filesystem::directory_iterator(service.state_folder())) {
       if (entry.path().filename().string().starts_with("state.")) {
         files.push_back(entry.path());
       }
@@ -263,136 +266,138 @@
   };
   std::filesystem::resize_file(newest_first().front(), 100);
   service.start();
-  Proxy proxy("p", service.target(), kWhole, kNames);
+  XdsClient proxy("p", service.target(), kWhole, kNames);
   say("the previous generation is used",
-      proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("damage to the newest generation is logged", service.says("its length is not the one it states"));
-  service.end(SIGKILL);
+      proxy.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
+  say("damage to the newest generation is logged",
+      service.wait_for_log("its length is not the one it states"));
+  service.stop(SIGKILL);
   for (const std::string& file : newest_first()) {
     std::ofstream(file) << "RSKEEP\r\nolder";
   }
   service.start();
-  say("damage to every generation is logged", service.says("it is cut short"));
-  Proxy fresh("f", service.target(), kWhole, kNames);
+  say("damage to every generation is logged", service.wait_for_log("it is cut short"));
+  XdsClient fresh("f", service.target(), kWhole, kNames);
   say("no response without an endpoint list",
-      !fresh.wait([](const Proxy& p) { return p.responses() > 0; }, 700));
-  world.discovery(Manner::answers);
+      !fresh.wait([](const XdsClient& p) { return p.responses() > 0; }, 700));
+  world.set_discovery_mode(DiscoveryMode::normal);
   say("responses resume with an endpoint list",
-      fresh.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
+      fresh.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
   say("epochs keep increasing",
       std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
 }
 
 // TestDiscovery empty, then back in its revisions, then whole again.
 void suspect_lists() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(),
                          "(roster (confirm 300ms) (older-list 1h))");
   service.start();
   std::atomic<bool> empty = false;
-  Proxy proxy("p", service.target(), kWhole, kNames,
-              [&](Proxy& p, const std::string&, double) { empty = empty || any_empty(p); });
+  XdsClient proxy("p", service.target(), kWhole, kNames,
+                  [&](XdsClient& p, const std::string&, double) { empty = empty || any_empty(p); });
   say("endpoints received", proxy.wait(settled));
-  world.discovery(Manner::empty_list);
-  world.change([](auto&) {});
-  say("an empty list is suspect", service.says("why=\"it is empty\""));
-  world.discovery(Manner::answers);
-  world.change([](auto& states) { states[1].draining = true; });
+  world.set_discovery_mode(DiscoveryMode::empty_list);
+  world.update([](auto&) {});
+  say("an empty list is suspect", service.wait_for_log("why=\"it is empty\""));
+  world.set_discovery_mode(DiscoveryMode::normal);
+  world.update([](auto& states) { states[1].draining = true; });
   say("the next complete list is accepted",
-      proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-001"); }));
-  world.revision(0);
-  world.change([](auto& states) { states[1].draining = false, states[2].draining = true; });
-  say("a list of an older revision is suspect", service.says("why=\"its revision is older\""));
+      proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-001"); }));
+  world.set_revision(0);
+  world.update([](auto& states) { states[1].draining = false, states[2].draining = true; });
+  say("a list of an older revision is suspect", service.wait_for_log("why=\"its revision is older\""));
   say("a suspect list withdraws a server",
-      proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+      proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
   say("a suspect list restores a server", names(proxy, "group-0.any", "s-001"));
-  world.revision(100);
-  world.change([](auto&) {});
+  world.set_revision(100);
+  world.update([](auto&) {});
   say("a list of a newer revision restores the server",
-      proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
+      proxy.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
   say("an empty assignment", empty);
 }
 
 // Two services side by side, of which one hears of a drain and the other does not: a proxy that changes to
 // the other in mid-drain is left with what it knows, until that one has heard, too.
 void two_services() {
-  World world(4);
-  World behind(4);
-  world.change(one_group), behind.change(one_group);
+  TestEnvironment world(4);
+  TestEnvironment behind(4);
+  world.update(one_group), behind.update(one_group);
   ServiceProcess one(program, folder, "a", world.discovery_address());
   ServiceProcess other(program, folder, "b", behind.discovery_address());
   one.start(), other.start();
-  if (!one.says("hands out") || !other.says("hands out")) {
+  if (!one.wait_for_log("hands out") || !other.wait_for_log("hands out")) {
     return say("not started");
   }
-  for (const ProxyCan& can : {kWhole, kChanges}) {
-    world.change([](auto& states) { states[2].draining = false; });
+  for (const ClientOptions& can : {kWhole, kChanges}) {
+    world.update([](auto& states) { states[2].draining = false; });
     std::atomic<bool> drained = false;
     std::atomic<bool> back = false;
-    Proxy proxy("p", one.target(), can, kNames, [&](Proxy& p, const std::string&, double) {
+    XdsClient proxy("p", one.target(), can, kNames, [&](XdsClient& p, const std::string&, double) {
       if (drained && names(p, "group-0.any", "s-002")) {
         back = true;
       }
     });
     say("endpoints received from the first service", proxy.wait(settled));
-    world.change([](auto& states) { states[2].draining = true; });
+    world.update([](auto& states) { states[2].draining = true; });
     say("drain received from the first service",
-        proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+        proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
     drained = true;
-    proxy.come_back(other.target());
+    proxy.reconnect(other.target());
     // What the other knows is older: nothing is told for as long as that is so.
     say("endpoints received from a second service with an older revision",
-        proxy.wait([](const Proxy& p) { return p.last_version().ends_with(".b"); }, 700));
+        proxy.wait([](const XdsClient& p) { return p.last_version().ends_with(".b"); }, 700));
     long long revision = 0;
     std::sscanf(proxy.last_version().c_str(), "r%lld", &revision);
-    behind.revision(revision);
-    behind.change([](auto& states) { states[2].draining = true; });
+    behind.set_revision(revision);
+    behind.update([](auto& states) { states[2].draining = true; });
     say("endpoints received from the second service at the same revision",
-        proxy.wait([&](const Proxy& p) { return p.last_version().ends_with(".b"); }));
+        proxy.wait([&](const XdsClient& p) { return p.last_version().ends_with(".b"); }));
     say("drained server restored", back);
-    behind.change([](auto& states) { states[2].draining = false; });
-    world.revision(revision + 10);
+    behind.update([](auto& states) { states[2].draining = false; });
+    world.set_revision(revision + 10);
   }
 }
 
 // A proxy that stops reading, one that says nothing to what it is sent, one that turns everything down:
 // others are told all the same, and the three are let go or left in peace.
 void slow_clients() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (unread 1s))");
   service.start();
-  Proxy well("well", service.target(), kWhole, kNames);
-  Proxy deaf("deaf", service.target(), kWhole, kNames);
-  Proxy mute("mute", service.target(), kWhole, kNames);
-  Proxy contrary("contrary", service.target(), kChanges, kNames);
-  for (Proxy* proxy : {&well, &deaf, &mute, &contrary}) {
+  XdsClient well("well", service.target(), kWhole, kNames);
+  XdsClient deaf("deaf", service.target(), kWhole, kNames);
+  XdsClient mute("mute", service.target(), kWhole, kNames);
+  XdsClient contrary("contrary", service.target(), kChanges, kNames);
+  for (XdsClient* proxy : {&well, &deaf, &mute, &contrary}) {
     say("endpoints received", proxy->wait(settled));
   }
-  deaf.reads = false, mute.answers = false, contrary.turns_down = true;
+  deaf.reads = false, mute.acknowledges = false, contrary.rejects_endpoints = true;
   for (int turn = 0; turn < 30; ++turn) {
-    world.change([turn](auto& states) { states[2].draining = turn % 2 == 0; });
-    if (!well.wait([turn](const Proxy& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
+    world.update([turn](auto& states) { states[2].draining = turn % 2 == 0; });
+    if (!well.wait(
+            [turn](const XdsClient& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
       return say("the healthy client did not receive an update");
     }
   }
   say("the client that acknowledges nothing is disconnected",
-      service.says("node=mute why=\"it does not answer\""));
+      service.wait_for_log("node=mute why=\"it does not answer\""));
   const auto before = contrary.responses();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   say("rejected response resent in a loop", contrary.responses() > before + 3);
   say("the reason for the rejection is logged",
-      service.says("turned down node=contrary why=\"turned down on purpose\""));
+      service.wait_for_log("turned down node=contrary why=\"turned down on purpose\""));
 }
 
 // Noise on the port, half a handshake, streams that say nothing, names by thousands.
 void hostile_clients() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (most 4) (names 100))");
   service.start();
-  Proxy well("well", service.target(), kWhole, kNames);
+  XdsClient well("well", service.target(), kWhole, kNames);
   say("endpoints received", well.wait(settled));
   std::minstd_rand chance(3);
   std::vector<int> open;
@@ -419,18 +424,18 @@
   for (int i = 0; i < 5000; ++i) {
     many.push_back(fmt::format("nobody-{}", i));
   }
-  Proxy greedy("greedy", target, kChanges, many);
+  XdsClient greedy("greedy", target, kChanges, many);
   say("the client that subscribes to too many names is disconnected",
-      service.says("node=greedy why=\"more than 100 names\""));
+      service.wait_for_log("node=greedy why=\"more than 100 names\""));
   greedy.stop();
-  std::vector<std::unique_ptr<Proxy>> crowd;
+  std::vector<std::unique_ptr<XdsClient>> crowd;
   for (int i = 0; i < 8; ++i) {
-    crowd.push_back(std::make_unique<Proxy>(fmt::format("crowd-{}", i), target, kWhole, kNames));
+    crowd.push_back(std::make_unique<XdsClient>(fmt::format("crowd-{}", i), target, kWhole, kNames));
   }
-  say("the number of streams is limited", service.says("not taken"));
-  world.change([](auto& states) { states[2].draining = true; });
+  say("the number of streams is limited", service.wait_for_log("not taken"));
+  world.update([](auto& states) { states[2].draining = true; });
   say("the healthy client still receives updates",
-      well.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+      well.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
   say("the healthy client kept its first stream", well.streams() == 1);
   for (const int fd : open) {
     close(fd);
@@ -440,22 +445,22 @@
 // Stand-in proxies send reads by what they were handed while replicas stall and streams are cut; what they
 // read is held against what the bound allows.
 void staleness_bound() {
-  World world(5);
-  world.change(one_group);
+  TestEnvironment world(5);
+  world.update(one_group);
   ServiceProcess service(program, folder, "a", world.discovery_address());
   service.start();
-  std::vector<std::unique_ptr<Proxy>> proxies;
+  std::vector<std::unique_ptr<XdsClient>> proxies;
   for (int i = 0; i < 6; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(
+    proxies.push_back(std::make_unique<XdsClient>(
         fmt::format("p{}", i), service.target(),
-        i % 3 == 2 ? ProxyCan{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "stand-in"}
+        i % 3 == 2 ? ClientOptions{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "stand-in"}
         : i % 3    ? kChanges
                    : kWhole,
         std::vector<std::string>{"group-0.within-1500ms", "group-0.within-1500ms.replicas",
                                  "group-0.primary"}));
   }
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const Proxy& p) { return names(p, "group-0.primary", "s-000"); })) {
+    if (!proxy->wait([](const XdsClient& p) { return names(p, "group-0.primary", "s-000"); })) {
       return say("endpoints not received");
     }
   }
@@ -471,7 +476,7 @@
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(8);
   for (unsigned turn = 0; std::chrono::steady_clock::now() < end; ++turn) {
     if (turn % 400 == 0) {
-      world.quietly([&](auto& states) {
+      world.update_unpublished([&](auto& states) {
         for (std::size_t i = 1; i < states.size(); ++i) {
           const bool stalls = chance() % 3 == 0;
           if (stalls && states[i].stalled_at < 0) {
@@ -482,7 +487,7 @@
           }
         }
       });
-      proxies[chance() % proxies.size()]->come_back();
+      proxies[chance() % proxies.size()]->reconnect();
     }
     if (turn == 4000) {
       kill(service.pid(), SIGSTOP);  // nothing more is heard of us
@@ -493,12 +498,12 @@
     const std::vector<double> positions = world.positions();
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       const double now = now_ms();
-      auto to = proxies[i]->pick("group-0.within-1500ms", now, turn);
+      auto to = proxies[i]->pick_endpoint("group-0.within-1500ms", now, turn);
       if (!to) {
-        to = proxies[i]->pick("group-0.within-1500ms.replicas", now, turn);
+        to = proxies[i]->pick_endpoint("group-0.within-1500ms.replicas", now, turn);
       }
       if (!to) {
-        to = proxies[i]->pick("group-0.primary", now, turn);
+        to = proxies[i]->pick_endpoint("group-0.primary", now, turn);
       }
       ++reads;
       if (!to) {
@@ -520,8 +525,8 @@
 // Certificates: a proxy with one of the right issuer is taken, one without is not; new files count without a
 // restart.
 void tls() {
-  World world(3);
-  world.change(one_group);
+  TestEnvironment world(3);
+  world.update(one_group);
   const auto run = [](const std::string& command) {
     if (std::system((command + " >/dev/null 2>&1").c_str()) != 0) {
       say("failed: " + command);
@@ -558,7 +563,7 @@
           "(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") (proxies \"{0}/ours.pem\"))",
           folder));
   service.start();
-  if (!service.says("hands out")) {
+  if (!service.wait_for_log("hands out")) {
     return say("not started");
   }
   const auto proxy_of = [&](const std::string& name) {
@@ -567,12 +572,12 @@
     if (!name.empty()) {
       options.pem_private_key = read(name + ".key"), options.pem_cert_chain = read(name + ".pem");
     }
-    auto target = std::make_unique<Proxy>("p", service.target(), kWhole, kNames, Proxy::Applied{},
-                                          grpc::SslCredentials(options));
+    auto target = std::make_unique<XdsClient>("p", service.target(), kWhole, kNames,
+                                              XdsClient::AppliedCallback{}, grpc::SslCredentials(options));
     return target;
   };
   const auto taken = [&](const std::string& name, int ms) {
-    return proxy_of(name)->wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }, ms);
+    return proxy_of(name)->wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }, ms);
   };
   say("client certificate of the trusted issuer accepted", taken("proxy", 10000));
   say("client certificate of another issuer accepted", taken("stranger", 700));
@@ -623,8 +628,8 @@
 
 // The xDS client inside the gRPC library, which nobody here wrote, follows primary, replicas and drains.
 void grpc_client() {
-  World world(4);
-  world.change(one_group);
+  TestEnvironment world(4);
+  world.update(one_group);
   std::vector<std::unique_ptr<Named>> named;
   std::vector<std::unique_ptr<grpc::Server>> servers;
   for (int store = 0; store < world.size(); ++store) {
@@ -696,14 +701,14 @@
   say("reports go to replicas", becomes("report", " s-001 s-002 s-003"));
   say("bounded reads go to the primary, since the client does not expire endpoints",
       becomes("browse", " s-000"));
-  world.change([](auto& states) { states[1].draining = true; });
+  world.update([](auto& states) { states[1].draining = true; });
   say("reads follow a drain", becomes("report", " s-002 s-003"));
-  world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  world.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
   say("writes follow a new primary", becomes("save", " s-002"));
   say("the former primary serves reads as a replica", becomes("report", " s-000 s-003"));
-  service.end(SIGKILL);
+  service.stop(SIGKILL);
   say("calls continue while the service is down", becomes("save", " s-002"));
-  world.change([](auto& states) { states[3].draining = true; });
+  world.update([](auto& states) { states[3].draining = true; });
   service.start();
   say("reads follow a drain after the restart", becomes("report", " s-000"));
 }
--- a/testservers/service.cpp
+++ b/testservers/service_process.cpp
@@ -1,4 +1,4 @@
-#include "testservers/service.hpp"
+#include "testservers/service_process.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -16,33 +16,34 @@
 
 namespace reedspindle::testservers {
 
-std::string own_address() {
+std::string unused_address() {
   static int last = 18000;
   const int pid = getpid();
   return fmt::format("127.{}.{}.{}:{}", 64 + (pid >> 16 & 63), pid >> 8 & 255, pid & 255, ++last);
 }
 
 ServiceProcess::ServiceProcess(std::string program, std::string folder, std::string name,
-                               std::string discovery, std::string more_of_control, std::string other_lists)
+                               std::string discovery, std::string control_settings,
+                               std::string request_classes)
     : program_(std::move(program)),
       folder_(std::move(folder)),
       name_(std::move(name)),
-      address_(own_address()) {
-  file_ = folder_ + "/" + name_ + ".sexp", log_ = folder_ + "/" + name_ + ".log";
-  if (other_lists.empty()) {
-    other_lists =
+      address_(unused_address()) {
+  settings_path_ = folder_ + "/" + name_ + ".sexp", log_path_ = folder_ + "/" + name_ + ".log";
+  if (request_classes.empty()) {
+    request_classes =
         "(op-type (name save) (needs write)) (op-type (name browse) (needs bounded) (bound 1500ms))"
         "(op-type (name own) (needs session)) (op-type (name report) (needs any))";
   }
-  std::ofstream(file_) << fmt::format(
+  std::ofstream(settings_path_) << fmt::format(
       "(reedspindle (log (lines-of-a-kind 100000)) {}\n (control (name {}) (listen \"{}\")\n"
       "  (discovery \"{}\") (keep \"{}\") {}))\n",
-      other_lists, name_, address_, discovery, keep(), more_of_control);
+      request_classes, name_, address_, discovery, state_folder(), control_settings);
 }
 
 ServiceProcess::~ServiceProcess() {
   if (pid_ > 0) {
-    end(SIGKILL);
+    stop(SIGKILL);
   }
 }
 
@@ -52,13 +53,13 @@
     return;
   }
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  const int log = open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+  const int log = open(log_path_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   dup2(log, STDERR_FILENO);
-  execl(program_.c_str(), program_.c_str(), "run", file_.c_str(), nullptr);
+  execl(program_.c_str(), program_.c_str(), "run", settings_path_.c_str(), nullptr);
   _exit(127);
 }
 
-void ServiceProcess::end(int signal) {
+void ServiceProcess::stop(int signal) {
   kill(pid_, signal);
   wait();
 }
@@ -72,12 +73,12 @@
 std::string ServiceProcess::target() const { return address_; }
 
 std::string ServiceProcess::log() const {
-  std::ifstream file(log_);
+  std::ifstream file(log_path_);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-bool ServiceProcess::says(const std::string& text) const {
-  for (int turn = 0; turn < 1000; ++turn) {
+bool ServiceProcess::wait_for_log(const std::string& text) const {
+  for (int attempt = 0; attempt < 1000; ++attempt) {
     if (log().find(text) != std::string::npos) {
       return true;
     }
@@ -86,15 +87,15 @@
   return false;
 }
 
-ServiceProcess::Cost ServiceProcess::cost() const {
-  Cost cost;
+ServiceProcess::ResourceUsage ServiceProcess::resource_usage() const {
+  ResourceUsage usage;
   std::ifstream status(fmt::format("/proc/{}/status", pid_));
   for (std::string line; std::getline(status, line);) {
     if (line.starts_with("VmRSS:")) {
-      cost.resident = std::stol(line.substr(6));
+      usage.resident_kb = std::stol(line.substr(6));
     }
     if (line.starts_with("VmHWM:")) {
-      cost.most = std::stol(line.substr(6));
+      usage.peak_resident_kb = std::stol(line.substr(6));
     }
   }
   std::ifstream stat(fmt::format("/proc/{}/stat", pid_));
@@ -102,13 +103,13 @@
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string field;
   double ticks = 0;
-  for (int at = 3; fields >> field && at <= 15; ++at) {
-    if (at == 14 || at == 15) {
+  for (int index = 3; fields >> field && index <= 15; ++index) {
+    if (index == 14 || index == 15) {
       ticks += std::stod(field);
     }
   }
-  cost.processor = ticks * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
-  return cost;
+  usage.processor_ms = ticks * 1000 / static_cast<double>(sysconf(_SC_CLK_TCK));
+  return usage;
 }
 
 }  // namespace reedspindle::testservers
--- a/testservers/service.hpp
+++ b/testservers/service_process.hpp
@@ -11,33 +11,33 @@
  public:
   // The folder holds its file, what it keeps and its log. Of the text, $PORT and $KEEP are filled in.
   ServiceProcess(std::string program, std::string folder, std::string name, std::string discovery,
-                 std::string more_of_control = "", std::string other_lists = "");
+                 std::string control_settings = "", std::string request_classes = "");
   ~ServiceProcess();
 
   void start();
-  void end(int signal);  // and waits for it; returns when it is gone
-  int wait();            // its exit code, or below 0: the signal it died by
+  void stop(int signal);  // and waits for it; returns when it is gone
+  int wait();             // its exit code, or below 0: the signal it died by
   std::string target() const;
   std::string log() const;
   // Waits until the log says so, for ten seconds.
-  bool says(const std::string& text) const;
-  std::string keep() const { return folder_ + "/" + name_ + "-keep"; }
+  bool wait_for_log(const std::string& text) const;
+  std::string state_folder() const { return folder_ + "/" + name_ + "-keep"; }
   pid_t pid() const { return pid_; }
   // KB resident now and at most, ms of processor time.
-  struct Cost {
-    long resident = 0, most = 0;
-    double processor = 0;
+  struct ResourceUsage {
+    long resident_kb = 0, peak_resident_kb = 0;
+    double processor_ms = 0;
   };
-  Cost cost() const;
+  ResourceUsage resource_usage() const;
 
  private:
   const std::string program_, folder_, name_;
-  std::string file_, log_, address_;
+  std::string settings_path_, log_path_, address_;
   pid_t pid_ = 0;
 };
 
 // An address and a port on loopback that no other process of these tests uses: outgoing connections leave
 // from another address, so it stays free while the service is down.
-std::string own_address();
+std::string unused_address();
 
 }  // namespace reedspindle::testservers
--- a/testservers/world.cpp
+++ b/testservers/test_environment.cpp
@@ -1,4 +1,4 @@
-#include "testservers/world.hpp"
+#include "testservers/test_environment.hpp"
 
 #include <fmt/format.h>
 
@@ -21,35 +21,37 @@
       .count();
 }
 
-World::World(int stores)
+TestEnvironment::TestEnvironment(int stores)
     : timers_(io_, clock_),
       stores_(io_, timers_, clock_,
               std::vector<asio::ip::tcp::endpoint>(static_cast<std::size_t>(stores), kAnyPort), {}, 1),
-      discovery_(io_, timers_, clock_, kAnyPort, [this](long long) { return list(); }) {
+      discovery_(io_, timers_, clock_, kAnyPort, [this](long long) { return endpoint_list(); }) {
   thread_ = std::thread([this] {
     const auto work = asio::make_work_guard(io_);
     io_.run();
   });
 }
 
-World::~World() {
+TestEnvironment::~TestEnvironment() {
   io_.stop();
   thread_.join();
 }
 
-void World::on_loop(const std::function<void()>& done) const {
-  std::promise<void> over;
+void TestEnvironment::run_on_loop(const std::function<void()>& action) const {
+  std::promise<void> finished;
   asio::post(io_, [&] {
-    done();
-    over.set_value();
+    action();
+    finished.set_value();
   });
-  over.get_future().wait();
+  finished.get_future().wait();
 }
 
-std::string World::discovery_address() const { return config::format_endpoint(discovery_.at()); }
-std::string World::name_of(int store) const { return fmt::format("s-{:03}", store); }
-std::string World::address_of(int store) const { return config::format_endpoint(stores_.at(store)); }
-int World::store_at(const std::string& address) const {
+std::string TestEnvironment::discovery_address() const { return config::format_endpoint(discovery_.at()); }
+std::string TestEnvironment::name_of(int store) const { return fmt::format("s-{:03}", store); }
+std::string TestEnvironment::address_of(int store) const {
+  return config::format_endpoint(stores_.at(store));
+}
+int TestEnvironment::store_at(const std::string& address) const {
   for (int store = 0; store < size(); ++store) {
     if (address_of(store) == address) {
       return store;
@@ -58,21 +60,21 @@
   return -1;
 }
 
-void World::apply(const std::function<void(std::vector<StoreState>&)>& by) {
+void TestEnvironment::apply_change(const std::function<void(std::vector<StoreState>&)>& change) {
   std::vector<StoreState> states;
   for (int store = 0; store < size(); ++store) {
     states.push_back(stores_.state(store));
   }
-  by(states);
+  change(states);
   for (int store = 0; store < size(); ++store) {
     stores_.state(store) = states[static_cast<std::size_t>(store)];
   }
 }
 
-double World::change(const std::function<void(std::vector<StoreState>&)>& by) {
+double TestEnvironment::update(const std::function<void(std::vector<StoreState>&)>& change) {
   double at = 0;
-  on_loop([&] {
-    apply(by);
+  run_on_loop([&] {
+    apply_change(change);
     ++revision_;
     discovery_.changed();
     at = now_ms();
@@ -80,45 +82,45 @@
   return at;
 }
 
-void World::quietly(const std::function<void(std::vector<StoreState>&)>& by) {
-  on_loop([&] { apply(by); });
+void TestEnvironment::update_unpublished(const std::function<void(std::vector<StoreState>&)>& change) {
+  run_on_loop([&] { apply_change(change); });
 }
-void World::pass_http2(int store, int port) {
-  on_loop([&] { stores_.pass_http2(store, port); });
+void TestEnvironment::pass_http2(int store, int port) {
+  run_on_loop([&] { stores_.pass_http2(store, port); });
 }
 
-void World::discovery(Manner manner) {
-  on_loop([&] {
-    manner_ = manner;
-    discovery_.be_silent(manner == Manner::silent);
+void TestEnvironment::set_discovery_mode(DiscoveryMode mode) {
+  run_on_loop([&] {
+    discovery_mode_ = mode;
+    discovery_.be_silent(mode == DiscoveryMode::silent);
   });
 }
-void World::revision(long long to) {
-  on_loop([&] { revision_ = to; });
+void TestEnvironment::set_revision(long long revision) {
+  run_on_loop([&] { revision_ = revision; });
 }
-std::vector<double> World::positions() const {
+std::vector<double> TestEnvironment::positions() const {
   std::vector<double> positions;
-  on_loop([&] {
+  run_on_loop([&] {
     for (int store = 0; store < size(); ++store) {
       positions.push_back(stores_.position(store));
     }
   });
   return positions;
 }
-StoreState World::state(int store) const {
+StoreState TestEnvironment::state(int store) const {
   StoreState state;
-  on_loop([&] { state = stores_.state(store); });
+  run_on_loop([&] { state = stores_.state(store); });
   return state;
 }
-long long World::probes() const {
+long long TestEnvironment::probes() const {
   std::uint64_t probes = 0;
-  on_loop([&] { probes = stores_.probes(); });
+  run_on_loop([&] { probes = stores_.probes(); });
   return static_cast<long long>(probes);
 }
 
-faulttest::TestDiscovery::Now World::list() const {
+faulttest::TestDiscovery::Now TestEnvironment::endpoint_list() const {
   nlohmann::json targets = nlohmann::json::array();
-  for (int store = 0; manner_ != Manner::empty_list && store < size(); ++store) {
+  for (int store = 0; discovery_mode_ != DiscoveryMode::empty_list && store < size(); ++store) {
     const StoreState& state = stores_.state(store);
     if (!state.listed) {
       continue;
--- a/testservers/world.hpp
+++ b/testservers/test_environment.hpp
@@ -16,13 +16,13 @@
 
 double now_ms();  // Unix ms with fractions
 
-enum class Manner { answers, silent, empty_list };
+enum class DiscoveryMode { normal, silent, empty_list };
 using faulttest::StoreState;
 
-class World {
+class TestEnvironment {
  public:
-  explicit World(int stores);
-  ~World();
+  explicit TestEnvironment(int stores);
+  ~TestEnvironment();
 
   std::string discovery_address() const;
   std::string name_of(int store) const;
@@ -32,11 +32,11 @@
 
   // Changes the stores by a function, then tells of it under a new revision, and returns when all that watch
   // are being written to (or at once, when discovery says nothing). Returns the time of the writing.
-  double change(const std::function<void(std::vector<StoreState>&)>& by);
+  double update(const std::function<void(std::vector<StoreState>&)>& change);
   // Without a word of discovery.
-  void quietly(const std::function<void(std::vector<StoreState>&)>& by);
-  void discovery(Manner manner);
-  void revision(long long to);  // from here on
+  void update_unpublished(const std::function<void(std::vector<StoreState>&)>& change);
+  void set_discovery_mode(DiscoveryMode mode);
+  void set_revision(long long revision);  // from here on
   // What begins as HTTP/2 at a store is passed on to this port, where a server of the test answers.
   void pass_http2(int store, int port);
   // Where each store truly stands now.
@@ -46,16 +46,16 @@
 
  private:
   // Done on the loop's thread, before it returns.
-  void on_loop(const std::function<void()>& done) const;
-  void apply(const std::function<void(std::vector<StoreState>&)>& by);
-  faulttest::TestDiscovery::Now list() const;
+  void run_on_loop(const std::function<void()>& action) const;
+  void apply_change(const std::function<void(std::vector<StoreState>&)>& change);
+  faulttest::TestDiscovery::Now endpoint_list() const;
 
   mutable asio::io_context io_;
   const net::Clock clock_;
   net::Timers timers_;
   faulttest::TestStores stores_;
   long long revision_ = 1;
-  Manner manner_ = Manner::answers;
+  DiscoveryMode discovery_mode_ = DiscoveryMode::normal;
   faulttest::TestDiscovery discovery_;
   std::thread thread_;
 };
--- a/testservers/proxies.cpp
+++ b/testservers/xds_client.cpp
@@ -1,4 +1,4 @@
-#include "testservers/proxies.hpp"
+#include "testservers/xds_client.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <thread>
 
 #include "envoy/config/cluster/v3/cluster.pb.h"
-#include "testservers/world.hpp"
+#include "testservers/test_environment.hpp"
 
 namespace reedspindle::testservers {
 
@@ -21,23 +21,23 @@
 
 // One stream in one of the two forms. It lives until gRPC is done with it.
 template <typename Message, typename Response>
-class Proxy::Stream final : public grpc::ClientBidiReactor<Message, Response> {
+class XdsClient::Stream final : public grpc::ClientBidiReactor<Message, Response> {
  public:
-  static constexpr bool kWhole = std::is_same_v<Message, discovery::DiscoveryRequest>;
+  static constexpr bool kIsSotw = std::is_same_v<Message, discovery::DiscoveryRequest>;
 
-  explicit Stream(Proxy& proxy) : proxy_(proxy) {
+  explicit Stream(XdsClient& proxy) : proxy_(proxy) {
     context_.set_wait_for_ready(true);
     auto* calls = proxy.stub_->async();
-    if constexpr (kWhole) {
+    if constexpr (kIsSotw) {
       calls->StreamAggregatedResources(&context_, this);
     } else {
       calls->DeltaAggregatedResources(&context_, this);
     }
-    ask(kClusters, {});
+    subscribe(kClusters, {});
     if (!proxy.names_.empty()) {
-      ask(kEndpoints, proxy.names_);
+      subscribe(kEndpoints, proxy.names_);
     }
-    this->StartRead(&in_);
+    this->StartRead(&incoming_);
     this->StartCall();
   }
   void cancel() { context_.TryCancel(); }
@@ -46,51 +46,51 @@
     if (!ok) {
       return;
     }
-    proxy_.bytes_ += in_.ByteSizeLong();
+    proxy_.bytes_ += incoming_.ByteSizeLong();
     ++proxy_.responses_;
-    const bool down = proxy_.turns_down && in_.type_url() == kEndpoints;
-    if (!down) {
+    const bool rejected = proxy_.rejects_endpoints && incoming_.type_url() == kEndpoints;
+    if (!rejected) {
       apply();
     }
-    if (proxy_.answers) {
-      answer(down);
+    if (proxy_.acknowledges) {
+      acknowledge(rejected);
     }
     if (proxy_.reads) {
-      this->StartRead(&in_);
+      this->StartRead(&incoming_);
     }
   }
   void OnWriteDone(bool /*unused*/) override {
     const std::lock_guard lock(mutex_);
-    out_.pop_front();
-    if (!out_.empty()) {
-      this->StartWrite(&out_.front());
+    outgoing_.pop_front();
+    if (!outgoing_.empty()) {
+      this->StartWrite(&outgoing_.front());
     }
   }
   void OnDone(const grpc::Status& status) override {
-    Proxy& proxy = proxy_;
-    proxy.cancel_none();
+    XdsClient& proxy = proxy_;
+    proxy.clear_cancel();
     delete this;
-    proxy.ended(status);
+    proxy.on_stream_ended(status);
   }
 
  private:
   void send(Message message) {
     const std::lock_guard lock(mutex_);
-    out_.push_back(std::move(message));
-    if (out_.size() == 1) {
-      this->StartWrite(&out_.front());
+    outgoing_.push_back(std::move(message));
+    if (outgoing_.size() == 1) {
+      this->StartWrite(&outgoing_.front());
     }
   }
 
-  void ask(const char* type, const std::vector<std::string>& names) {
+  void subscribe(const char* type, const std::vector<std::string>& names) {
     Message message;
     message.set_type_url(type);
     message.mutable_node()->set_id(proxy_.node_);
-    message.mutable_node()->set_user_agent_name(proxy_.can_.user_agent);
-    for (const std::string& feature : proxy_.can_.features) {
+    message.mutable_node()->set_user_agent_name(proxy_.options_.user_agent);
+    for (const std::string& feature : proxy_.options_.features) {
       message.mutable_node()->add_client_features(feature);
     }
-    if constexpr (kWhole) {
+    if constexpr (kIsSotw) {
       message.set_version_info(type == kEndpoints ? proxy_.version_ : proxy_.clusters_version_);
       for (const std::string& name : names) {
         message.add_resource_names(name);
@@ -108,16 +108,16 @@
     send(std::move(message));
   }
 
-  void answer(bool down) {
+  void acknowledge(bool rejected) {
     Message message;
-    message.set_type_url(in_.type_url());
-    message.set_response_nonce(in_.nonce());
-    if (down) {
+    message.set_type_url(incoming_.type_url());
+    message.set_response_nonce(incoming_.nonce());
+    if (rejected) {
       message.mutable_error_detail()->set_message("turned down on purpose");
     }
-    if constexpr (kWhole) {
-      message.set_version_info(down ? proxy_.last_version() : in_.version_info());
-      if (in_.type_url() == kEndpoints) {
+    if constexpr (kIsSotw) {
+      message.set_version_info(rejected ? proxy_.last_version() : incoming_.version_info());
+      if (incoming_.type_url() == kEndpoints) {
         for (const std::string& name : proxy_.names_) {
           message.add_resource_names(name);
         }
@@ -129,32 +129,33 @@
   void apply() {
     {
       const std::lock_guard lock(proxy_.mutex_);
-      if constexpr (kWhole) {
-        if (in_.type_url() == kEndpoints) {
-          proxy_.version_ = in_.version_info();
+      if constexpr (kIsSotw) {
+        if (incoming_.type_url() == kEndpoints) {
+          proxy_.version_ = incoming_.version_info();
         }
-        if (in_.type_url() == kClusters) {
-          proxy_.clusters_.clear(), proxy_.clusters_version_ = in_.version_info();
+        if (incoming_.type_url() == kClusters) {
+          proxy_.clusters_.clear(), proxy_.clusters_version_ = incoming_.version_info();
         }
-        for (const auto& any : in_.resources()) {
+        for (const auto& packed : incoming_.resources()) {
           discovery::Resource wrapped;
-          if (any.UnpackTo(&wrapped)) {
+          if (packed.UnpackTo(&wrapped)) {
             proxy_.apply(
-                in_.type_url(), wrapped.name(), wrapped.resource().value(),
+                incoming_.type_url(), wrapped.name(), wrapped.resource().value(),
                 wrapped.has_ttl() ? wrapped.ttl().seconds() * 1000.0 + wrapped.ttl().nanos() / 1e6 : -1);
           } else {
-            proxy_.apply(in_.type_url(), "", any.value(), -1);
+            proxy_.apply(incoming_.type_url(), "", packed.value(), -1);
           }
         }
       } else {
-        for (const auto& row : in_.resources()) {
-          proxy_.apply(in_.type_url(), row.name(), row.resource().value(),
-                       row.has_ttl() ? row.ttl().seconds() * 1000.0 + row.ttl().nanos() / 1e6 : -1);
-          if (in_.type_url() == kEndpoints) {
-            proxy_.versions_[row.name()] = proxy_.version_ = row.version();
+        for (const auto& resource : incoming_.resources()) {
+          proxy_.apply(
+              incoming_.type_url(), resource.name(), resource.resource().value(),
+              resource.has_ttl() ? resource.ttl().seconds() * 1000.0 + resource.ttl().nanos() / 1e6 : -1);
+          if (incoming_.type_url() == kEndpoints) {
+            proxy_.versions_[resource.name()] = proxy_.version_ = resource.version();
           }
         }
-        for (const std::string& name : in_.removed_resources()) {
+        for (const std::string& name : incoming_.removed_resources()) {
           proxy_.assignments_.erase(name), proxy_.versions_.erase(name);
           std::erase(proxy_.clusters_, name);
         }
@@ -162,31 +163,32 @@
     }
     proxy_.changed_.notify_all();
     if (proxy_.applied_) {
-      proxy_.applied_(proxy_, in_.type_url(), now_ms());
+      proxy_.applied_(proxy_, incoming_.type_url(), now_ms());
     }
   }
 
-  Proxy& proxy_;
+  XdsClient& proxy_;
   grpc::ClientContext context_;
-  Response in_;
+  Response incoming_;
   std::mutex mutex_;
-  std::deque<Message> out_;
+  std::deque<Message> outgoing_;
 };
 
-Proxy::Proxy(std::string node, std::string target, ProxyCan can, std::vector<std::string> names,
-             Applied applied, std::shared_ptr<grpc::ChannelCredentials> credentials)
+XdsClient::XdsClient(std::string node, std::string target, ClientOptions options,
+                     std::vector<std::string> names, AppliedCallback applied,
+                     std::shared_ptr<grpc::ChannelCredentials> credentials)
     : node_(std::move(node)),
       target_(std::move(target)),
-      can_(std::move(can)),
+      options_(std::move(options)),
       names_(std::move(names)),
       applied_(std::move(applied)),
       credentials_(std::move(credentials)) {
   open();
 }
 
-Proxy::~Proxy() { stop(); }
+XdsClient::~XdsClient() { stop(); }
 
-void Proxy::open() {
+void XdsClient::open() {
   const std::lock_guard lock(mutex_);
   if (stopping_) {
     return;
@@ -201,31 +203,31 @@
     channel_ = grpc::CreateCustomChannel(target_, credentials_, arguments);
     stub_ = discovery::AggregatedDiscoveryService::NewStub(channel_);
   }
-  ++opened_, ++live_;
-  if (can_.changes) {
-    auto* stream = new ChangesStream(*this);
+  ++streams_opened_, ++streams_open_;
+  if (options_.incremental) {
+    auto* stream = new IncrementalStream(*this);
     cancel_ = [stream] { stream->cancel(); };
   } else {
-    auto* stream = new WholeStream(*this);
+    auto* stream = new SotwStream(*this);
     cancel_ = [stream] { stream->cancel(); };
   }
 }
 
-void Proxy::cancel_none() {
+void XdsClient::clear_cancel() {
   const std::lock_guard lock(mutex_);
   cancel_ = nullptr;
 }
 
-void Proxy::ended(const grpc::Status& status) {
-  bool again;
+void XdsClient::on_stream_ended(const grpc::Status& status) {
+  bool reopens;
   {
     const std::lock_guard lock(mutex_);
-    --live_;
+    --streams_open_;
     status_ = status.error_message();
-    again = !stopping_;
+    reopens = !stopping_;
     changed_.notify_all();
   }
-  if (!again) {
+  if (!reopens) {
     return;
   }
   if (!status.ok() && status.error_code() != grpc::StatusCode::CANCELLED) {
@@ -234,27 +236,27 @@
   open();
 }
 
-void Proxy::come_back(const std::string& target) {
+void XdsClient::reconnect(const std::string& target) {
   const std::lock_guard lock(mutex_);
   if (!target.empty() && target != target_) {
-    target_ = target, left_.push_back(std::move(channel_));
+    target_ = target, previous_channels_.push_back(std::move(channel_));
   }
   if (cancel_) {
     cancel_();
   }
 }
 
-void Proxy::stop() {
+void XdsClient::stop() {
   std::unique_lock lock(mutex_);
   stopping_ = true;
   if (cancel_) {
     cancel_();
   }
-  changed_.wait(lock, [this] { return live_ == 0; });
+  changed_.wait(lock, [this] { return streams_open_ == 0; });
 }
 
-void Proxy::apply(const std::string& type, const std::string& name, const std::string& bytes,
-                  double time_to_live) {
+void XdsClient::apply(const std::string& type, const std::string& name, const std::string& bytes,
+                      double time_to_live) {
   if (type == kClusters) {
     Cluster cluster;
     if (cluster.ParseFromString(bytes)) {
@@ -263,46 +265,46 @@
     return;
   }
   if (bytes.empty()) {  // only its time to live goes on
-    ends_[name] = now_ms() + time_to_live;
+    expiry_times_[name] = now_ms() + time_to_live;
     return;
   }
   ClusterLoadAssignment message;
   if (!message.ParseFromString(bytes)) {
     return;
   }
-  std::vector<Handed>& endpoints = assignments_[message.cluster_name()];
+  std::vector<ReceivedEndpoint>& endpoints = assignments_[message.cluster_name()];
   endpoints.clear();
-  ends_.erase(message.cluster_name());
+  expiry_times_.erase(message.cluster_name());
   if (time_to_live >= 0) {
-    ends_[message.cluster_name()] = now_ms() + time_to_live;
+    expiry_times_[message.cluster_name()] = now_ms() + time_to_live;
   }
   for (const auto& locality : message.endpoints()) {
-    for (const auto& row : locality.lb_endpoints()) {
-      const auto& address = row.endpoint().address().socket_address();
-      Handed handed;
-      handed.address = address.address() + ":" + std::to_string(address.port_value());
-      handed.healthy = row.health_status() == envoy::config::core::v3::HEALTHY;
-      handed.draining = row.health_status() == envoy::config::core::v3::DRAINING;
-      handed.priority = locality.priority(), handed.weight = row.load_balancing_weight().value();
-      const auto& fields = row.metadata().filter_metadata().at("reedspindle").fields();
-      handed.server = fields.at("member").string_value();
-      handed.primary = fields.at("role").string_value() == "primary";
+    for (const auto& resource : locality.lb_endpoints()) {
+      const auto& address = resource.endpoint().address().socket_address();
+      ReceivedEndpoint endpoint;
+      endpoint.address = address.address() + ":" + std::to_string(address.port_value());
+      endpoint.healthy = resource.health_status() == envoy::config::core::v3::HEALTHY;
+      endpoint.draining = resource.health_status() == envoy::config::core::v3::DRAINING;
+      endpoint.priority = locality.priority(), endpoint.weight = resource.load_balancing_weight().value();
+      const auto& fields = resource.metadata().filter_metadata().at("reedspindle").fields();
+      endpoint.server = fields.at("member").string_value();
+      endpoint.primary = fields.at("role").string_value() == "primary";
       if (fields.contains("fresh_until_ms")) {
-        handed.fresh_until = fields.at("fresh_until_ms").number_value();
+        endpoint.valid_until = fields.at("fresh_until_ms").number_value();
       }
       if (fields.contains("position_ms")) {
-        handed.position = fields.at("position_ms").number_value();
+        endpoint.position = fields.at("position_ms").number_value();
       }
-      endpoints.push_back(std::move(handed));
+      endpoints.push_back(std::move(endpoint));
     }
   }
 }
 
-std::map<std::string, std::vector<Handed>> Proxy::assignments() const {
+std::map<std::string, std::vector<ReceivedEndpoint>> XdsClient::assignments() const {
   const std::lock_guard lock(mutex_);
   return assignments_;
 }
-std::optional<std::vector<Handed>> Proxy::assignment(const std::string& name) const {
+std::optional<std::vector<ReceivedEndpoint>> XdsClient::assignment(const std::string& name) const {
   const std::lock_guard lock(mutex_);
   const auto found = assignments_.find(name);
   if (found == assignments_.end()) {
@@ -310,44 +312,45 @@
   }
   return found->second;
 }
-std::vector<std::string> Proxy::clusters() const {
+std::vector<std::string> XdsClient::clusters() const {
   const std::lock_guard lock(mutex_);
   return clusters_;
 }
-std::string Proxy::last_version() const {
+std::string XdsClient::last_version() const {
   const std::lock_guard lock(mutex_);
   return version_;
 }
-std::string Proxy::last_status() const {
+std::string XdsClient::last_status() const {
   const std::lock_guard lock(mutex_);
   return status_;
 }
 
-std::optional<Handed> Proxy::pick(const std::string& name, double now, unsigned turn) const {
+std::optional<ReceivedEndpoint> XdsClient::pick_endpoint(const std::string& name, double now,
+                                                         unsigned turn) const {
   const std::lock_guard lock(mutex_);
   const auto found = assignments_.find(name);
   if (found == assignments_.end()) {
     return std::nullopt;
   }
-  if (const auto end = ends_.find(name); end != ends_.end() && now >= end->second) {
+  if (const auto end = expiry_times_.find(name); end != expiry_times_.end() && now >= end->second) {
     return std::nullopt;
   }
   for (unsigned priority = 0; priority < 2; ++priority) {
-    std::vector<const Handed*> fit;
-    for (const Handed& handed : found->second) {
-      if (handed.healthy && handed.priority == priority &&
-          (handed.fresh_until < 0 || now < handed.fresh_until)) {
-        fit.push_back(&handed);
+    std::vector<const ReceivedEndpoint*> usable;
+    for (const ReceivedEndpoint& endpoint : found->second) {
+      if (endpoint.healthy && endpoint.priority == priority &&
+          (endpoint.valid_until < 0 || now < endpoint.valid_until)) {
+        usable.push_back(&endpoint);
       }
     }
-    if (!fit.empty()) {
-      return *fit[turn % fit.size()];
+    if (!usable.empty()) {
+      return *usable[turn % usable.size()];
     }
   }
   return std::nullopt;
 }
 
-bool Proxy::wait(const std::function<bool(const Proxy&)>& until, int ms) const {
+bool XdsClient::wait(const std::function<bool(const XdsClient&)>& until, int ms) const {
   const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
   while (!until(*this)) {
     std::unique_lock lock(mutex_);
