--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -14,7 +14,7 @@
 #include <random>
 #include <thread>
 
-#include "testservers/service_process.hpp"
+#include "testservers/service.hpp"
 #include "testservers/test_environment.hpp"
 #include "testservers/xds_client.hpp"
 
--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -1,5 +1,7 @@
-// Plays one scenario with the real control service between stand-ins for discovery, stores and proxies, and
-// prints what came of it. Nothing waits for a fixed time where there is something to wait for.
+// Runs a scenario with the control service as a child process, between test servers for discovery and stores
+// and xDS clients that stand for proxies, and prints the results. A scenario is named by a line of the file;
+// lines that start with two spaces are expected output. Scenarios wait for events, and for a fixed time only
+// where there is no event.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -22,7 +24,7 @@
 #include <set>
 #include <thread>
 
-#include "testservers/service_process.hpp"
+#include "testservers/service.hpp"
 #include "testservers/test_environment.hpp"
 #include "testservers/xds_client.hpp"
 
@@ -31,15 +33,16 @@
 
 std::string program, folder;
 
-void say(const std::string& text) { std::cout << "  " << text << std::endl; }
-void say(const std::string& what, bool is) { say(what + (is ? ": yes" : ": no")); }
+void report(const std::string& text) { std::cout << "  " << text << std::endl; }
+void report(const std::string& what, bool holds) { report(what + (holds ? ": yes" : ": no")); }
 
-const std::vector<std::string> kNames = {"group-0.primary", "group-0.any", "group-0.within-1500ms",
-                                         "group-0.members"};
-const ClientOptions kWhole{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
-const ClientOptions kChanges{true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
+const std::vector<std::string> kAssignments = {"group-0.primary", "group-0.any", "group-0.within-1500ms",
+                                               "group-0.members"};
+const ClientOptions kSotwClient{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "test-client"};
+const ClientOptions kIncrementalClient{
+    true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "test-client"};
 
-// One group: a primary and replicas.
+// Puts all stores into one group, with the first as its primary.
 void one_group(std::vector<StoreState>& states) {
   states[0].primary = true;
   for (StoreState& state : states) {
@@ -47,20 +50,20 @@
   }
 }
 
-bool names(const XdsClient& proxy, const std::string& assignment, const std::string& member,
-           bool healthy = true) {
-  const auto handed = proxy.assignment(assignment);
-  return handed && std::ranges::any_of(*handed, [&](const ReceivedEndpoint& h) {
-           return h.server == member && h.healthy == healthy;
+bool has_endpoint(const XdsClient& proxy, const std::string& assignment, const std::string& member,
+                  bool healthy = true) {
+  const auto endpoints = proxy.assignment(assignment);
+  return endpoints && std::ranges::any_of(*endpoints, [&](const ReceivedEndpoint& endpoint) {
+           return endpoint.server == member && endpoint.healthy == healthy;
          });
 }
 std::string healthy_in(const XdsClient& proxy, const std::string& assignment) {
   std::string text;
   std::map<unsigned, std::set<std::string>> by_priority;
-  for (const ReceivedEndpoint& handed :
+  for (const ReceivedEndpoint& endpoint :
        proxy.assignment(assignment).value_or(std::vector<ReceivedEndpoint>{})) {
-    if (handed.healthy) {
-      by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
+    if (endpoint.healthy) {
+      by_priority[endpoint.priority].insert((endpoint.primary ? "*" : "") + endpoint.server);
     }
   }
   for (const auto& [priority, members] : by_priority) {
@@ -70,92 +73,97 @@
   }
   return text;
 }
-bool any_empty(const XdsClient& proxy) {
+bool has_empty_assignment(const XdsClient& proxy) {
   return std::ranges::any_of(proxy.assignments(), [](const auto& item) { return item.second.empty(); });
 }
-bool settled(const XdsClient& proxy) {
-  return names(proxy, "group-0.primary", "s-000") && names(proxy, "group-0.any", "s-001") &&
-         names(proxy, "group-0.any", "s-002");
+bool has_initial_endpoints(const XdsClient& proxy) {
+  return has_endpoint(proxy, "group-0.primary", "s-000") && has_endpoint(proxy, "group-0.any", "s-001") &&
+         has_endpoint(proxy, "group-0.any", "s-002");
 }
 
-// Both forms are told the same, follow a drain, a change of primary and a lagging replica.
+// Clients of both protocol variants must receive the same endpoints and follow a lagging replica, a drain and
+// a change of primary.
 void basic() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
-  XdsClient whole("w", service.target(), kWhole, kNames);
-  XdsClient changes("c", service.target(), kChanges, kNames);
-  for (XdsClient* proxy : {&whole, &changes}) {
-    say("endpoints received", proxy->wait([](const XdsClient& p) {
-      return settled(p) && names(p, "group-0.within-1500ms", "s-003") && names(p, "group-0.any", "s-003");
+  XdsClient sotw("w", service.target(), kSotwClient, kAssignments);
+  XdsClient incremental("c", service.target(), kIncrementalClient, kAssignments);
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("endpoints received", proxy->wait([](const XdsClient& p) {
+      return has_initial_endpoints(p) && has_endpoint(p, "group-0.within-1500ms", "s-003") &&
+             has_endpoint(p, "group-0.any", "s-003");
     }));
-    say("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
-        ", any:" + healthy_in(*proxy, "group-0.any"));
+    report("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
+           ", any:" + healthy_in(*proxy, "group-0.any"));
     const auto clusters = proxy->clusters();
-    say(fmt::format("clusters: {}", clusters.size()));
+    report(fmt::format("clusters: {}", clusters.size()));
   }
-  world.update_unpublished([](auto& states) { states[1].lag = 60000; });
-  for (XdsClient* proxy : {&whole, &changes}) {
-    say("the lagging replica is out of bounded reads",
-        proxy->wait([](const XdsClient& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
+  environment.update_unpublished([](auto& states) { states[1].lag = 60000; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("the lagging replica is out of bounded reads", proxy->wait([](const XdsClient& p) {
+      return !has_endpoint(p, "group-0.within-1500ms", "s-001");
+    }));
   }
-  world.update([](auto& states) { states[3].draining = true; });
-  for (XdsClient* proxy : {&whole, &changes}) {
-    say("the draining server is out of reads", proxy->wait([](const XdsClient& p) {
-      return !names(p, "group-0.any", "s-003") && names(p, "group-0.members", "s-003", false);
+  environment.update([](auto& states) { states[3].draining = true; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("the draining server is out of reads", proxy->wait([](const XdsClient& p) {
+      return !has_endpoint(p, "group-0.any", "s-003") && has_endpoint(p, "group-0.members", "s-003", false);
     }));
   }
-  world.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  for (XdsClient* proxy : {&whole, &changes}) {
-    say("writes follow the new primary", proxy->wait([](const XdsClient& p) {
-      return names(p, "group-0.primary", "s-002") && !names(p, "group-0.primary", "s-000");
+  environment.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("writes follow the new primary", proxy->wait([](const XdsClient& p) {
+      return has_endpoint(p, "group-0.primary", "s-002") && !has_endpoint(p, "group-0.primary", "s-000");
     }));
   }
   service.stop(SIGTERM);
-  say("logs its stop on SIGTERM", service.wait_for_log("stops name=a"));
+  report("logs its stop on SIGTERM", service.wait_for_log("stops name=a"));
 }
 
-// A drain heard while every stream is down, by the service killed and started again, with discovery silent:
-// the drained member never comes back, and no roster is empty.
+// A drain must not be lost when it is published while the service is down. The restarted service receives it
+// and is then killed and started again with discovery silent: no client gets the drained server back or an
+// empty assignment.
 void drain_while_down() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   std::atomic<bool> drained = false;
-  std::atomic<bool> brought_back = false;
+  std::atomic<bool> restored = false;
   std::atomic<bool> empty = false;
-  const auto look = [&](XdsClient& proxy, const std::string&, double) {
-    empty = empty || any_empty(proxy);
-    if (drained && names(proxy, "group-0.any", "s-002")) {
-      brought_back = true;
+  const auto on_applied = [&](XdsClient& proxy, const std::string&, double) {
+    empty = empty || has_empty_assignment(proxy);
+    if (drained && has_endpoint(proxy, "group-0.any", "s-002")) {
+      restored = true;
     }
   };
   std::vector<std::unique_ptr<XdsClient>> proxies;
-  for (int i = 0; i < 6; ++i) {
-    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(),
-                                                  i % 2 ? kChanges : kWhole, kNames, look));
+  for (int index = 0; index < 6; ++index) {
+    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", index), service.target(),
+                                                  index % 2 ? kIncrementalClient : kSotwClient, kAssignments,
+                                                  on_applied));
   }
   for (auto& proxy : proxies) {
-    if (!proxy->wait(settled)) {
-      return say("endpoints not received");
+    if (!proxy->wait(has_initial_endpoints)) {
+      return report("endpoints not received");
     }
   }
-  // Down, then heard by the next start alone.
+  // The drain is published while the service is down, so only the restarted service receives it.
   service.stop(SIGKILL);
-  world.update([](auto& states) { states[2].draining = true; });
+  environment.update([](auto& states) { states[2].draining = true; });
   service.start();
-  say("drain read by the restarted service", service.wait_for_log("hands out"));
+  report("drain read by the restarted service", service.wait_for_log("hands out"));
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); })) {
-      return say("a proxy still uses the drained server");
+    if (!proxy->wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); })) {
+      return report("a proxy still uses the drained server");
     }
   }
   drained = true;
-  // The store has it now; with discovery silent the next start goes by that.
+  // The drain is in the stored registry now; with discovery silent the next start has no other source.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  world.set_discovery_mode(DiscoveryMode::silent);
+  environment.set_discovery_mode(DiscoveryMode::silent);
   for (int round = 0; round < 3; ++round) {
     std::vector<int> before;
     for (auto& proxy : proxies) {
@@ -163,97 +171,102 @@
     }
     service.stop(SIGKILL);
     service.start();
-    for (std::size_t i = 0; i < proxies.size(); ++i) {
-      if (!proxies[i]->wait([&](const XdsClient& p) {
-            return static_cast<int>(p.responses()) > before[i] + 1 && names(p, "group-0.any", "s-001");
+    for (std::size_t index = 0; index < proxies.size(); ++index) {
+      if (!proxies[index]->wait([&](const XdsClient& p) {
+            return static_cast<int>(p.responses()) > before[index] + 1 &&
+                   has_endpoint(p, "group-0.any", "s-001");
           })) {
-        return say("a proxy received no endpoints after the restart");
+        return report("a proxy received no endpoints after the restart");
       }
     }
   }
-  say("drained server restored", brought_back);
-  say("an empty assignment", empty);
+  report("drained server restored", restored);
+  report("an empty assignment", empty);
 }
 
-// Killed at random moments while drains come and go: no empty roster, nothing brought back, versions rise.
+// The service is killed at random moments while drains start and end: no assignment is empty, no drained
+// server is restored, no version decreases, and the stored registry is never damaged.
 void crashes() {
-  TestEnvironment world(6);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(6);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   std::atomic<bool> empty = false;
-  std::atomic<bool> fell = false;
+  std::atomic<bool> version_decreased = false;
   std::atomic<bool> sends_to_drained = false;
   std::atomic<int> drained = -1;
   std::mutex mutex;
-  std::map<std::string, std::pair<long long, long long>> last;  // epoch and change, by proxy
+  std::map<std::string, std::pair<long long, long long>> last_versions;  // epoch and change number, by client
   std::vector<std::unique_ptr<XdsClient>> proxies;
-  const auto look = [&](XdsClient& proxy, const std::string& type, double) {
-    empty = empty || any_empty(proxy);
+  const auto on_applied = [&](XdsClient& proxy, const std::string& type, double) {
+    empty = empty || has_empty_assignment(proxy);
     long long revision = 0;
     long long epoch = 0;
-    long long change = 0;
+    long long change_number = 0;
     if (!type.ends_with("Assignment")) {
       return;
     }
-    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change) != 3) {
-      fell = true;
+    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change_number) !=
+        3) {
+      version_decreased = true;
     }
     const std::lock_guard lock(mutex);
-    auto& of = last[proxy.node()];
-    fell = fell || std::pair(epoch, change) < of;
-    of = {epoch, change};
+    auto& previous = last_versions[proxy.node()];
+    version_decreased = version_decreased || std::pair(epoch, change_number) < previous;
+    previous = {epoch, change_number};
   };
   for (int i = 0; i < 4; ++i) {
-    proxies.push_back(
-        std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(), kWhole, kNames, look));
+    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(), kSotwClient,
+                                                  kAssignments, on_applied));
   }
-  std::minstd_rand chance(11);
+  std::minstd_rand random(11);
   for (int kill = 0; kill < 25; ++kill) {
-    const int out = 1 + static_cast<int>(chance() % 5);
-    world.update([out](auto& states) {
+    const int draining_store = 1 + static_cast<int>(random() % 5);
+    environment.update([draining_store](auto& states) {
       for (int i = 1; i < 6; ++i) {
-        states[static_cast<std::size_t>(i)].draining = i == out;
+        states[static_cast<std::size_t>(i)].draining = i == draining_store;
       }
     });
-    std::this_thread::sleep_for(std::chrono::microseconds(chance() % 120000));
+    std::this_thread::sleep_for(std::chrono::microseconds(random() % 120000));
     service.stop(SIGKILL);
     service.start();
     if (kill % 5 != 4) {
       continue;
     }
-    // Let it come up and see that everyone has the latest.
+    // Every fifth time, wait until all clients have received the latest drain.
     for (auto& proxy : proxies) {
       if (!proxy->wait([&](const XdsClient& p) {
-            return !names(p, "group-0.any", world.name_of(out)) &&
-                   names(p, "group-0.members", world.name_of(out), false);
+            return !has_endpoint(p, "group-0.any", environment.name_of(draining_store)) &&
+                   has_endpoint(p, "group-0.members", environment.name_of(draining_store), false);
           })) {
-        return say("a proxy did not receive the drain");
+        return report("a proxy did not receive the drain");
       }
     }
   }
-  say("an empty assignment", empty);
-  say("a version decreased", fell);
+  report("an empty assignment", empty);
+  report("a version decreased", version_decreased);
   std::string log = service.log();
-  say("damage to the stored registry logged", log.find("damaged") != std::string::npos);
+  report("damage to the stored registry logged", log.find("damaged") != std::string::npos);
 }
 
-// The newest generations of the store are damaged in turn, then all, then of an older form.
+// The newest generation of the stored registry is truncated, then every generation is overwritten with an
+// older format: the service must use the previous generation, or wait for an endpoint list, and must not
+// reuse an epoch.
 void damaged_store() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   if (!service.wait_for_log("hands out")) {
-    return say("not started");
+    return report("service not started");
   }
-  world.update([](auto& states) { states[2].draining = true; });
+  environment.update([](auto& states) { states[2].draining = true; });
   if (!service.wait_for_log("member=s-002")) {
-    return say("drain not received");
+    return report("drain not received");
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   service.stop(SIGKILL);
-  world.set_discovery_mode(DiscoveryMode::silent);
+  environment.set_discovery_mode(DiscoveryMode::silent);
   const auto newest_first = [&] {
     std::vector<std::string> files;
     for (const auto& entry : std::filesystem::directory_iterator(service.state_folder())) {
@@ -266,141 +279,148 @@
   };
   std::filesystem::resize_file(newest_first().front(), 100);
   service.start();
-  XdsClient proxy("p", service.target(), kWhole, kNames);
-  say("the previous generation is used",
-      proxy.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
-  say("damage to the newest generation is logged",
-      service.wait_for_log("its length is not the one it states"));
+  XdsClient proxy("p", service.target(), kSotwClient, kAssignments);
+  report("the previous generation is used",
+         proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("damage to the newest generation is logged",
+         service.wait_for_log("its length is not the one it states"));
   service.stop(SIGKILL);
   for (const std::string& file : newest_first()) {
     std::ofstream(file) << "RSKEEP\r\nolder";
   }
   service.start();
-  say("damage to every generation is logged", service.wait_for_log("it is cut short"));
-  XdsClient fresh("f", service.target(), kWhole, kNames);
-  say("no response without an endpoint list",
-      !fresh.wait([](const XdsClient& p) { return p.responses() > 0; }, 700));
-  world.set_discovery_mode(DiscoveryMode::normal);
-  say("responses resume with an endpoint list",
-      fresh.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
-  say("epochs keep increasing",
-      std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
+  report("damage to every generation is logged", service.wait_for_log("it is cut short"));
+  XdsClient new_proxy("f", service.target(), kSotwClient, kAssignments);
+  report("no response without an endpoint list",
+         !new_proxy.wait([](const XdsClient& p) { return p.responses() > 0; }, 700));
+  environment.set_discovery_mode(DiscoveryMode::normal);
+  report("responses resume with an endpoint list",
+         new_proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("epochs keep increasing",
+         std::stoi(new_proxy.last_version().substr(new_proxy.last_version().find('e') + 1)) > 2);
 }
 
-// TestDiscovery empty, then back in its revisions, then whole again.
+// Discovery sends an empty list, then lists of an older revision, then a newer complete list. A suspect list
+// may withdraw servers but must not restore them.
 void suspect_lists() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(),
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
                          "(roster (confirm 300ms) (older-list 1h))");
   service.start();
   std::atomic<bool> empty = false;
-  XdsClient proxy("p", service.target(), kWhole, kNames,
-                  [&](XdsClient& p, const std::string&, double) { empty = empty || any_empty(p); });
-  say("endpoints received", proxy.wait(settled));
-  world.set_discovery_mode(DiscoveryMode::empty_list);
-  world.update([](auto&) {});
-  say("an empty list is suspect", service.wait_for_log("why=\"it is empty\""));
-  world.set_discovery_mode(DiscoveryMode::normal);
-  world.update([](auto& states) { states[1].draining = true; });
-  say("the next complete list is accepted",
-      proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-001"); }));
-  world.set_revision(0);
-  world.update([](auto& states) { states[1].draining = false, states[2].draining = true; });
-  say("a list of an older revision is suspect", service.wait_for_log("why=\"its revision is older\""));
-  say("a suspect list withdraws a server",
-      proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("a suspect list restores a server", names(proxy, "group-0.any", "s-001"));
-  world.set_revision(100);
-  world.update([](auto&) {});
-  say("a list of a newer revision restores the server",
-      proxy.wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }));
-  say("an empty assignment", empty);
+  XdsClient proxy(
+      "p", service.target(), kSotwClient, kAssignments,
+      [&](XdsClient& p, const std::string&, double) { empty = empty || has_empty_assignment(p); });
+  report("endpoints received", proxy.wait(has_initial_endpoints));
+  environment.set_discovery_mode(DiscoveryMode::empty_list);
+  environment.update([](auto&) {});
+  report("an empty list is suspect", service.wait_for_log("why=\"it is empty\""));
+  environment.set_discovery_mode(DiscoveryMode::normal);
+  environment.update([](auto& states) { states[1].draining = true; });
+  report("the next complete list is accepted",
+         proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-001"); }));
+  environment.set_revision(0);
+  environment.update([](auto& states) { states[1].draining = false, states[2].draining = true; });
+  report("a list of an older revision is suspect", service.wait_for_log("why=\"its revision is older\""));
+  report("a suspect list withdraws a server",
+         proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
+  report("a suspect list restores a server", has_endpoint(proxy, "group-0.any", "s-001"));
+  environment.set_revision(100);
+  environment.update([](auto&) {});
+  report("a list of a newer revision restores the server",
+         proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("an empty assignment", empty);
 }
 
-// Two services side by side, of which one hears of a drain and the other does not: a proxy that changes to
-// the other in mid-drain is left with what it knows, until that one has heard, too.
+// Only one of two services has received a drain. A client that moves to the other one during the drain must
+// not get the drained server back: it receives nothing until that service has the same revision.
 void two_services() {
-  TestEnvironment world(4);
-  TestEnvironment behind(4);
-  world.update(one_group), behind.update(one_group);
-  ServiceProcess one(program, folder, "a", world.discovery_address());
-  ServiceProcess other(program, folder, "b", behind.discovery_address());
-  one.start(), other.start();
-  if (!one.wait_for_log("hands out") || !other.wait_for_log("hands out")) {
-    return say("not started");
-  }
-  for (const ClientOptions& can : {kWhole, kChanges}) {
-    world.update([](auto& states) { states[2].draining = false; });
+  TestEnvironment environment(4);
+  TestEnvironment stale_environment(4);
+  environment.update(one_group), stale_environment.update(one_group);
+  ServiceProcess first(program, folder, "a", environment.discovery_address());
+  ServiceProcess second(program, folder, "b", stale_environment.discovery_address());
+  first.start(), second.start();
+  if (!first.wait_for_log("hands out") || !second.wait_for_log("hands out")) {
+    return report("service not started");
+  }
+  for (const ClientOptions& options : {kSotwClient, kIncrementalClient}) {
+    environment.update([](auto& states) { states[2].draining = false; });
     std::atomic<bool> drained = false;
-    std::atomic<bool> back = false;
-    XdsClient proxy("p", one.target(), can, kNames, [&](XdsClient& p, const std::string&, double) {
-      if (drained && names(p, "group-0.any", "s-002")) {
-        back = true;
-      }
-    });
-    say("endpoints received from the first service", proxy.wait(settled));
-    world.update([](auto& states) { states[2].draining = true; });
-    say("drain received from the first service",
-        proxy.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
+    std::atomic<bool> restored = false;
+    XdsClient proxy("p", first.target(), options, kAssignments,
+                    [&](XdsClient& p, const std::string&, double) {
+                      if (drained && has_endpoint(p, "group-0.any", "s-002")) {
+                        restored = true;
+                      }
+                    });
+    report("endpoints received from the first service", proxy.wait(has_initial_endpoints));
+    environment.update([](auto& states) { states[2].draining = true; });
+    report("drain received from the first service",
+           proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
     drained = true;
-    proxy.reconnect(other.target());
-    // What the other knows is older: nothing is told for as long as that is so.
-    say("endpoints received from a second service with an older revision",
-        proxy.wait([](const XdsClient& p) { return p.last_version().ends_with(".b"); }, 700));
+    proxy.reconnect(second.target());
+    // The second service sends nothing while its revision is older.
+    report("endpoints received from a second service with an older revision",
+           proxy.wait([](const XdsClient& p) { return p.last_version().ends_with(".b"); }, 700));
     long long revision = 0;
     std::sscanf(proxy.last_version().c_str(), "r%lld", &revision);
-    behind.set_revision(revision);
-    behind.update([](auto& states) { states[2].draining = true; });
-    say("endpoints received from the second service at the same revision",
-        proxy.wait([&](const XdsClient& p) { return p.last_version().ends_with(".b"); }));
-    say("drained server restored", back);
-    behind.update([](auto& states) { states[2].draining = false; });
-    world.set_revision(revision + 10);
+    stale_environment.set_revision(revision);
+    stale_environment.update([](auto& states) { states[2].draining = true; });
+    report("endpoints received from the second service at the same revision",
+           proxy.wait([&](const XdsClient& p) { return p.last_version().ends_with(".b"); }));
+    report("drained server restored", restored);
+    stale_environment.update([](auto& states) { states[2].draining = false; });
+    environment.set_revision(revision + 10);
   }
 }
 
-// A proxy that stops reading, one that says nothing to what it is sent, one that turns everything down:
-// others are told all the same, and the three are let go or left in peace.
+// A client that stops reading, one that acknowledges nothing and one that rejects all endpoints must not
+// delay the other clients. The service disconnects the one that acknowledges nothing and does not resend to
+// the rejecting one in a loop.
 void slow_clients() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (unread 1s))");
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(), "(proxies (unread 1s))");
   service.start();
-  XdsClient well("well", service.target(), kWhole, kNames);
-  XdsClient deaf("deaf", service.target(), kWhole, kNames);
-  XdsClient mute("mute", service.target(), kWhole, kNames);
-  XdsClient contrary("contrary", service.target(), kChanges, kNames);
-  for (XdsClient* proxy : {&well, &deaf, &mute, &contrary}) {
-    say("endpoints received", proxy->wait(settled));
-  }
-  deaf.reads = false, mute.acknowledges = false, contrary.rejects_endpoints = true;
-  for (int turn = 0; turn < 30; ++turn) {
-    world.update([turn](auto& states) { states[2].draining = turn % 2 == 0; });
-    if (!well.wait(
-            [turn](const XdsClient& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
-      return say("the healthy client did not receive an update");
+  XdsClient healthy("healthy", service.target(), kSotwClient, kAssignments);
+  XdsClient not_reading("not-reading", service.target(), kSotwClient, kAssignments);
+  XdsClient not_acknowledging("not-acknowledging", service.target(), kSotwClient, kAssignments);
+  XdsClient rejecting("rejecting", service.target(), kIncrementalClient, kAssignments);
+  for (XdsClient* proxy : {&healthy, &not_reading, &not_acknowledging, &rejecting}) {
+    report("endpoints received", proxy->wait(has_initial_endpoints));
+  }
+  not_reading.reads = false, not_acknowledging.acknowledges = false, rejecting.rejects_endpoints = true;
+  for (int round = 0; round < 30; ++round) {
+    environment.update([round](auto& states) { states[2].draining = round % 2 == 0; });
+    if (!healthy.wait([round](const XdsClient& p) {
+          return has_endpoint(p, "group-0.any", "s-002") == (round % 2 != 0);
+        })) {
+      return report("the healthy client did not receive an update");
     }
   }
-  say("the client that acknowledges nothing is disconnected",
-      service.wait_for_log("node=mute why=\"it does not answer\""));
-  const auto before = contrary.responses();
+  report("the client that acknowledges nothing is disconnected",
+         service.wait_for_log("node=not-acknowledging why=\"it does not answer\""));
+  const auto responses_before = rejecting.responses();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  say("rejected response resent in a loop", contrary.responses() > before + 3);
-  say("the reason for the rejection is logged",
-      service.wait_for_log("turned down node=contrary why=\"turned down on purpose\""));
+  report("rejected response resent in a loop", rejecting.responses() > responses_before + 3);
+  report("the reason for the rejection is logged",
+         service.wait_for_log("turned down node=rejecting why=\"rejected by the test\""));
 }
 
-// Noise on the port, half a handshake, streams that say nothing, names by thousands.
+// Random bytes on the port, incomplete HTTP/2 handshakes, a client with thousands of names and too many
+// streams must not affect a healthy client.
 void hostile_clients() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (most 4) (names 100))");
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
+                         "(proxies (most 4) (names 100))");
   service.start();
-  XdsClient well("well", service.target(), kWhole, kNames);
-  say("endpoints received", well.wait(settled));
-  std::minstd_rand chance(3);
-  std::vector<int> open;
+  XdsClient healthy("healthy", service.target(), kSotwClient, kAssignments);
+  report("endpoints received", healthy.wait(has_initial_endpoints));
+  std::minstd_rand random(3);
+  std::vector<int> sockets;
   const std::string target = service.target();
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -409,76 +429,77 @@
   for (int i = 0; i < 200; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-      return say("not reached");
+      return report("connection to the service failed");
     }
     std::string noise = i % 3 == 0 ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
-    for (unsigned n = chance() % 2000; n > 0; --n) {
-      noise += static_cast<char>(chance());
+    for (unsigned length = random() % 2000; length > 0; --length) {
+      noise += static_cast<char>(random());
     }
     if (send(fd, noise.data(), noise.size(), MSG_NOSIGNAL) < 0) {
-      say("not sent");
+      report("random bytes not sent");
     }
-    open.push_back(fd);
+    sockets.push_back(fd);
   }
-  std::vector<std::string> many;
+  std::vector<std::string> many_names;
   for (int i = 0; i < 5000; ++i) {
-    many.push_back(fmt::format("nobody-{}", i));
+    many_names.push_back(fmt::format("unknown-{}", i));
   }
-  XdsClient greedy("greedy", target, kChanges, many);
-  say("the client that subscribes to too many names is disconnected",
-      service.wait_for_log("node=greedy why=\"more than 100 names\""));
-  greedy.stop();
-  std::vector<std::unique_ptr<XdsClient>> crowd;
+  XdsClient oversubscribed("oversubscribed", target, kIncrementalClient, many_names);
+  report("the client that subscribes to too many names is disconnected",
+         service.wait_for_log("node=oversubscribed why=\"more than 100 names\""));
+  oversubscribed.stop();
+  std::vector<std::unique_ptr<XdsClient>> extra_clients;
   for (int i = 0; i < 8; ++i) {
-    crowd.push_back(std::make_unique<XdsClient>(fmt::format("crowd-{}", i), target, kWhole, kNames));
-  }
-  say("the number of streams is limited", service.wait_for_log("not taken"));
-  world.update([](auto& states) { states[2].draining = true; });
-  say("the healthy client still receives updates",
-      well.wait([](const XdsClient& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("the healthy client kept its first stream", well.streams() == 1);
-  for (const int fd : open) {
+    extra_clients.push_back(
+        std::make_unique<XdsClient>(fmt::format("extra-{}", i), target, kSotwClient, kAssignments));
+  }
+  report("the number of streams is limited", service.wait_for_log("not taken"));
+  environment.update([](auto& states) { states[2].draining = true; });
+  report("the healthy client still receives updates",
+         healthy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
+  report("the healthy client kept its first stream", healthy.streams() == 1);
+  for (const int fd : sockets) {
     close(fd);
   }
 }
 
-// Stand-in proxies send reads by what they were handed while replicas stall and streams are cut; what they
-// read is held against what the bound allows.
+// Clients choose servers for bounded reads by the endpoints that they have received, while replicas stall,
+// streams are cut and the service is paused. No read may go to a server beyond the staleness bound.
 void staleness_bound() {
-  TestEnvironment world(5);
-  world.update(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(5);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   std::vector<std::unique_ptr<XdsClient>> proxies;
   for (int i = 0; i < 6; ++i) {
     proxies.push_back(std::make_unique<XdsClient>(
         fmt::format("p{}", i), service.target(),
-        i % 3 == 2 ? ClientOptions{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "stand-in"}
-        : i % 3    ? kChanges
-                   : kWhole,
+        i % 3 == 2 ? ClientOptions{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "test-client"}
+        : i % 3    ? kIncrementalClient
+                   : kSotwClient,
         std::vector<std::string>{"group-0.within-1500ms", "group-0.within-1500ms.replicas",
                                  "group-0.primary"}));
   }
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const XdsClient& p) { return names(p, "group-0.primary", "s-000"); })) {
-      return say("endpoints not received");
+    if (!proxy->wait([](const XdsClient& p) { return has_endpoint(p, "group-0.primary", "s-000"); })) {
+      return report("endpoints not received");
     }
   }
   std::map<std::string, int> stores;
-  for (int store = 0; store < world.size(); ++store) {
-    stores[world.address_of(store)] = store;
+  for (int store = 0; store < environment.size(); ++store) {
+    stores[environment.address_of(store)] = store;
   }
-  std::minstd_rand chance(5);
+  std::minstd_rand random(5);
   long reads = 0;
   long on_replicas = 0;
-  long nowhere = 0;
-  long too_old = 0;
+  long without_server = 0;
+  long beyond_bound = 0;
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(8);
   for (unsigned turn = 0; std::chrono::steady_clock::now() < end; ++turn) {
     if (turn % 400 == 0) {
-      world.update_unpublished([&](auto& states) {
+      environment.update_unpublished([&](auto& states) {
         for (std::size_t i = 1; i < states.size(); ++i) {
-          const bool stalls = chance() % 3 == 0;
+          const bool stalls = random() % 3 == 0;
           if (stalls && states[i].stalled_at < 0) {
             states[i].stalled_at = now_ms() - states[i].lag;
           }
@@ -487,131 +508,132 @@
           }
         }
       });
-      proxies[chance() % proxies.size()]->reconnect();
+      proxies[random() % proxies.size()]->reconnect();
     }
     if (turn == 4000) {
-      kill(service.pid(), SIGSTOP);  // nothing more is heard of us
+      kill(service.pid(), SIGSTOP);  // the clients receive nothing until SIGCONT
     }
     if (turn == 9000) {
       kill(service.pid(), SIGCONT);
     }
-    const std::vector<double> positions = world.positions();
+    const std::vector<double> positions = environment.positions();
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       const double now = now_ms();
-      auto to = proxies[i]->pick_endpoint("group-0.within-1500ms", now, turn);
-      if (!to) {
-        to = proxies[i]->pick_endpoint("group-0.within-1500ms.replicas", now, turn);
+      auto endpoint = proxies[i]->pick_endpoint("group-0.within-1500ms", now, turn);
+      if (!endpoint) {
+        endpoint = proxies[i]->pick_endpoint("group-0.within-1500ms.replicas", now, turn);
       }
-      if (!to) {
-        to = proxies[i]->pick_endpoint("group-0.primary", now, turn);
+      if (!endpoint) {
+        endpoint = proxies[i]->pick_endpoint("group-0.primary", now, turn);
       }
       ++reads;
-      if (!to) {
-        ++nowhere;
+      if (!endpoint) {
+        ++without_server;
         continue;
       }
-      const int store = stores.at(to->address);
+      const int store = stores.at(endpoint->address);
       on_replicas += store != 0;
-      too_old += now - positions[static_cast<std::size_t>(store)] > 1500;
+      beyond_bound += now - positions[static_cast<std::size_t>(store)] > 1500;
     }
     std::this_thread::sleep_for(std::chrono::microseconds(300));
   }
-  say("more than 50,000 reads", reads > 50000);
-  say("at least a fifth of the reads on replicas", on_replicas * 5 > reads);
-  say("reads without a server", nowhere > 0);
-  say("reads beyond the staleness bound", too_old > 0);
+  report("more than 50,000 reads", reads > 50000);
+  report("at least a fifth of the reads on replicas", on_replicas * 5 > reads);
+  report("reads without a server", without_server > 0);
+  report("reads beyond the staleness bound", beyond_bound > 0);
 }
 
-// Certificates: a proxy with one of the right issuer is taken, one without is not; new files count without a
-// restart.
+// The service must accept only clients with a certificate of the trusted issuer, and must use replaced
+// certificate files without a restart.
 void tls() {
-  TestEnvironment world(3);
-  world.update(one_group);
+  TestEnvironment environment(3);
+  environment.update(one_group);
   const auto run = [](const std::string& command) {
     if (std::system((command + " >/dev/null 2>&1").c_str()) != 0) {
-      say("failed: " + command);
+      report("failed: " + command);
     }
   };
-  const auto issue = [&](const std::string& name, const std::string& by, const std::string& subject) {
-    const std::string at = folder + "/" + name;
-    const std::string from = folder + "/" + by;
-    run(fmt::format("openssl req -newkey rsa:2048 -nodes -keyout {0}.key -out {0}.csr -subj /CN={1}", at,
+  const auto issue = [&](const std::string& name, const std::string& issuer_name,
+                         const std::string& subject) {
+    const std::string path = folder + "/" + name;
+    const std::string issuer_path = folder + "/" + issuer_name;
+    run(fmt::format("openssl req -newkey rsa:2048 -nodes -keyout {0}.key -out {0}.csr -subj /CN={1}", path,
                     subject));
-    std::ofstream(at + ".ext") << "subjectAltName=DNS:" << subject << "\n";
+    std::ofstream(path + ".ext") << "subjectAltName=DNS:" << subject << "\n";
     run(fmt::format(
         "openssl x509 -req -in {0}.csr -CA {1}.pem -CAkey {1}.key -CAcreateserial -out {0}.pem -days 2 "
         "-extfile {0}.ext",
-        at, from));
+        path, issuer_path));
   };
-  const auto issuer = [&](const std::string& name) {
+  const auto create_issuer = [&](const std::string& name) {
     run(
         fmt::format("openssl req -x509 -newkey rsa:2048 -nodes -keyout {0}/{1}.key -out {0}/{1}.pem -days 2 "
                     "-subj /CN={1}",
                     folder, name));
   };
-  const auto read = [&](const std::string& name) {
+  const auto read_file = [&](const std::string& name) {
     std::ifstream file(folder + "/" + name);
     return std::string((std::istreambuf_iterator<char>(file)), {});
   };
-  issuer("ours"), issuer("theirs");
-  issue("service", "ours", "control.test"), issue("proxy", "ours", "proxy.test"),
-      issue("stranger", "theirs", "proxy.test");
-  issue("later", "ours", "control.test");
-  ServiceProcess service(
-      program, folder, "a", world.discovery_address(),
-      fmt::format(
-          "(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") (proxies \"{0}/ours.pem\"))",
-          folder));
+  create_issuer("trusted-ca"), create_issuer("other-ca");
+  issue("service", "trusted-ca", "control.test"), issue("proxy", "trusted-ca", "proxy.test"),
+      issue("untrusted-proxy", "other-ca", "proxy.test");
+  issue("replacement", "trusted-ca", "control.test");
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
+                         fmt::format("(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") "
+                                     "(proxies \"{0}/trusted-ca.pem\"))",
+                                     folder));
   service.start();
   if (!service.wait_for_log("hands out")) {
-    return say("not started");
+    return report("service not started");
   }
-  const auto proxy_of = [&](const std::string& name) {
+  const auto client_with = [&](const std::string& name) {
     grpc::SslCredentialsOptions options;
-    options.pem_root_certs = read("ours.pem");
+    options.pem_root_certs = read_file("trusted-ca.pem");
     if (!name.empty()) {
-      options.pem_private_key = read(name + ".key"), options.pem_cert_chain = read(name + ".pem");
+      options.pem_private_key = read_file(name + ".key"), options.pem_cert_chain = read_file(name + ".pem");
     }
-    auto target = std::make_unique<XdsClient>("p", service.target(), kWhole, kNames,
+    auto client = std::make_unique<XdsClient>("p", service.target(), kSotwClient, kAssignments,
                                               XdsClient::AppliedCallback{}, grpc::SslCredentials(options));
-    return target;
+    return client;
   };
-  const auto taken = [&](const std::string& name, int ms) {
-    return proxy_of(name)->wait([](const XdsClient& p) { return names(p, "group-0.any", "s-001"); }, ms);
+  const auto accepted = [&](const std::string& name, int ms) {
+    return client_with(name)->wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); },
+                                   ms);
   };
-  say("client certificate of the trusted issuer accepted", taken("proxy", 10000));
-  say("client certificate of another issuer accepted", taken("stranger", 700));
-  say("client without a certificate accepted", taken("", 700));
-  // Another certificate in the same files: new connections see it, the service goes on.
-  const auto number = [&](const std::string& name) {
+  report("client certificate of the trusted issuer accepted", accepted("proxy", 10000));
+  report("client certificate of another issuer accepted", accepted("untrusted-proxy", 700));
+  report("client without a certificate accepted", accepted("", 700));
+  // The files are replaced by another certificate, which new connections must get from the running service.
+  const auto serial_of = [&](const std::string& name) {
     run(fmt::format("openssl x509 -in {0}/{1}.pem -noout -serial -out {0}/{1}.serial", folder, name));
-    return read(name + ".serial");
+    return read_file(name + ".serial");
   };
-  const auto shown = [&] {
+  const auto presented_serial = [&] {
     run(fmt::format(
         "openssl s_client -connect {0} -cert {1}/proxy.pem -key {1}/proxy.key </dev/null 2>/dev/null | "
-        "openssl x509 -noout -serial -out {1}/shown",
+        "openssl x509 -noout -serial -out {1}/presented",
         service.target(), folder));
-    return read("shown");
+    return read_file("presented");
   };
-  say("server certificate presented", shown() == number("service"));
-  for (const char* of : {"key", "pem"}) {
-    std::filesystem::copy_file(folder + "/later." + of, folder + "/next");
-    std::filesystem::rename(folder + "/next", folder + "/service." + of);
+  report("server certificate presented", presented_serial() == serial_of("service"));
+  for (const char* extension : {"key", "pem"}) {
+    std::filesystem::copy_file(folder + "/replacement." + extension, folder + "/next");
+    std::filesystem::rename(folder + "/next", folder + "/service." + extension);
   }
-  bool later = false;
-  for (int turn = 0; turn < 100 && !later; ++turn) {
+  bool replaced = false;
+  for (int attempt = 0; attempt < 100 && !replaced; ++attempt) {
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    later = shown() == number("later");
+    replaced = presented_serial() == serial_of("replacement");
   }
-  say("replaced server certificate presented without a restart", later);
-  say("clients accepted after the replacement", taken("proxy", 10000));
+  report("replaced server certificate presented without a restart", replaced);
+  report("clients accepted after the replacement", accepted("proxy", 10000));
 }
 
-// What a store says of itself to clients of its own: its name.
-class Named final : public grpc::CallbackGenericService {
+// A gRPC service that answers each call with the name of the store, as trailing metadata.
+class StoreNameService final : public grpc::CallbackGenericService {
  public:
-  explicit Named(std::string name) : name_(std::move(name)) {}
+  explicit StoreNameService(std::string name) : name_(std::move(name)) {}
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext* context) override {
     struct Reactor final : grpc::ServerGenericBidiReactor {
       void OnDone() override { delete this; }
@@ -626,44 +648,45 @@
   const std::string name_;
 };
 
-// The xDS client inside the gRPC library, which nobody here wrote, follows primary, replicas and drains.
+// The xDS client of the gRPC library, an independent implementation, must follow the primary, the replicas
+// and drains.
 void grpc_client() {
-  TestEnvironment world(4);
-  world.update(one_group);
-  std::vector<std::unique_ptr<Named>> named;
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  std::vector<std::unique_ptr<StoreNameService>> services;
   std::vector<std::unique_ptr<grpc::Server>> servers;
-  for (int store = 0; store < world.size(); ++store) {
-    named.push_back(std::make_unique<Named>(world.name_of(store)));
+  for (int store = 0; store < environment.size(); ++store) {
+    services.push_back(std::make_unique<StoreNameService>(environment.name_of(store)));
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &port);
-    builder.RegisterCallbackGenericService(named.back().get());
+    builder.RegisterCallbackGenericService(services.back().get());
     servers.push_back(builder.BuildAndStart());
-    world.pass_http2(store, port);
+    environment.pass_http2(store, port);
   }
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   setenv("GRPC_XDS_BOOTSTRAP_CONFIG",
          fmt::format(R"({{"xds_servers":[{{"server_uri":"{}","channel_creds":[{{"type":"insecure"}}],)"
-                     R"("server_features":["xds_v3"]}}],"node":{{"id":"own","cluster":"test"}}}})",
+                     R"("server_features":["xds_v3"]}}],"node":{{"id":"grpc","cluster":"test"}}}})",
                      service.target())
              .c_str(),
          1);
   service.start();
   const auto channel = grpc::CreateChannel("xds:///reedspindle", grpc::InsecureChannelCredentials());
   grpc::GenericStub stub(channel);
-  const auto call = [&](const std::string& type) {
+  const auto call = [&](const std::string& request_class) {
     grpc::ClientContext context;
     context.AddMetadata("x-group", "0");
-    context.AddMetadata("x-op-type", type);
+    context.AddMetadata("x-op-type", request_class);
     context.set_wait_for_ready(true);
     context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(5));
     grpc::CompletionQueue queue;
-    grpc::ByteBuffer asked(nullptr, 0);
-    grpc::ByteBuffer answer;
-    auto reader = stub.PrepareUnaryCall(&context, "/stores/Say", asked, &queue);
+    grpc::ByteBuffer request(nullptr, 0);
+    grpc::ByteBuffer response;
+    auto reader = stub.PrepareUnaryCall(&context, "/stores/Say", request, &queue);
     reader->StartCall();
     grpc::Status status;
-    reader->Finish(&answer, &status, nullptr);
+    reader->Finish(&response, &status, nullptr);
     void* tag = nullptr;
     bool ok = false;
     queue.Next(&tag, &ok);
@@ -676,10 +699,10 @@
     return store == trailing.end() ? status.error_message()
                                    : std::string(store->second.data(), store->second.size());
   };
-  const auto reached = [&](const std::string& type, int calls) {
+  const auto reached = [&](const std::string& request_class, int calls) {
     std::set<std::string> stores;
     for (int i = 0; i < calls; ++i) {
-      stores.insert(call(type));
+      stores.insert(call(request_class));
     }
     std::string text;
     for (const std::string& store : stores) {
@@ -687,30 +710,30 @@
     }
     return text;
   };
-  const auto becomes = [&](const std::string& type, const std::string& wanted) {
-    for (int turn = 0; turn < 100; ++turn) {
-      if (reached(type, 12) == wanted) {
+  const auto eventually_reaches = [&](const std::string& request_class, const std::string& expected) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
+      if (reached(request_class, 12) == expected) {
         return true;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
-    say(type + " reaches" + reached(type, 12));
+    report(request_class + " reaches" + reached(request_class, 12));
     return false;
   };
-  say("writes go to the primary", becomes("save", " s-000"));
-  say("reports go to replicas", becomes("report", " s-001 s-002 s-003"));
-  say("bounded reads go to the primary, since the client does not expire endpoints",
-      becomes("browse", " s-000"));
-  world.update([](auto& states) { states[1].draining = true; });
-  say("reads follow a drain", becomes("report", " s-002 s-003"));
-  world.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  say("writes follow a new primary", becomes("save", " s-002"));
-  say("the former primary serves reads as a replica", becomes("report", " s-000 s-003"));
+  report("writes go to the primary", eventually_reaches("save", " s-000"));
+  report("reports go to replicas", eventually_reaches("report", " s-001 s-002 s-003"));
+  report("bounded reads go to the primary, since the client does not expire endpoints",
+         eventually_reaches("browse", " s-000"));
+  environment.update([](auto& states) { states[1].draining = true; });
+  report("reads follow a drain", eventually_reaches("report", " s-002 s-003"));
+  environment.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  report("writes follow a new primary", eventually_reaches("save", " s-002"));
+  report("the former primary serves reads as a replica", eventually_reaches("report", " s-000 s-003"));
   service.stop(SIGKILL);
-  say("calls continue while the service is down", becomes("save", " s-002"));
-  world.update([](auto& states) { states[3].draining = true; });
+  report("calls continue while the service is down", eventually_reaches("save", " s-002"));
+  environment.update([](auto& states) { states[3].draining = true; });
   service.start();
-  say("reads follow a drain after the restart", becomes("report", " s-000"));
+  report("reads follow a drain after the restart", eventually_reaches("report", " s-000"));
 }
 
 const std::map<std::string, std::function<void()>> kScenarios = {{"basic", basic},
@@ -727,18 +750,18 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   if (count != 3) {
     return 2;
   }
-  program = words[1];
+  program = arguments[1];
   std::signal(SIGPIPE, SIG_IGN);
-  char made[] = "/tmp/reedspindle-proxies-XXXXXX";
-  if (!mkdtemp(made)) {
+  char folder_template[] = "/tmp/reedspindle-proxies-XXXXXX";
+  if (!mkdtemp(folder_template)) {
     return 1;
   }
-  folder = made;
-  std::ifstream file(words[2]);
+  folder = folder_template;
+  std::ifstream file(arguments[2]);
   for (std::string line; std::getline(file, line);) {
     if (line.starts_with("  ")) {
       continue;
--- a/testservers/service_process.cpp
+++ b/testservers/service.cpp
@@ -1,4 +1,4 @@
-#include "testservers/service_process.hpp"
+#include "testservers/service.hpp"
 
 #include <fcntl.h>
 #include <fmt/format.h>
--- a/testservers/service_process.hpp
+++ b/testservers/service.hpp
@@ -1,4 +1,4 @@
-// The real control service as a child process, told by a file that is written for it.
+// Runs the control service as a child process, with a settings file that is generated for it.
 #pragma once
 
 #include <sys/types.h>
@@ -9,21 +9,23 @@
 
 class ServiceProcess {
  public:
-  // The folder holds its file, what it keeps and its log. Of the text, $PORT and $KEEP are filled in.
+  // The folder holds the settings file, the stored registry and the log. control_settings is added to the
+  // section (control ...) of the settings; request_classes replaces the default (op-type ...) sections if it
+  // is not empty.
   ServiceProcess(std::string program, std::string folder, std::string name, std::string discovery,
                  std::string control_settings = "", std::string request_classes = "");
   ~ServiceProcess();
 
   void start();
-  void stop(int signal);  // and waits for it; returns when it is gone
-  int wait();             // its exit code, or below 0: the signal it died by
+  void stop(int signal);  // sends the signal and returns once the process has ended
+  int wait();             // returns the exit code, or the negated number of the signal that ended the process
   std::string target() const;
   std::string log() const;
-  // Waits until the log says so, for ten seconds.
+  // Waits up to 10 s until the log contains the text.
   bool wait_for_log(const std::string& text) const;
   std::string state_folder() const { return folder_ + "/" + name_ + "-keep"; }
   pid_t pid() const { return pid_; }
-  // KB resident now and at most, ms of processor time.
+  // Resident memory now and at its peak, and processor time.
   struct ResourceUsage {
     long resident_kb = 0, peak_resident_kb = 0;
     double processor_ms = 0;
@@ -36,8 +38,8 @@
   pid_t pid_ = 0;
 };
 
-// An address and a port on loopback that no other process of these tests uses: outgoing connections leave
-// from another address, so it stays free while the service is down.
+// Returns a loopback address and port that no other process of these tests uses. Outgoing connections use
+// another local address, so the port stays free while the service is down.
 std::string unused_address();
 
 }  // namespace reedspindle::testservers
--- a/testservers/test_environment.hpp
+++ b/testservers/test_environment.hpp
@@ -1,5 +1,5 @@
-// TestDiscovery and stores on loopback for tests that are not on a loop of their own: the rig's stand-ins,
-// driven by a thread. What tests ask of them is handed over to it.
+// Runs the TestDiscovery and TestStores of the fault test on loopback, on a thread with an event loop of its
+// own, for tests that have no event loop. Calls from the test are run on that thread.
 #pragma once
 
 #include <asio.hpp>
@@ -14,7 +14,7 @@
 
 namespace reedspindle::testservers {
 
-double now_ms();  // Unix ms with fractions
+double now_ms();  // Unix time in ms, with fractions
 
 enum class DiscoveryMode { normal, silent, empty_list };
 using faulttest::StoreState;
@@ -27,25 +27,25 @@
   std::string discovery_address() const;
   std::string name_of(int store) const;
   std::string address_of(int store) const;
-  int store_at(const std::string& address) const;  // below 0: none there
+  int store_at(const std::string& address) const;  // returns -1 if no store has this address
   int size() const { return stores_.size(); }
 
-  // Changes the stores by a function, then tells of it under a new revision, and returns when all that watch
-  // are being written to (or at once, when discovery says nothing). Returns the time of the writing.
+  // Changes the states of the stores and publishes them by discovery under a new revision. Returns the time
+  // at which the writes to all watching clients have been started, or at once if discovery is silent.
   double update(const std::function<void(std::vector<StoreState>&)>& change);
-  // Without a word of discovery.
+  // Changes the states of the stores without publishing them by discovery.
   void update_unpublished(const std::function<void(std::vector<StoreState>&)>& change);
   void set_discovery_mode(DiscoveryMode mode);
-  void set_revision(long long revision);  // from here on
-  // What begins as HTTP/2 at a store is passed on to this port, where a server of the test answers.
+  void set_revision(long long revision);  // the revision of the current list; later updates count on from it
+  // Forwards connections to a store that start with HTTP/2 to this port, where a server of the test listens.
   void pass_http2(int store, int port);
-  // Where each store truly stands now.
+  // Returns the actual replication position of each store.
   std::vector<double> positions() const;
   StoreState state(int store) const;
   long long probes() const;
 
  private:
-  // Done on the loop's thread, before it returns.
+  // Runs the action on the thread of the event loop and waits until it is done.
   void run_on_loop(const std::function<void()>& action) const;
   void apply_change(const std::function<void(std::vector<StoreState>&)>& change);
   faulttest::TestDiscovery::Now endpoint_list() const;
--- a/testservers/xds_client.cpp
+++ b/testservers/xds_client.cpp
@@ -10,7 +10,7 @@
 
 namespace reedspindle::testservers {
 
-namespace discovery = envoy::service::discovery::v3;
+namespace xds = envoy::service::discovery::v3;
 using envoy::config::cluster::v3::Cluster;
 using envoy::config::endpoint::v3::ClusterLoadAssignment;
 
@@ -19,23 +19,23 @@
 constexpr const char* kEndpoints = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 }  // namespace
 
-// One stream in one of the two forms. It lives until gRPC is done with it.
+// A stream in one of the two protocol variants. Deletes itself when gRPC reports that it is done.
 template <typename Message, typename Response>
 class XdsClient::Stream final : public grpc::ClientBidiReactor<Message, Response> {
  public:
-  static constexpr bool kIsSotw = std::is_same_v<Message, discovery::DiscoveryRequest>;
+  static constexpr bool kIsSotw = std::is_same_v<Message, xds::DiscoveryRequest>;
 
-  explicit Stream(XdsClient& proxy) : proxy_(proxy) {
+  explicit Stream(XdsClient& client) : client_(client) {
     context_.set_wait_for_ready(true);
-    auto* calls = proxy.stub_->async();
+    auto* calls = client.stub_->async();
     if constexpr (kIsSotw) {
       calls->StreamAggregatedResources(&context_, this);
     } else {
       calls->DeltaAggregatedResources(&context_, this);
     }
     subscribe(kClusters, {});
-    if (!proxy.names_.empty()) {
-      subscribe(kEndpoints, proxy.names_);
+    if (!client.names_.empty()) {
+      subscribe(kEndpoints, client.names_);
     }
     this->StartRead(&incoming_);
     this->StartCall();
@@ -46,16 +46,16 @@
     if (!ok) {
       return;
     }
-    proxy_.bytes_ += incoming_.ByteSizeLong();
-    ++proxy_.responses_;
-    const bool rejected = proxy_.rejects_endpoints && incoming_.type_url() == kEndpoints;
+    client_.bytes_ += incoming_.ByteSizeLong();
+    ++client_.responses_;
+    const bool rejected = client_.rejects_endpoints && incoming_.type_url() == kEndpoints;
     if (!rejected) {
       apply();
     }
-    if (proxy_.acknowledges) {
+    if (client_.acknowledges) {
       acknowledge(rejected);
     }
-    if (proxy_.reads) {
+    if (client_.reads) {
       this->StartRead(&incoming_);
     }
   }
@@ -67,10 +67,10 @@
     }
   }
   void OnDone(const grpc::Status& status) override {
-    XdsClient& proxy = proxy_;
-    proxy.clear_cancel();
+    XdsClient& client = client_;
+    client.clear_cancel();
     delete this;
-    proxy.on_stream_ended(status);
+    client.on_stream_ended(status);
   }
 
  private:
@@ -85,13 +85,13 @@
   void subscribe(const char* type, const std::vector<std::string>& names) {
     Message message;
     message.set_type_url(type);
-    message.mutable_node()->set_id(proxy_.node_);
-    message.mutable_node()->set_user_agent_name(proxy_.options_.user_agent);
-    for (const std::string& feature : proxy_.options_.features) {
+    message.mutable_node()->set_id(client_.node_);
+    message.mutable_node()->set_user_agent_name(client_.options_.user_agent);
+    for (const std::string& feature : client_.options_.features) {
       message.mutable_node()->add_client_features(feature);
     }
     if constexpr (kIsSotw) {
-      message.set_version_info(type == kEndpoints ? proxy_.version_ : proxy_.clusters_version_);
+      message.set_version_info(type == kEndpoints ? client_.version_ : client_.clusters_version_);
       for (const std::string& name : names) {
         message.add_resource_names(name);
       }
@@ -100,7 +100,7 @@
         message.add_resource_names_subscribe(name);
       }
       if (type == kEndpoints) {
-        for (const auto& [name, version] : proxy_.versions_) {
+        for (const auto& [name, version] : client_.versions_) {
           (*message.mutable_initial_resource_versions())[name] = version;
         }
       }
@@ -113,12 +113,12 @@
     message.set_type_url(incoming_.type_url());
     message.set_response_nonce(incoming_.nonce());
     if (rejected) {
-      message.mutable_error_detail()->set_message("turned down on purpose");
+      message.mutable_error_detail()->set_message("rejected by the test");
     }
     if constexpr (kIsSotw) {
-      message.set_version_info(rejected ? proxy_.last_version() : incoming_.version_info());
+      message.set_version_info(rejected ? client_.last_version() : incoming_.version_info());
       if (incoming_.type_url() == kEndpoints) {
-        for (const std::string& name : proxy_.names_) {
+        for (const std::string& name : client_.names_) {
           message.add_resource_names(name);
         }
       }
@@ -128,46 +128,46 @@
 
   void apply() {
     {
-      const std::lock_guard lock(proxy_.mutex_);
+      const std::lock_guard lock(client_.mutex_);
       if constexpr (kIsSotw) {
         if (incoming_.type_url() == kEndpoints) {
-          proxy_.version_ = incoming_.version_info();
+          client_.version_ = incoming_.version_info();
         }
         if (incoming_.type_url() == kClusters) {
-          proxy_.clusters_.clear(), proxy_.clusters_version_ = incoming_.version_info();
+          client_.clusters_.clear(), client_.clusters_version_ = incoming_.version_info();
         }
         for (const auto& packed : incoming_.resources()) {
-          discovery::Resource wrapped;
+          xds::Resource wrapped;
           if (packed.UnpackTo(&wrapped)) {
-            proxy_.apply(
+            client_.apply(
                 incoming_.type_url(), wrapped.name(), wrapped.resource().value(),
                 wrapped.has_ttl() ? wrapped.ttl().seconds() * 1000.0 + wrapped.ttl().nanos() / 1e6 : -1);
           } else {
-            proxy_.apply(incoming_.type_url(), "", packed.value(), -1);
+            client_.apply(incoming_.type_url(), "", packed.value(), -1);
           }
         }
       } else {
         for (const auto& resource : incoming_.resources()) {
-          proxy_.apply(
+          client_.apply(
               incoming_.type_url(), resource.name(), resource.resource().value(),
               resource.has_ttl() ? resource.ttl().seconds() * 1000.0 + resource.ttl().nanos() / 1e6 : -1);
           if (incoming_.type_url() == kEndpoints) {
-            proxy_.versions_[resource.name()] = proxy_.version_ = resource.version();
+            client_.versions_[resource.name()] = client_.version_ = resource.version();
           }
         }
         for (const std::string& name : incoming_.removed_resources()) {
-          proxy_.assignments_.erase(name), proxy_.versions_.erase(name);
-          std::erase(proxy_.clusters_, name);
+          client_.assignments_.erase(name), client_.versions_.erase(name);
+          std::erase(client_.clusters_, name);
         }
       }
     }
-    proxy_.changed_.notify_all();
-    if (proxy_.applied_) {
-      proxy_.applied_(proxy_, incoming_.type_url(), now_ms());
+    client_.changed_.notify_all();
+    if (client_.applied_) {
+      client_.applied_(client_, incoming_.type_url(), now_ms());
     }
   }
 
-  XdsClient& proxy_;
+  XdsClient& client_;
   grpc::ClientContext context_;
   Response incoming_;
   std::mutex mutex_;
@@ -195,13 +195,13 @@
   }
   if (!channel_) {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection of its own
+    arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection for each client
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 20);
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 20);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 50);
-    arguments.SetSslTargetNameOverride("control.test");  // addresses stand in no certificate
+    arguments.SetSslTargetNameOverride("control.test");  // the certificates contain no IP addresses
     channel_ = grpc::CreateCustomChannel(target_, credentials_, arguments);
-    stub_ = discovery::AggregatedDiscoveryService::NewStub(channel_);
+    stub_ = xds::AggregatedDiscoveryService::NewStub(channel_);
   }
   ++streams_opened_, ++streams_open_;
   if (options_.incremental) {
@@ -219,15 +219,15 @@
 }
 
 void XdsClient::on_stream_ended(const grpc::Status& status) {
-  bool reopens;
+  bool reconnects;
   {
     const std::lock_guard lock(mutex_);
     --streams_open_;
     status_ = status.error_message();
-    reopens = !stopping_;
+    reconnects = !stopping_;
     changed_.notify_all();
   }
-  if (!reopens) {
+  if (!reconnects) {
     return;
   }
   if (!status.ok() && status.error_code() != grpc::StatusCode::CANCELLED) {
@@ -264,7 +264,7 @@
     }
     return;
   }
-  if (bytes.empty()) {  // only its time to live goes on
+  if (bytes.empty()) {  // a heartbeat: renews the time to live alone
     expiry_times_[name] = now_ms() + time_to_live;
     return;
   }
@@ -279,14 +279,14 @@
     expiry_times_[message.cluster_name()] = now_ms() + time_to_live;
   }
   for (const auto& locality : message.endpoints()) {
-    for (const auto& resource : locality.lb_endpoints()) {
-      const auto& address = resource.endpoint().address().socket_address();
+    for (const auto& lb_endpoint : locality.lb_endpoints()) {
+      const auto& address = lb_endpoint.endpoint().address().socket_address();
       ReceivedEndpoint endpoint;
       endpoint.address = address.address() + ":" + std::to_string(address.port_value());
-      endpoint.healthy = resource.health_status() == envoy::config::core::v3::HEALTHY;
-      endpoint.draining = resource.health_status() == envoy::config::core::v3::DRAINING;
-      endpoint.priority = locality.priority(), endpoint.weight = resource.load_balancing_weight().value();
-      const auto& fields = resource.metadata().filter_metadata().at("reedspindle").fields();
+      endpoint.healthy = lb_endpoint.health_status() == envoy::config::core::v3::HEALTHY;
+      endpoint.draining = lb_endpoint.health_status() == envoy::config::core::v3::DRAINING;
+      endpoint.priority = locality.priority(), endpoint.weight = lb_endpoint.load_balancing_weight().value();
+      const auto& fields = lb_endpoint.metadata().filter_metadata().at("reedspindle").fields();
       endpoint.server = fields.at("member").string_value();
       endpoint.primary = fields.at("role").string_value() == "primary";
       if (fields.contains("fresh_until_ms")) {
--- a/testservers/xds_client.hpp
+++ b/testservers/xds_client.hpp
@@ -1,5 +1,6 @@
-// Stand-in proxies: clients of the control service that obey what they are handed, over the published
-// protocol in either form. They come back when a stream ends, as proxies do, with what they have.
+// An xDS client of the control service that stands for a proxy: applies the clusters and assignments that it
+// receives, in either variant of the protocol. When a stream ends it reconnects as proxies do and states the
+// versions it has.
 #pragma once
 
 #include <grpcpp/grpcpp.h>
@@ -27,14 +28,14 @@
 };
 
 struct ClientOptions {
-  bool incremental = false;  // which form it speaks
+  bool incremental = false;  // incremental variant rather than state of the world
   std::vector<std::string> features;
-  std::string user_agent = "stand-in";
+  std::string user_agent = "test-client";
 };
 
 class XdsClient {
  public:
-  // What it was sent, after it was applied; on gRPC's threads.
+  // Called on a thread of gRPC after each response that has been applied, with its type and the time.
   using AppliedCallback = std::function<void(XdsClient&, const std::string& type, double at)>;
 
   XdsClient(std::string node, std::string target, ClientOptions options, std::vector<std::string> names,
@@ -42,17 +43,19 @@
             std::shared_ptr<grpc::ChannelCredentials> credentials = grpc::InsecureChannelCredentials());
   ~XdsClient();
 
-  // Cuts the stream and comes back, to another target where one is given.
+  // Cancels the stream and reconnects, to the target if one is given.
   void reconnect(const std::string& target = "");
   void stop();
-  // From here on it reads nothing more, or turns down what comes of a type, or says nothing to it.
+  // Whether the client reads further responses, acknowledges or rejects what it reads, and rejects endpoints.
+  // Set by the test at any time.
   std::atomic<bool> reads{true}, acknowledges{true};
   std::atomic<bool> rejects_endpoints{false};
 
   std::map<std::string, std::vector<ReceivedEndpoint>> assignments() const;
   std::optional<std::vector<ReceivedEndpoint>> assignment(const std::string& name) const;
   std::vector<std::string> clusters() const;
-  // As it would send now: one of the first priority that has any healthy one whose time has not run out.
+  // Returns the endpoint that a request would be sent to now: a healthy, unexpired one of the first priority
+  // that has any.
   std::optional<ReceivedEndpoint> pick_endpoint(const std::string& name, double now, unsigned turn) const;
   bool wait(const std::function<bool(const XdsClient&)>& until, int ms = 10000) const;
   std::string last_version() const;
@@ -80,18 +83,18 @@
   const std::string node_;
   std::string target_;
   const ClientOptions options_;
-  const std::vector<std::string> names_;  // of assignments; with clusters: all of them
+  const std::vector<std::string> names_;  // of assignments; clusters are subscribed to by wildcard
   const AppliedCallback applied_;
   const std::shared_ptr<grpc::ChannelCredentials> credentials_;
   mutable std::mutex mutex_;
   mutable std::condition_variable changed_;
   std::shared_ptr<grpc::Channel> channel_;
-  std::vector<std::shared_ptr<grpc::Channel>>
-      previous_channels_;  // not to be given back on a thread of their own
+  // Kept until the client is destroyed, since a channel must not be released on one of its own threads.
+  std::vector<std::shared_ptr<grpc::Channel>> previous_channels_;
   std::unique_ptr<envoy::service::discovery::v3::AggregatedDiscoveryService::Stub> stub_;
   std::map<std::string, std::vector<ReceivedEndpoint>> assignments_;
-  std::map<std::string, std::string> versions_;  // of assignments, in the form of changes
-  std::map<std::string, double> expiry_times_;   // by time to live
+  std::map<std::string, std::string> versions_;  // of assignments, in the incremental variant
+  std::map<std::string, double> expiry_times_;   // of assignments with a time to live
   std::vector<std::string> clusters_;
   std::string version_, clusters_version_, status_;
   std::atomic<int> streams_opened_{0};
