--- a/tests/xds.cpp
+++ b/tests/xds.cpp
@@ -1,5 +1,7 @@
-// Plays one scenario with the real control service between stand-ins for discovery, stores and proxies, and
-// prints what came of it. Nothing waits for a fixed time where there is something to wait for.
+// Runs a scenario with the control service as a child process, between test servers for discovery and stores
+// and xDS clients that stand for proxies, and prints the results. A scenario is named by a line of the file;
+// lines that start with two spaces are expected output. Scenarios wait for events, and for a fixed time only
+// where there is no event.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -22,24 +24,25 @@
 #include <set>
 #include <thread>
 
-#include "testservers/proxies.hpp"
 #include "testservers/service.hpp"
-#include "testservers/world.hpp"
+#include "testservers/test_environment.hpp"
+#include "testservers/xds_client.hpp"
 
 namespace {
 using namespace reedspindle::testservers;
 
 std::string program, folder;
 
-void say(const std::string& text) { std::cout << "  " << text << std::endl; }
-void say(const std::string& what, bool is) { say(what + (is ? ": yes" : ": no")); }
+void report(const std::string& text) { std::cout << "  " << text << std::endl; }
+void report(const std::string& what, bool holds) { report(what + (holds ? ": yes" : ": no")); }
 
-const std::vector<std::string> kNames = {"group-0.primary", "group-0.any", "group-0.within-1500ms",
-                                         "group-0.members"};
-const ProxyCan kWhole{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
-const ProxyCan kChanges{true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "stand-in"};
+const std::vector<std::string> kAssignments = {"group-0.primary", "group-0.any", "group-0.within-1500ms",
+                                               "group-0.members"};
+const ClientOptions kSotwClient{false, {"reedspindle.expiry.stated", "reedspindle.weights"}, "test-client"};
+const ClientOptions kIncrementalClient{
+    true, {"reedspindle.expiry.stated", "reedspindle.weights"}, "test-client"};
 
-// One group: a primary and replicas.
+// Puts all stores into one group, with the first as its primary.
 void one_group(std::vector<StoreState>& states) {
   states[0].primary = true;
   for (StoreState& state : states) {
@@ -47,18 +50,20 @@
   }
 }
 
-bool names(const Proxy& proxy, const std::string& assignment, const std::string& member,
-           bool healthy = true) {
-  const auto handed = proxy.assignment(assignment);
-  return handed && std::ranges::any_of(
-                       *handed, [&](const Handed& h) { return h.server == member && h.healthy == healthy; });
+bool has_endpoint(const XdsClient& proxy, const std::string& assignment, const std::string& member,
+                  bool healthy = true) {
+  const auto endpoints = proxy.assignment(assignment);
+  return endpoints && std::ranges::any_of(*endpoints, [&](const ReceivedEndpoint& endpoint) {
+           return endpoint.server == member && endpoint.healthy == healthy;
+         });
 }
-std::string healthy_in(const Proxy& proxy, const std::string& assignment) {
+std::string healthy_in(const XdsClient& proxy, const std::string& assignment) {
   std::string text;
   std::map<unsigned, std::set<std::string>> by_priority;
-  for (const Handed& handed : proxy.assignment(assignment).value_or(std::vector<Handed>{})) {
-    if (handed.healthy) {
-      by_priority[handed.priority].insert((handed.primary ? "*" : "") + handed.server);
+  for (const ReceivedEndpoint& endpoint :
+       proxy.assignment(assignment).value_or(std::vector<ReceivedEndpoint>{})) {
+    if (endpoint.healthy) {
+      by_priority[endpoint.priority].insert((endpoint.primary ? "*" : "") + endpoint.server);
     }
   }
   for (const auto& [priority, members] : by_priority) {
@@ -68,192 +73,203 @@
   }
   return text;
 }
-bool any_empty(const Proxy& proxy) {
+bool has_empty_assignment(const XdsClient& proxy) {
   return std::ranges::any_of(proxy.assignments(), [](const auto& item) { return item.second.empty(); });
 }
-bool settled(const Proxy& proxy) {
-  return names(proxy, "group-0.primary", "s-000") && names(proxy, "group-0.any", "s-001") &&
-         names(proxy, "group-0.any", "s-002");
+bool has_initial_endpoints(const XdsClient& proxy) {
+  return has_endpoint(proxy, "group-0.primary", "s-000") && has_endpoint(proxy, "group-0.any", "s-001") &&
+         has_endpoint(proxy, "group-0.any", "s-002");
 }
 
-// Both forms are told the same, follow a drain, a change of primary and a lagging replica.
-void ordinary() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+// Clients of both protocol variants must receive the same endpoints and follow a lagging replica, a drain and
+// a change of primary.
+void basic() {
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
-  Proxy whole("w", service.target(), kWhole, kNames);
-  Proxy changes("c", service.target(), kChanges, kNames);
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("told", proxy->wait([](const Proxy& p) {
-      return settled(p) && names(p, "group-0.within-1500ms", "s-003") && names(p, "group-0.any", "s-003");
+  XdsClient sotw("w", service.target(), kSotwClient, kAssignments);
+  XdsClient incremental("c", service.target(), kIncrementalClient, kAssignments);
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("endpoints received", proxy->wait([](const XdsClient& p) {
+      return has_initial_endpoints(p) && has_endpoint(p, "group-0.within-1500ms", "s-003") &&
+             has_endpoint(p, "group-0.any", "s-003");
     }));
-    say("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
-        ", any:" + healthy_in(*proxy, "group-0.any"));
+    report("bounded:" + healthy_in(*proxy, "group-0.within-1500ms") +
+           ", any:" + healthy_in(*proxy, "group-0.any"));
     const auto clusters = proxy->clusters();
-    say(fmt::format("clusters: {}", clusters.size()));
+    report(fmt::format("clusters: {}", clusters.size()));
   }
-  world.quietly([](auto& states) { states[1].lag = 60000; });
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("the lagging one is out of bounded reads",
-        proxy->wait([](const Proxy& p) { return !names(p, "group-0.within-1500ms", "s-001"); }));
+  environment.update_unpublished([](auto& states) { states[1].lag = 60000; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("the lagging replica is out of bounded reads", proxy->wait([](const XdsClient& p) {
+      return !has_endpoint(p, "group-0.within-1500ms", "s-001");
+    }));
   }
-  world.change([](auto& states) { states[3].draining = true; });
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("the draining one is out", proxy->wait([](const Proxy& p) {
-      return !names(p, "group-0.any", "s-003") && names(p, "group-0.members", "s-003", false);
+  environment.update([](auto& states) { states[3].draining = true; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("the draining server is out of reads", proxy->wait([](const XdsClient& p) {
+      return !has_endpoint(p, "group-0.any", "s-003") && has_endpoint(p, "group-0.members", "s-003", false);
     }));
   }
-  world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  for (Proxy* proxy : {&whole, &changes}) {
-    say("the new primary is followed", proxy->wait([](const Proxy& p) {
-      return names(p, "group-0.primary", "s-002") && !names(p, "group-0.primary", "s-000");
+  environment.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  for (XdsClient* proxy : {&sotw, &incremental}) {
+    report("writes follow the new primary", proxy->wait([](const XdsClient& p) {
+      return has_endpoint(p, "group-0.primary", "s-002") && !has_endpoint(p, "group-0.primary", "s-000");
     }));
   }
-  service.end(SIGTERM);
-  say("one told to stop says so", service.says("stopped name=a"));
+  service.stop(SIGTERM);
+  report("logs its stop on SIGTERM", service.wait_for_log("stopped name=a"));
 }
 
-// A drain heard while every stream is down, by the service killed and started again, with discovery silent:
-// the drained member never comes back, and no roster is empty.
+// A drain must not be lost when it is published while the service is down. The restarted service receives it
+// and is then killed and started again with discovery silent: no client gets the drained server back or an
+// empty assignment.
 void drain_while_down() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   std::atomic<bool> drained = false;
-  std::atomic<bool> brought_back = false;
+  std::atomic<bool> restored = false;
   std::atomic<bool> empty = false;
-  const auto look = [&](Proxy& proxy, const std::string&, double) {
-    empty = empty || any_empty(proxy);
-    if (drained && names(proxy, "group-0.any", "s-002")) {
-      brought_back = true;
+  const auto on_applied = [&](XdsClient& proxy, const std::string&, double) {
+    empty = empty || has_empty_assignment(proxy);
+    if (drained && has_endpoint(proxy, "group-0.any", "s-002")) {
+      restored = true;
     }
   };
-  std::vector<std::unique_ptr<Proxy>> proxies;
-  for (int i = 0; i < 6; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(),
-                                              i % 2 ? kChanges : kWhole, kNames, look));
+  std::vector<std::unique_ptr<XdsClient>> proxies;
+  for (int index = 0; index < 6; ++index) {
+    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", index), service.target(),
+                                                  index % 2 ? kIncrementalClient : kSotwClient, kAssignments,
+                                                  on_applied));
   }
   for (auto& proxy : proxies) {
-    if (!proxy->wait(settled)) {
-      return say("not told");
+    if (!proxy->wait(has_initial_endpoints)) {
+      return report("endpoints not received");
     }
   }
-  // Down, then heard by the next start alone.
-  service.end(SIGKILL);
-  world.change([](auto& states) { states[2].draining = true; });
+  // The drain is published while the service is down, so only the restarted service receives it.
+  service.stop(SIGKILL);
+  environment.update([](auto& states) { states[2].draining = true; });
   service.start();
-  say("heard by the next start", service.says("ready, sending resources"));
+  report("drain read by the restarted service", service.wait_for_log("ready, sending resources"));
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); })) {
-      return say("a proxy still has it");
+    if (!proxy->wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); })) {
+      return report("a proxy still uses the drained server");
     }
   }
   drained = true;
-  // The store has it now; with discovery silent the next start goes by that.
+  // The drain is in the stored registry now; with discovery silent the next start has no other source.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  world.discovery(Manner::silent);
+  environment.set_discovery_mode(DiscoveryMode::silent);
   for (int round = 0; round < 3; ++round) {
     std::vector<int> before;
     for (auto& proxy : proxies) {
       before.push_back(static_cast<int>(proxy->responses()));
     }
-    service.end(SIGKILL);
+    service.stop(SIGKILL);
     service.start();
-    for (std::size_t i = 0; i < proxies.size(); ++i) {
-      if (!proxies[i]->wait([&](const Proxy& p) {
-            return static_cast<int>(p.responses()) > before[i] + 1 && names(p, "group-0.any", "s-001");
+    for (std::size_t index = 0; index < proxies.size(); ++index) {
+      if (!proxies[index]->wait([&](const XdsClient& p) {
+            return static_cast<int>(p.responses()) > before[index] + 1 &&
+                   has_endpoint(p, "group-0.any", "s-001");
           })) {
-        return say("a proxy was not told again");
+        return report("a proxy received no endpoints after the restart");
       }
     }
   }
-  say("brought back", brought_back);
-  say("an empty roster", empty);
+  report("drained server restored", restored);
+  report("an empty assignment", empty);
 }
 
-// Killed at random moments while drains come and go: no empty roster, nothing brought back, versions rise.
-void kills() {
-  World world(6);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+// The service is killed at random moments while drains start and end: no assignment is empty, no drained
+// server is restored, no version decreases, and the stored registry is never damaged.
+void crashes() {
+  TestEnvironment environment(6);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
   std::atomic<bool> empty = false;
-  std::atomic<bool> fell = false;
+  std::atomic<bool> version_decreased = false;
   std::atomic<bool> sends_to_drained = false;
   std::atomic<int> drained = -1;
   std::mutex mutex;
-  std::map<std::string, std::pair<long long, long long>> last;  // epoch and change, by proxy
-  std::vector<std::unique_ptr<Proxy>> proxies;
-  const auto look = [&](Proxy& proxy, const std::string& type, double) {
-    empty = empty || any_empty(proxy);
+  std::map<std::string, std::pair<long long, long long>> last_versions;  // epoch and change number, by client
+  std::vector<std::unique_ptr<XdsClient>> proxies;
+  const auto on_applied = [&](XdsClient& proxy, const std::string& type, double) {
+    empty = empty || has_empty_assignment(proxy);
     long long revision = 0;
     long long epoch = 0;
-    long long change = 0;
+    long long change_number = 0;
     if (!type.ends_with("Assignment")) {
       return;
     }
-    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change) != 3) {
-      fell = true;
+    if (std::sscanf(proxy.last_version().c_str(), "r%lld.e%lld.c%lld", &revision, &epoch, &change_number) !=
+        3) {
+      version_decreased = true;
     }
     const std::lock_guard lock(mutex);
-    auto& of = last[proxy.node()];
-    fell = fell || std::pair(epoch, change) < of;
-    of = {epoch, change};
+    auto& previous = last_versions[proxy.node()];
+    version_decreased = version_decreased || std::pair(epoch, change_number) < previous;
+    previous = {epoch, change_number};
   };
   for (int i = 0; i < 4; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{}", i), service.target(), kWhole, kNames, look));
+    proxies.push_back(std::make_unique<XdsClient>(fmt::format("p{}", i), service.target(), kSotwClient,
+                                                  kAssignments, on_applied));
   }
-  std::minstd_rand chance(11);
+  std::minstd_rand random(11);
   for (int kill = 0; kill < 25; ++kill) {
-    const int out = 1 + static_cast<int>(chance() % 5);
-    world.change([out](auto& states) {
+    const int draining_store = 1 + static_cast<int>(random() % 5);
+    environment.update([draining_store](auto& states) {
       for (int i = 1; i < 6; ++i) {
-        states[static_cast<std::size_t>(i)].draining = i == out;
+        states[static_cast<std::size_t>(i)].draining = i == draining_store;
       }
     });
-    std::this_thread::sleep_for(std::chrono::microseconds(chance() % 120000));
-    service.end(SIGKILL);
+    std::this_thread::sleep_for(std::chrono::microseconds(random() % 120000));
+    service.stop(SIGKILL);
     service.start();
     if (kill % 5 != 4) {
       continue;
     }
-    // Let it come up and see that everyone has the latest.
+    // Every fifth time, wait until all clients have received the latest drain.
     for (auto& proxy : proxies) {
-      if (!proxy->wait([&](const Proxy& p) {
-            return !names(p, "group-0.any", world.name_of(out)) &&
-                   names(p, "group-0.members", world.name_of(out), false);
+      if (!proxy->wait([&](const XdsClient& p) {
+            return !has_endpoint(p, "group-0.any", environment.name_of(draining_store)) &&
+                   has_endpoint(p, "group-0.members", environment.name_of(draining_store), false);
           })) {
-        return say("a proxy was not told");
+        return report("a proxy did not receive the drain");
       }
     }
   }
-  say("an empty roster", empty);
-  say("a version that fell", fell);
+  report("an empty assignment", empty);
+  report("a version decreased", version_decreased);
   std::string log = service.log();
-  say("a damaged store", log.find("damaged") != std::string::npos);
+  report("damage to the stored registry logged", log.find("damaged") != std::string::npos);
 }
 
-// The newest generations of the store are damaged in turn, then all, then of an older form.
+// The newest generation of the stored registry is truncated, then every generation is overwritten with an
+// older format: the service must use the previous generation, or wait for an endpoint list, and must not
+// reuse an epoch.
 void damaged_store() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
-  if (!service.says("ready, sending resources")) {
-    return say("not started");
+  if (!service.wait_for_log("ready, sending resources")) {
+    return report("service not started");
   }
-  world.change([](auto& states) { states[2].draining = true; });
-  if (!service.says("server draining or removed server=s-002")) {
-    return say("not heard");
+  environment.update([](auto& states) { states[2].draining = true; });
+  if (!service.wait_for_log("server draining or removed server=s-002")) {
+    return report("drain not received");
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
-  service.end(SIGKILL);
-  world.discovery(Manner::silent);
+  service.stop(SIGKILL);
+  environment.set_discovery_mode(DiscoveryMode::silent);
   const auto newest_first = [&] {
     std::vector<std::string> files;
-    for (const auto& entry : std::filesystem::directory_iterator(service.keep())) {
+    for (const auto& entry : std::filesystem::directory_iterator(service.state_folder())) {
       if (entry.path().filename().string().starts_with("state.")) {
         files.push_back(entry.path());
       }
@@ -263,133 +279,148 @@
   };
   std::filesystem::resize_file(newest_first().front(), 100);
   service.start();
-  Proxy proxy("p", service.target(), kWhole, kNames);
-  say("the generation before serves",
-      proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("it is said", service.says("its length is not the one it states"));
-  service.end(SIGKILL);
+  XdsClient proxy("p", service.target(), kSotwClient, kAssignments);
+  report("the previous generation is used",
+         proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("damage to the newest generation is logged",
+         service.wait_for_log("its length is not the one it states"));
+  service.stop(SIGKILL);
   for (const std::string& file : newest_first()) {
     std::ofstream(file) << "RSKEEP\r\nolder";
   }
   service.start();
-  say("all lost is said", service.says("it is cut short"));
-  Proxy fresh("f", service.target(), kWhole, kNames);
-  say("nothing is handed out without a list",
-      !fresh.wait([](const Proxy& p) { return p.responses() > 0; }, 700));
-  world.discovery(Manner::answers);
-  say("with a list it is", fresh.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("epochs went on", std::stoi(fresh.last_version().substr(fresh.last_version().find('e') + 1)) > 2);
+  report("damage to every generation is logged", service.wait_for_log("it is cut short"));
+  XdsClient new_proxy("f", service.target(), kSotwClient, kAssignments);
+  report("no response without an endpoint list",
+         !new_proxy.wait([](const XdsClient& p) { return p.responses() > 0; }, 700));
+  environment.set_discovery_mode(DiscoveryMode::normal);
+  report("responses resume with an endpoint list",
+         new_proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("epochs keep increasing",
+         std::stoi(new_proxy.last_version().substr(new_proxy.last_version().find('e') + 1)) > 2);
 }
 
-// TestDiscovery empty, then back in its revisions, then whole again.
-void lists() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(),
+// Discovery sends an empty list, then lists of an older revision, then a newer complete list. A suspect list
+// may withdraw servers but must not restore them.
+void suspect_lists() {
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
                          "(roster (confirm 300ms) (older-list 1h))");
   service.start();
   std::atomic<bool> empty = false;
-  Proxy proxy("p", service.target(), kWhole, kNames,
-              [&](Proxy& p, const std::string&, double) { empty = empty || any_empty(p); });
-  say("told", proxy.wait(settled));
-  world.discovery(Manner::empty_list);
-  world.change([](auto&) {});
-  say("an empty list is doubted", service.says("reason=\"list is empty\""));
-  world.discovery(Manner::answers);
-  world.change([](auto& states) { states[1].draining = true; });
-  say("the whole list counts again",
-      proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-001"); }));
-  world.revision(0);
-  world.change([](auto& states) { states[1].draining = false, states[2].draining = true; });
-  say("an older list is doubted", service.says("reason=\"list revision is older\""));
-  say("it takes away", proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("it gives back", names(proxy, "group-0.any", "s-001"));
-  world.revision(100);
-  world.change([](auto&) {});
-  say("a newer one gives back", proxy.wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }));
-  say("an empty roster", empty);
+  XdsClient proxy(
+      "p", service.target(), kSotwClient, kAssignments,
+      [&](XdsClient& p, const std::string&, double) { empty = empty || has_empty_assignment(p); });
+  report("endpoints received", proxy.wait(has_initial_endpoints));
+  environment.set_discovery_mode(DiscoveryMode::empty_list);
+  environment.update([](auto&) {});
+  report("an empty list is suspect", service.wait_for_log("reason=\"list is empty\""));
+  environment.set_discovery_mode(DiscoveryMode::normal);
+  environment.update([](auto& states) { states[1].draining = true; });
+  report("the next complete list is accepted",
+         proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-001"); }));
+  environment.set_revision(0);
+  environment.update([](auto& states) { states[1].draining = false, states[2].draining = true; });
+  report("a list of an older revision is suspect", service.wait_for_log("reason=\"list revision is older\""));
+  report("a suspect list withdraws a server",
+         proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
+  report("a suspect list restores a server", has_endpoint(proxy, "group-0.any", "s-001"));
+  environment.set_revision(100);
+  environment.update([](auto&) {});
+  report("a list of a newer revision restores the server",
+         proxy.wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); }));
+  report("an empty assignment", empty);
 }
 
-// Two services side by side, of which one hears of a drain and the other does not: a proxy that changes to
-// the other in mid-drain is left with what it knows, until that one has heard, too.
+// Only one of two services has received a drain. A client that moves to the other one during the drain must
+// not get the drained server back: it receives nothing until that service has the same revision.
 void two_services() {
-  World world(4);
-  World behind(4);
-  world.change(one_group), behind.change(one_group);
-  ServiceProcess one(program, folder, "a", world.discovery_address());
-  ServiceProcess other(program, folder, "b", behind.discovery_address());
-  one.start(), other.start();
-  if (!one.says("ready, sending resources") || !other.says("ready, sending resources")) {
-    return say("not started");
-  }
-  for (const ProxyCan& can : {kWhole, kChanges}) {
-    world.change([](auto& states) { states[2].draining = false; });
+  TestEnvironment environment(4);
+  TestEnvironment stale_environment(4);
+  environment.update(one_group), stale_environment.update(one_group);
+  ServiceProcess first(program, folder, "a", environment.discovery_address());
+  ServiceProcess second(program, folder, "b", stale_environment.discovery_address());
+  first.start(), second.start();
+  if (!first.wait_for_log("ready, sending resources") || !second.wait_for_log("ready, sending resources")) {
+    return report("service not started");
+  }
+  for (const ClientOptions& options : {kSotwClient, kIncrementalClient}) {
+    environment.update([](auto& states) { states[2].draining = false; });
     std::atomic<bool> drained = false;
-    std::atomic<bool> back = false;
-    Proxy proxy("p", one.target(), can, kNames, [&](Proxy& p, const std::string&, double) {
-      if (drained && names(p, "group-0.any", "s-002")) {
-        back = true;
-      }
-    });
-    say("told by the first", proxy.wait(settled));
-    world.change([](auto& states) { states[2].draining = true; });
-    say("drained by the first", proxy.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
+    std::atomic<bool> restored = false;
+    XdsClient proxy("p", first.target(), options, kAssignments,
+                    [&](XdsClient& p, const std::string&, double) {
+                      if (drained && has_endpoint(p, "group-0.any", "s-002")) {
+                        restored = true;
+                      }
+                    });
+    report("endpoints received from the first service", proxy.wait(has_initial_endpoints));
+    environment.update([](auto& states) { states[2].draining = true; });
+    report("drain received from the first service",
+           proxy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
     drained = true;
-    proxy.come_back(other.target());
-    // What the other knows is older: nothing is told for as long as that is so.
-    say("told by the other, which knows less",
-        proxy.wait([](const Proxy& p) { return p.last_version().ends_with(".b"); }, 700));
+    proxy.reconnect(second.target());
+    // The second service sends nothing while its revision is older.
+    report("endpoints received from a second service with an older revision",
+           proxy.wait([](const XdsClient& p) { return p.last_version().ends_with(".b"); }, 700));
     long long revision = 0;
     std::sscanf(proxy.last_version().c_str(), "r%lld", &revision);
-    behind.revision(revision);
-    behind.change([](auto& states) { states[2].draining = true; });
-    say("told by the other, which knows as much",
-        proxy.wait([&](const Proxy& p) { return p.last_version().ends_with(".b"); }));
-    say("brought back", back);
-    behind.change([](auto& states) { states[2].draining = false; });
-    world.revision(revision + 10);
+    stale_environment.set_revision(revision);
+    stale_environment.update([](auto& states) { states[2].draining = true; });
+    report("endpoints received from the second service at the same revision",
+           proxy.wait([&](const XdsClient& p) { return p.last_version().ends_with(".b"); }));
+    report("drained server restored", restored);
+    stale_environment.update([](auto& states) { states[2].draining = false; });
+    environment.set_revision(revision + 10);
   }
 }
 
-// A proxy that stops reading, one that says nothing to what it is sent, one that turns everything down:
-// others are told all the same, and the three are let go or left in peace.
-void slow_ones() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (unread 1s))");
+// A client that stops reading, one that acknowledges nothing and one that rejects all endpoints must not
+// delay the other clients. The service disconnects the one that acknowledges nothing and does not resend to
+// the rejecting one in a loop.
+void slow_clients() {
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(), "(proxies (unread 1s))");
   service.start();
-  Proxy well("well", service.target(), kWhole, kNames);
-  Proxy deaf("deaf", service.target(), kWhole, kNames);
-  Proxy mute("mute", service.target(), kWhole, kNames);
-  Proxy contrary("contrary", service.target(), kChanges, kNames);
-  for (Proxy* proxy : {&well, &deaf, &mute, &contrary}) {
-    say("told", proxy->wait(settled));
-  }
-  deaf.reads = false, mute.answers = false, contrary.turns_down = true;
-  for (int turn = 0; turn < 30; ++turn) {
-    world.change([turn](auto& states) { states[2].draining = turn % 2 == 0; });
-    if (!well.wait([turn](const Proxy& p) { return names(p, "group-0.any", "s-002") == (turn % 2 != 0); })) {
-      return say("the well one was not told");
+  XdsClient healthy("healthy", service.target(), kSotwClient, kAssignments);
+  XdsClient not_reading("not-reading", service.target(), kSotwClient, kAssignments);
+  XdsClient not_acknowledging("not-acknowledging", service.target(), kSotwClient, kAssignments);
+  XdsClient rejecting("rejecting", service.target(), kIncrementalClient, kAssignments);
+  for (XdsClient* proxy : {&healthy, &not_reading, &not_acknowledging, &rejecting}) {
+    report("endpoints received", proxy->wait(has_initial_endpoints));
+  }
+  not_reading.reads = false, not_acknowledging.acknowledges = false, rejecting.rejects_endpoints = true;
+  for (int round = 0; round < 30; ++round) {
+    environment.update([round](auto& states) { states[2].draining = round % 2 == 0; });
+    if (!healthy.wait([round](const XdsClient& p) {
+          return has_endpoint(p, "group-0.any", "s-002") == (round % 2 != 0);
+        })) {
+      return report("the healthy client did not receive an update");
     }
   }
-  say("the mute one is let go", service.says("node=mute reason=\"it does not answer\""));
-  const auto before = contrary.responses();
+  report("the client that acknowledges nothing is disconnected",
+         service.wait_for_log("node=not-acknowledging reason=\"it does not answer\""));
+  const auto responses_before = rejecting.responses();
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  say("a loop of rejections", contrary.responses() > before + 3);
-  say("its reason is told",
-      service.says("response rejected node=contrary detail=\"turned down on purpose\""));
+  report("rejected response resent in a loop", rejecting.responses() > responses_before + 3);
+  report("the reason for the rejection is logged",
+         service.wait_for_log("response rejected node=rejecting detail=\"rejected by the test\""));
 }
 
-// Noise on the port, half a handshake, streams that say nothing, names by thousands.
-void garbage() {
-  World world(4);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address(), "(proxies (most 4) (names 100))");
+// Random bytes on the port, incomplete HTTP/2 handshakes, a client with thousands of names and too many
+// streams must not affect a healthy client.
+void hostile_clients() {
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
+                         "(proxies (most 4) (names 100))");
   service.start();
-  Proxy well("well", service.target(), kWhole, kNames);
-  say("told", well.wait(settled));
-  std::minstd_rand chance(3);
-  std::vector<int> open;
+  XdsClient healthy("healthy", service.target(), kSotwClient, kAssignments);
+  report("endpoints received", healthy.wait(has_initial_endpoints));
+  std::minstd_rand random(3);
+  std::vector<int> sockets;
   const std::string target = service.target();
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -398,75 +429,77 @@
   for (int i = 0; i < 200; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-      return say("not reached");
+      return report("connection to the service failed");
     }
     std::string noise = i % 3 == 0 ? "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" : "";
-    for (unsigned n = chance() % 2000; n > 0; --n) {
-      noise += static_cast<char>(chance());
+    for (unsigned length = random() % 2000; length > 0; --length) {
+      noise += static_cast<char>(random());
     }
     if (send(fd, noise.data(), noise.size(), MSG_NOSIGNAL) < 0) {
-      say("not sent");
+      report("random bytes not sent");
     }
-    open.push_back(fd);
+    sockets.push_back(fd);
   }
-  std::vector<std::string> many;
+  std::vector<std::string> many_names;
   for (int i = 0; i < 5000; ++i) {
-    many.push_back(fmt::format("nobody-{}", i));
+    many_names.push_back(fmt::format("unknown-{}", i));
   }
-  Proxy greedy("greedy", target, kChanges, many);
-  say("the greedy one is let go", service.says("node=greedy reason=\"more than 100 names\""));
-  greedy.stop();
-  std::vector<std::unique_ptr<Proxy>> crowd;
+  XdsClient oversubscribed("oversubscribed", target, kIncrementalClient, many_names);
+  report("the client that subscribes to too many names is disconnected",
+         service.wait_for_log("node=oversubscribed reason=\"more than 100 names\""));
+  oversubscribed.stop();
+  std::vector<std::unique_ptr<XdsClient>> extra_clients;
   for (int i = 0; i < 8; ++i) {
-    crowd.push_back(std::make_unique<Proxy>(fmt::format("crowd-{}", i), target, kWhole, kNames));
-  }
-  say("the crowd is limited", service.says("stream rejected"));
-  world.change([](auto& states) { states[2].draining = true; });
-  say("the well one is told all the same",
-      well.wait([](const Proxy& p) { return !names(p, "group-0.any", "s-002"); }));
-  say("one stream from the start", well.streams() == 1);
-  for (const int fd : open) {
+    extra_clients.push_back(
+        std::make_unique<XdsClient>(fmt::format("extra-{}", i), target, kSotwClient, kAssignments));
+  }
+  report("the number of streams is limited", service.wait_for_log("stream rejected"));
+  environment.update([](auto& states) { states[2].draining = true; });
+  report("the healthy client still receives updates",
+         healthy.wait([](const XdsClient& p) { return !has_endpoint(p, "group-0.any", "s-002"); }));
+  report("the healthy client kept its first stream", healthy.streams() == 1);
+  for (const int fd : sockets) {
     close(fd);
   }
 }
 
-// Stand-in proxies send reads by what they were handed while replicas stall and streams are cut; what they
-// read is held against what the bound allows.
-void stale() {
-  World world(5);
-  world.change(one_group);
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+// Clients choose servers for bounded reads by the endpoints that they have received, while replicas stall,
+// streams are cut and the service is paused. No read may go to a server beyond the staleness bound.
+void staleness_bound() {
+  TestEnvironment environment(5);
+  environment.update(one_group);
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   service.start();
-  std::vector<std::unique_ptr<Proxy>> proxies;
+  std::vector<std::unique_ptr<XdsClient>> proxies;
   for (int i = 0; i < 6; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(
+    proxies.push_back(std::make_unique<XdsClient>(
         fmt::format("p{}", i), service.target(),
-        i % 3 == 2 ? ProxyCan{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "stand-in"}
-        : i % 3    ? kChanges
-                   : kWhole,
+        i % 3 == 2 ? ClientOptions{true, {"reedspindle.expiry.ttl", "reedspindle.weights"}, "test-client"}
+        : i % 3    ? kIncrementalClient
+                   : kSotwClient,
         std::vector<std::string>{"group-0.within-1500ms", "group-0.within-1500ms.replicas",
                                  "group-0.primary"}));
   }
   for (auto& proxy : proxies) {
-    if (!proxy->wait([](const Proxy& p) { return names(p, "group-0.primary", "s-000"); })) {
-      return say("not told");
+    if (!proxy->wait([](const XdsClient& p) { return has_endpoint(p, "group-0.primary", "s-000"); })) {
+      return report("endpoints not received");
     }
   }
   std::map<std::string, int> stores;
-  for (int store = 0; store < world.size(); ++store) {
-    stores[world.address_of(store)] = store;
+  for (int store = 0; store < environment.size(); ++store) {
+    stores[environment.address_of(store)] = store;
   }
-  std::minstd_rand chance(5);
+  std::minstd_rand random(5);
   long reads = 0;
   long on_replicas = 0;
-  long nowhere = 0;
-  long too_old = 0;
+  long without_server = 0;
+  long beyond_bound = 0;
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(8);
   for (unsigned turn = 0; std::chrono::steady_clock::now() < end; ++turn) {
     if (turn % 400 == 0) {
-      world.quietly([&](auto& states) {
+      environment.update_unpublished([&](auto& states) {
         for (std::size_t i = 1; i < states.size(); ++i) {
-          const bool stalls = chance() % 3 == 0;
+          const bool stalls = random() % 3 == 0;
           if (stalls && states[i].stalled_at < 0) {
             states[i].stalled_at = now_ms() - states[i].lag;
           }
@@ -475,131 +508,132 @@
           }
         }
       });
-      proxies[chance() % proxies.size()]->come_back();
+      proxies[random() % proxies.size()]->reconnect();
     }
     if (turn == 4000) {
-      kill(service.pid(), SIGSTOP);  // nothing more is heard of us
+      kill(service.pid(), SIGSTOP);  // the clients receive nothing until SIGCONT
     }
     if (turn == 9000) {
       kill(service.pid(), SIGCONT);
     }
-    const std::vector<double> positions = world.positions();
+    const std::vector<double> positions = environment.positions();
     for (std::size_t i = 0; i < proxies.size(); ++i) {
       const double now = now_ms();
-      auto to = proxies[i]->pick("group-0.within-1500ms", now, turn);
-      if (!to) {
-        to = proxies[i]->pick("group-0.within-1500ms.replicas", now, turn);
+      auto endpoint = proxies[i]->pick_endpoint("group-0.within-1500ms", now, turn);
+      if (!endpoint) {
+        endpoint = proxies[i]->pick_endpoint("group-0.within-1500ms.replicas", now, turn);
       }
-      if (!to) {
-        to = proxies[i]->pick("group-0.primary", now, turn);
+      if (!endpoint) {
+        endpoint = proxies[i]->pick_endpoint("group-0.primary", now, turn);
       }
       ++reads;
-      if (!to) {
-        ++nowhere;
+      if (!endpoint) {
+        ++without_server;
         continue;
       }
-      const int store = stores.at(to->address);
+      const int store = stores.at(endpoint->address);
       on_replicas += store != 0;
-      too_old += now - positions[static_cast<std::size_t>(store)] > 1500;
+      beyond_bound += now - positions[static_cast<std::size_t>(store)] > 1500;
     }
     std::this_thread::sleep_for(std::chrono::microseconds(300));
   }
-  say("over 50,000 reads", reads > 50000);
-  say("a fifth of them on replicas at least", on_replicas * 5 > reads);
-  say("some with nowhere to go", nowhere > 0);
-  say("some too old", too_old > 0);
+  report("more than 50,000 reads", reads > 50000);
+  report("at least a fifth of the reads on replicas", on_replicas * 5 > reads);
+  report("reads without a server", without_server > 0);
+  report("reads beyond the staleness bound", beyond_bound > 0);
 }
 
-// Certificates: a proxy with one of the right issuer is taken, one without is not; new files count without a
-// restart.
+// The service must accept only clients with a certificate of the trusted issuer, and must use replaced
+// certificate files without a restart.
 void tls() {
-  World world(3);
-  world.change(one_group);
+  TestEnvironment environment(3);
+  environment.update(one_group);
   const auto run = [](const std::string& command) {
     if (std::system((command + " >/dev/null 2>&1").c_str()) != 0) {
-      say("failed: " + command);
+      report("failed: " + command);
     }
   };
-  const auto issue = [&](const std::string& name, const std::string& by, const std::string& subject) {
-    const std::string at = folder + "/" + name;
-    const std::string from = folder + "/" + by;
-    run(fmt::format("openssl req -newkey rsa:2048 -nodes -keyout {0}.key -out {0}.csr -subj /CN={1}", at,
+  const auto issue = [&](const std::string& name, const std::string& issuer_name,
+                         const std::string& subject) {
+    const std::string path = folder + "/" + name;
+    const std::string issuer_path = folder + "/" + issuer_name;
+    run(fmt::format("openssl req -newkey rsa:2048 -nodes -keyout {0}.key -out {0}.csr -subj /CN={1}", path,
                     subject));
-    std::ofstream(at + ".ext") << "subjectAltName=DNS:" << subject << "\n";
+    std::ofstream(path + ".ext") << "subjectAltName=DNS:" << subject << "\n";
     run(fmt::format(
         "openssl x509 -req -in {0}.csr -CA {1}.pem -CAkey {1}.key -CAcreateserial -out {0}.pem -days 2 "
         "-extfile {0}.ext",
-        at, from));
+        path, issuer_path));
   };
-  const auto issuer = [&](const std::string& name) {
+  const auto create_issuer = [&](const std::string& name) {
     run(
         fmt::format("openssl req -x509 -newkey rsa:2048 -nodes -keyout {0}/{1}.key -out {0}/{1}.pem -days 2 "
                     "-subj /CN={1}",
                     folder, name));
   };
-  const auto read = [&](const std::string& name) {
+  const auto read_file = [&](const std::string& name) {
     std::ifstream file(folder + "/" + name);
     return std::string((std::istreambuf_iterator<char>(file)), {});
   };
-  issuer("ours"), issuer("theirs");
-  issue("service", "ours", "control.test"), issue("proxy", "ours", "proxy.test"),
-      issue("stranger", "theirs", "proxy.test");
-  issue("later", "ours", "control.test");
-  ServiceProcess service(
-      program, folder, "a", world.discovery_address(),
-      fmt::format(
-          "(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") (proxies \"{0}/ours.pem\"))",
-          folder));
+  create_issuer("trusted-ca"), create_issuer("other-ca");
+  issue("service", "trusted-ca", "control.test"), issue("proxy", "trusted-ca", "proxy.test"),
+      issue("untrusted-proxy", "other-ca", "proxy.test");
+  issue("replacement", "trusted-ca", "control.test");
+  ServiceProcess service(program, folder, "a", environment.discovery_address(),
+                         fmt::format("(tls (certificate \"{0}/service.pem\") (key \"{0}/service.key\") "
+                                     "(proxies \"{0}/trusted-ca.pem\"))",
+                                     folder));
   service.start();
-  if (!service.says("ready, sending resources")) {
-    return say("not started");
+  if (!service.wait_for_log("ready, sending resources")) {
+    return report("service not started");
   }
-  const auto proxy_of = [&](const std::string& name) {
+  const auto client_with = [&](const std::string& name) {
     grpc::SslCredentialsOptions options;
-    options.pem_root_certs = read("ours.pem");
+    options.pem_root_certs = read_file("trusted-ca.pem");
     if (!name.empty()) {
-      options.pem_private_key = read(name + ".key"), options.pem_cert_chain = read(name + ".pem");
+      options.pem_private_key = read_file(name + ".key"), options.pem_cert_chain = read_file(name + ".pem");
     }
-    auto target = std::make_unique<Proxy>("p", service.target(), kWhole, kNames, Proxy::Applied{},
-                                          grpc::SslCredentials(options));
-    return target;
+    auto client = std::make_unique<XdsClient>("p", service.target(), kSotwClient, kAssignments,
+                                              XdsClient::AppliedCallback{}, grpc::SslCredentials(options));
+    return client;
   };
-  const auto taken = [&](const std::string& name, int ms) {
-    return proxy_of(name)->wait([](const Proxy& p) { return names(p, "group-0.any", "s-001"); }, ms);
+  const auto accepted = [&](const std::string& name, int ms) {
+    return client_with(name)->wait([](const XdsClient& p) { return has_endpoint(p, "group-0.any", "s-001"); },
+                                   ms);
   };
-  say("one of our issuer is taken", taken("proxy", 10000));
-  say("one of another issuer is taken", taken("stranger", 700));
-  say("one without a certificate is taken", taken("", 700));
-  // Another certificate in the same files: new connections see it, the service goes on.
-  const auto number = [&](const std::string& name) {
+  report("client certificate of the trusted issuer accepted", accepted("proxy", 10000));
+  report("client certificate of another issuer accepted", accepted("untrusted-proxy", 700));
+  report("client without a certificate accepted", accepted("", 700));
+  // The files are replaced by another certificate, which new connections must get from the running service.
+  const auto serial_of = [&](const std::string& name) {
     run(fmt::format("openssl x509 -in {0}/{1}.pem -noout -serial -out {0}/{1}.serial", folder, name));
-    return read(name + ".serial");
+    return read_file(name + ".serial");
   };
-  const auto shown = [&] {
+  const auto presented_serial = [&] {
     run(fmt::format(
         "openssl s_client -connect {0} -cert {1}/proxy.pem -key {1}/proxy.key </dev/null 2>/dev/null | "
-        "openssl x509 -noout -serial -out {1}/shown",
+        "openssl x509 -noout -serial -out {1}/presented",
         service.target(), folder));
-    return read("shown");
+    return read_file("presented");
   };
-  say("the certificate is shown", shown() == number("service"));
-  for (const char* of : {"key", "pem"}) {
-    std::filesystem::copy_file(folder + "/later." + of, folder + "/next");
-    std::filesystem::rename(folder + "/next", folder + "/service." + of);
+  report("server certificate presented", presented_serial() == serial_of("service"));
+  for (const char* extension : {"key", "pem"}) {
+    std::filesystem::copy_file(folder + "/replacement." + extension, folder + "/next");
+    std::filesystem::rename(folder + "/next", folder + "/service." + extension);
   }
-  bool later = false;
-  for (int turn = 0; turn < 100 && !later; ++turn) {
+  bool replaced = false;
+  for (int attempt = 0; attempt < 100 && !replaced; ++attempt) {
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
-    later = shown() == number("later");
+    replaced = presented_serial() == serial_of("replacement");
   }
-  say("a later one is shown without a restart", later);
-  say("proxies are taken with it", taken("proxy", 10000));
+  report("replaced server certificate presented without a restart", replaced);
+  report("clients accepted after the replacement", accepted("proxy", 10000));
 }
 
-// What a store says of itself to clients of its own: its name.
-class Named final : public grpc::CallbackGenericService {
+// A gRPC service that answers each call with the name of the store, as trailing metadata.
+class StoreNameService final : public grpc::CallbackGenericService {
  public:
-  explicit Named(std::string name) : name_(std::move(name)) {}
+  explicit StoreNameService(std::string name) : name_(std::move(name)) {}
   grpc::ServerGenericBidiReactor* CreateReactor(grpc::GenericCallbackServerContext* context) override {
     struct Reactor final : grpc::ServerGenericBidiReactor {
       void OnDone() override { delete this; }
@@ -614,44 +648,45 @@
   const std::string name_;
 };
 
-// The xDS client inside the gRPC library, which nobody here wrote, follows primary, replicas and drains.
-void own_client() {
-  World world(4);
-  world.change(one_group);
-  std::vector<std::unique_ptr<Named>> named;
+// The xDS client of the gRPC library, an independent implementation, must follow the primary, the replicas
+// and drains.
+void grpc_client() {
+  TestEnvironment environment(4);
+  environment.update(one_group);
+  std::vector<std::unique_ptr<StoreNameService>> services;
   std::vector<std::unique_ptr<grpc::Server>> servers;
-  for (int store = 0; store < world.size(); ++store) {
-    named.push_back(std::make_unique<Named>(world.name_of(store)));
+  for (int store = 0; store < environment.size(); ++store) {
+    services.push_back(std::make_unique<StoreNameService>(environment.name_of(store)));
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddListeningPort("127.0.0.1:0", grpc::InsecureServerCredentials(), &port);
-    builder.RegisterCallbackGenericService(named.back().get());
+    builder.RegisterCallbackGenericService(services.back().get());
     servers.push_back(builder.BuildAndStart());
-    world.pass_http2(store, port);
+    environment.pass_http2(store, port);
   }
-  ServiceProcess service(program, folder, "a", world.discovery_address());
+  ServiceProcess service(program, folder, "a", environment.discovery_address());
   setenv("GRPC_XDS_BOOTSTRAP_CONFIG",
          fmt::format(R"({{"xds_servers":[{{"server_uri":"{}","channel_creds":[{{"type":"insecure"}}],)"
-                     R"("server_features":["xds_v3"]}}],"node":{{"id":"own","cluster":"test"}}}})",
+                     R"("server_features":["xds_v3"]}}],"node":{{"id":"grpc","cluster":"test"}}}})",
                      service.target())
              .c_str(),
          1);
   service.start();
   const auto channel = grpc::CreateChannel("xds:///reedspindle", grpc::InsecureChannelCredentials());
   grpc::GenericStub stub(channel);
-  const auto call = [&](const std::string& type) {
+  const auto call = [&](const std::string& request_class) {
     grpc::ClientContext context;
     context.AddMetadata("x-group", "0");
-    context.AddMetadata("x-op-type", type);
+    context.AddMetadata("x-op-type", request_class);
     context.set_wait_for_ready(true);
     context.set_deadline(std::chrono::system_clock::now() + std::chrono::seconds(5));
     grpc::CompletionQueue queue;
-    grpc::ByteBuffer asked(nullptr, 0);
-    grpc::ByteBuffer answer;
-    auto reader = stub.PrepareUnaryCall(&context, "/stores/Say", asked, &queue);
+    grpc::ByteBuffer request(nullptr, 0);
+    grpc::ByteBuffer response;
+    auto reader = stub.PrepareUnaryCall(&context, "/stores/Say", request, &queue);
     reader->StartCall();
     grpc::Status status;
-    reader->Finish(&answer, &status, nullptr);
+    reader->Finish(&response, &status, nullptr);
     void* tag = nullptr;
     bool ok = false;
     queue.Next(&tag, &ok);
@@ -664,10 +699,10 @@
     return store == trailing.end() ? status.error_message()
                                    : std::string(store->second.data(), store->second.size());
   };
-  const auto reached = [&](const std::string& type, int calls) {
+  const auto reached = [&](const std::string& request_class, int calls) {
     std::set<std::string> stores;
     for (int i = 0; i < calls; ++i) {
-      stores.insert(call(type));
+      stores.insert(call(request_class));
     }
     std::string text;
     for (const std::string& store : stores) {
@@ -675,57 +710,58 @@
     }
     return text;
   };
-  const auto becomes = [&](const std::string& type, const std::string& wanted) {
-    for (int turn = 0; turn < 100; ++turn) {
-      if (reached(type, 12) == wanted) {
+  const auto eventually_reaches = [&](const std::string& request_class, const std::string& expected) {
+    for (int attempt = 0; attempt < 100; ++attempt) {
+      if (reached(request_class, 12) == expected) {
         return true;
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
-    say(type + " reaches" + reached(type, 12));
+    report(request_class + " reaches" + reached(request_class, 12));
     return false;
   };
-  say("writes go to the primary", becomes("save", " s-000"));
-  say("reports go to replicas", becomes("report", " s-001 s-002 s-003"));
-  say("bounded reads, which it can't give up in time, go to the primary", becomes("browse", " s-000"));
-  world.change([](auto& states) { states[1].draining = true; });
-  say("a drain is followed", becomes("report", " s-002 s-003"));
-  world.quietly([](auto& states) { states[0].primary = false, states[2].primary = true; });
-  say("a new primary is followed", becomes("save", " s-002"));
-  say("the old one is a replica", becomes("report", " s-000 s-003"));
-  service.end(SIGKILL);
-  say("with the service gone it goes on", becomes("save", " s-002"));
-  world.change([](auto& states) { states[3].draining = true; });
+  report("writes go to the primary", eventually_reaches("save", " s-000"));
+  report("reports go to replicas", eventually_reaches("report", " s-001 s-002 s-003"));
+  report("bounded reads go to the primary, since the client does not expire endpoints",
+         eventually_reaches("browse", " s-000"));
+  environment.update([](auto& states) { states[1].draining = true; });
+  report("reads follow a drain", eventually_reaches("report", " s-002 s-003"));
+  environment.update_unpublished([](auto& states) { states[0].primary = false, states[2].primary = true; });
+  report("writes follow a new primary", eventually_reaches("save", " s-002"));
+  report("the former primary serves reads as a replica", eventually_reaches("report", " s-000 s-003"));
+  service.stop(SIGKILL);
+  report("calls continue while the service is down", eventually_reaches("save", " s-002"));
+  environment.update([](auto& states) { states[3].draining = true; });
   service.start();
-  say("after the start a drain is followed", becomes("report", " s-000"));
+  report("reads follow a drain after the restart", eventually_reaches("report", " s-000"));
 }
 
-const std::map<std::string, std::function<void()>> kScenarios = {{"ordinary", ordinary},
-                                                                 {"own_client", own_client},
+const std::map<std::string, std::function<void()>> kScenarios = {{"basic", basic},
+                                                                 {"grpc_client", grpc_client},
                                                                  {"drain_while_down", drain_while_down},
-                                                                 {"kills", kills},
+                                                                 {"crashes", crashes},
                                                                  {"damaged_store", damaged_store},
-                                                                 {"lists", lists},
+                                                                 {"suspect_lists", suspect_lists},
                                                                  {"two_services", two_services},
-                                                                 {"slow_ones", slow_ones},
-                                                                 {"garbage", garbage},
-                                                                 {"stale", stale},
+                                                                 {"slow_clients", slow_clients},
+                                                                 {"hostile_clients", hostile_clients},
+                                                                 {"staleness_bound", staleness_bound},
                                                                  {"tls", tls}};
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   if (count != 3) {
     return 2;
   }
-  program = words[1];
+  program = arguments[1];
   std::signal(SIGPIPE, SIG_IGN);
-  char made[] = "/tmp/reedspindle-proxies-XXXXXX";
-  if (!mkdtemp(made)) {
+  char folder_template[] = "/tmp/reedspindle-proxies-XXXXXX";
+  if (!mkdtemp(folder_template)) {
     return 1;
   }
-  folder = made;
-  std::ifstream file(words[2]);
+  folder = folder_template;
+  std::ifstream file(arguments[2]);
   for (std::string line; std::getline(file, line);) {
     if (line.starts_with("  ")) {
       continue;
