--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -75,10 +75,10 @@
           {"rules",
            {{"stopSendingWithin", ns(plan.terms.drain_grace)},
             {"graceToAnswer", ns(20)},
-            {"coldFrom", plan.terms.cold_from},
-            {"warmWithin", ns(plan.terms.warm_within)},
-            {"fallMultiple", plan.terms.fall_multiple},
-            {"fall", ns(plan.terms.fall)}}}};
+            {"coldFrom", plan.terms.slow_start_minimum},
+            {"warmWithin", ns(plan.terms.slow_start_window)},
+            {"fallMultiple", plan.terms.slow_start_multiple},
+            {"fall", ns(plan.terms.overload_window)}}}};
 }
 
 }  // namespace
@@ -123,13 +123,14 @@
     streams_.open(seen.back(), agents_.back()->at());
     streams_.open(met_at_[static_cast<std::size_t>(front)], fronts[static_cast<std::size_t>(front)]);
   }
-  stores_.on([this](const RequestExecuted& done) { carried_out(done); },
-             [this](int store, const std::string& op, const Endpoint& from) {
-               ++sends_to_[static_cast<std::size_t>(store)];
-               if (const auto crossing = streams_.crossing(from)) {
-                 rules_.note(invariants::Sent{op, {crossing->gate / each()}, {store}, crossing->to.read});
-               }
-             });
+  stores_.on(
+      [this](const RequestExecuted& done) { carried_out(done); },
+      [this](int store, const std::string& op, const Endpoint& from) {
+        ++sends_to_[static_cast<std::size_t>(store)];
+        if (const auto crossing = streams_.crossing(from)) {
+          rules_.record(invariants::RequestSent{op, {crossing->gate / each()}, {store}, crossing->to.read});
+        }
+      });
   streams_.on([this](const Streams::Passed& passed) {
     clients_.passed(passed);
     const auto answers = passed.back ? underway_.find(passed.target) : underway_.end();
@@ -168,7 +169,7 @@
 
 void TestEnvironment::told(int front, const std::vector<Listed>& listed, Millis at) {
   for (const Listed& one : listed) {
-    rules_.note(invariants::Told{{front}, {one.store}, one.wanted, one.booted, at});
+    rules_.record(invariants::ListingDelivered{{front}, {one.store}, one.wanted, one.booted, at});
   }
 }
 
@@ -199,12 +200,12 @@
     return;
   }
   const auto crossing = streams_.crossing(done.from);
-  rules_.note(invariants::Ran{done.request,
-                              {done.store},
-                              done.token,
-                              effect,
-                              crossing ? crossing->to.read : done.came,
-                              done.position});
+  rules_.record(invariants::RequestProcessed{done.request,
+                                             {done.store},
+                                             done.token,
+                                             effect,
+                                             crossing ? crossing->to.read : done.came,
+                                             done.position});
 }
 
 std::vector<int> TestEnvironment::gates(const Step& step) const {
@@ -278,7 +279,7 @@
     }
     if (step.fault == "rise") {
       stores_.rise(store);
-      rules_.note(invariants::Started{{store}, state.booted});
+      rules_.record(invariants::ServerStarted{{store}, state.booted});
       listed = true;
     }
     if (step.fault == "hang") {
@@ -333,7 +334,7 @@
   clients_.begin();
 }
 
-std::vector<invariants::Broken> TestEnvironment::settle() { return rules_.settle(clock_.now()); }
+std::vector<invariants::Violation> TestEnvironment::settle() { return rules_.check(clock_.now()); }
 
 std::uint64_t TestEnvironment::Asked::sends() const {
   return std::accumulate(sends_to.begin(), sends_to.end(), std::uint64_t{0});
--- a/src/faulttest/environment.hpp
+++ b/src/faulttest/environment.hpp
@@ -33,12 +33,12 @@
   [[nodiscard]] nlohmann::json placement_of(int front) const;
   void strike(const Step& step);
   void heal();
-  void enqueue(invariants::Event event) { rules_.note(std::move(event)); }
+  void enqueue(invariants::Event event) { rules_.record(std::move(event)); }
   // Clients begin, once.
   void begin();
   void rest() { clients_.rest(); }
   [[nodiscard]] bool asking() const { return begun_; }
-  std::vector<invariants::Broken> settle();
+  std::vector<invariants::Violation> settle();
   [[nodiscard]] const std::deque<Tally>& tallies() const { return clients_.tallies(); }
   // Ops that were meant for a span of time and are over.
   [[nodiscard]] Tally between(Millis from, Millis to) const;
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -83,7 +83,7 @@
 // What the checker of the rules knows of a front's former life is over.
 void FaultTest::begin_anew(int front) {
   if (surroundings_) {
-    surroundings_->enqueue(invariants::Down{{front}});
+    surroundings_->enqueue(invariants::InstanceKilled{{front}});
   }
 }
 
@@ -164,7 +164,7 @@
   if (step.fault == "stop") {
     each([&](int front) {
       if (surroundings_) {
-        surroundings_->enqueue(invariants::Paused{{front}, clock_.now()});
+        surroundings_->enqueue(invariants::InstancePaused{{front}, clock_.now()});
       }
       process(front).signal(SIGSTOP);
     });
@@ -173,7 +173,7 @@
     each([&](int front) {
       process(front).signal(SIGCONT);
       if (surroundings_) {
-        surroundings_->enqueue(invariants::Woken{{front}, clock_.now()});
+        surroundings_->enqueue(invariants::InstanceResumed{{front}, clock_.now()});
       }
     });
   }
@@ -322,22 +322,22 @@
   if (!surroundings_) {
     return "";
   }
-  const std::vector<invariants::Broken> found = surroundings_->settle();
+  const std::vector<invariants::Violation> found = surroundings_->settle();
   broken_.insert(broken_.end(), found.begin(), found.end());
   std::string text;
-  for (const invariants::Broken& one : found) {
+  for (const invariants::Violation& one : found) {
     if (!text.empty()) {
       text += "; ";
     }
-    text += fmt::format("{}: {}", invariants::word_of(one.rule), one.why);
+    text += fmt::format("{}: {}", invariants::description_of(one.rule), one.details);
     if (!one.request.empty()) {
       text += fmt::format(", op {}", one.request);
     }
-    if (one.front.number >= 0) {
-      text += fmt::format(", front {}", name_of(one.front.number));
+    if (one.instance.number >= 0) {
+      text += fmt::format(", front {}", name_of(one.instance.number));
     }
-    if (one.store.number >= 0) {
-      text += fmt::format(", store s{}", one.store.number);
+    if (one.server.number >= 0) {
+      text += fmt::format(", store s{}", one.server.number);
     }
     text += fmt::format(", {:.0f} ms into the run", one.at - began_);
     if (text.size() > 1000) {
@@ -432,13 +432,13 @@
   for (const Happened& one : happened_) {
     record["steps"].push_back({{"at", one.at - began_}, {"text", one.text}});
   }
-  for (const invariants::Broken& one : broken_) {
-    record["broken"].push_back({{"rule", invariants::word_of(one.rule)},
+  for (const invariants::Violation& one : broken_) {
+    record["broken"].push_back({{"rule", invariants::description_of(one.rule)},
                                 {"op", one.request},
-                                {"front", one.front.number},
-                                {"store", one.store.number},
+                                {"front", one.instance.number},
+                                {"store", one.server.number},
                                 {"at", one.at - began_},
-                                {"why", one.why}});
+                                {"why", one.details}});
   }
   if (!surroundings_) {
     return record;
--- a/src/faulttest/fault_test.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -79,7 +79,7 @@
     std::string text;
   };
   std::vector<Happened> happened_;
-  std::vector<invariants::Broken> broken_;
+  std::vector<invariants::Violation> broken_;
   std::set<int> over_;  // stores that had too many at the last look
   int most_ = 0;        // connections that any store had at once
   // Of the second that runs, and the highest of the step.
--- a/src/faulttest/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -55,8 +55,8 @@
   plan.clients.request_timeout = clients["op-timeout"],
   plan.clients.latency_target = clients["latency-target"];
   plan.terms.slack = terms["slack"], plan.terms.drain_grace = terms["drain-grace"];
-  plan.terms.fall_multiple = terms["fall-multiple"], plan.terms.fall = terms["fall"];
-  plan.terms.cold_from = terms["cold-from"], plan.terms.warm_within = terms["warm-within"];
+  plan.terms.slow_start_multiple = terms["fall-multiple"], plan.terms.overload_window = terms["fall"];
+  plan.terms.slow_start_minimum = terms["cold-from"], plan.terms.slow_start_window = terms["warm-within"];
   plan.terms.capacity = plan.work.workers * 1000 / plan.work.work;
   using invariants::Effect, invariants::Needs;
   for (const nlohmann::json& told : values.value("op-type", nlohmann::json::array())) {
--- a/src/faulttest/plan.hpp
+++ b/src/faulttest/plan.hpp
@@ -45,7 +45,7 @@
   Millis lag = 0;                    // that replicas stand behind, unless a step changes it
   StoreWork work;
   ClientWork clients;
-  invariants::Terms terms;
+  invariants::CheckerOptions terms;
   std::vector<Step> steps;
 };
 
--- a/src/faulttest/test_clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -135,7 +135,7 @@
   const auto known = std::ranges::find(session.idle, session.front, &Connection::front);
   if (known == session.idle.end() && session.connections >= kOfSession) {
     if (op->taken) {
-      rules_.note(invariants::Gone{op->id});
+      rules_.record(invariants::ClientDisconnected{op->id});
     }
     return end(op, Came::unsent, now);
   }
@@ -221,14 +221,14 @@
   if (std::exchange(op.taken, true)) {
     return;
   }
-  rules_.note(invariants::Taken{op.id,
-                                {op.front},
-                                op.type->needs,
-                                op.type->effect,
-                                passed.at,
-                                std::max(1.0, op.meant + work_.request_timeout - passed.at),
-                                op.type->bound,
-                                op.after});
+  rules_.record(invariants::RequestArrived{op.id,
+                                           {op.front},
+                                           op.type->needs,
+                                           op.type->effect,
+                                           passed.at,
+                                           std::max(1.0, op.meant + work_.request_timeout - passed.at),
+                                           op.type->bound,
+                                           op.after});
 }
 
 void TestClients::read(const Connected& connection) {
@@ -278,21 +278,21 @@
   const auto crossing = streams_.crossing(connection->end);
   const Millis now = clock_.now();
   const bool busy = connection->code == "53300" || connection->code == "57P03";
-  const invariants::Answer answer = connection->code.empty() ? invariants::Answer::acked
-                                    : busy                   ? invariants::Answer::busy_replied
-                                                             : invariants::Answer::errored;
-  rules_.note(invariants::Answered{op->id, answer, crossing ? crossing->back.read : now,
-                                   connection->has_value && connection->value == "\x9f" + op->id});
-  if (answer == invariants::Answer::acked && op->type->needs == invariants::Needs::write) {
+  const invariants::ResponseKind answer = connection->code.empty() ? invariants::ResponseKind::acknowledged
+                                          : busy                   ? invariants::ResponseKind::busy
+                                                                   : invariants::ResponseKind::error;
+  rules_.record(invariants::ResponseSent{op->id, answer, crossing ? crossing->back.read : now,
+                                         connection->has_value && connection->value == "\x9f" + op->id});
+  if (answer == invariants::ResponseKind::acknowledged && op->type->needs == invariants::Needs::write) {
     if (const auto commit = commits_.find(op->id); commit != commits_.end()) {
       op->session->token = std::max(op->session->token, commit->second);
     }
   }
   const bool in_time = now - op->meant <= work_.latency_target;
   end(op,
-      answer == invariants::Answer::acked ? (in_time ? Came::in_time : Came::late)
-      : busy                              ? Came::busy_replied
-                                          : Came::errored,
+      answer == invariants::ResponseKind::acknowledged ? (in_time ? Came::in_time : Came::late)
+      : busy                                           ? Came::busy_replied
+                                                       : Came::errored,
       now);
   connection->used = true;
   connection->session.idle.push_back(connection);
@@ -314,11 +314,11 @@
   Session& session = *op->session;
   // The first op on a connection that is closed at once was turned away with it.
   if (connection->taken && connection->used && ended >= 0 && ended - came > kCrosses) {
-    rules_.note(invariants::AttemptBrokenOff{op->id, ended});
+    rules_.record(invariants::ConnectionClosed{op->id, ended});
   } else if (connection->used && ended >= 0 && clock_.now() < op->meant + work_.request_timeout) {
     return ask(op);  // the front ended the connection before it can have read the op
   } else if (op->taken) {
-    rules_.note(invariants::Gone{op->id});
+    rules_.record(invariants::ClientDisconnected{op->id});
   }
   move_on(session);
   end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
@@ -326,7 +326,7 @@
 
 void TestClients::give_up(const std::shared_ptr<Op>& op) {
   if (op->taken) {
-    rules_.note(invariants::Gone{op->id});
+    rules_.record(invariants::ClientDisconnected{op->id});
   }
   for (const Connected& connection : std::list<Connected>(connections_)) {
     if (connection->request == op) {
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -9,236 +9,245 @@
 namespace reedspindle::invariants {
 
 namespace {
-// What is over is kept for as long: later than this nothing of it can still be under way.
-constexpr Millis kKept = 30000;
-// A front that sends to a cold store at random may exceed a budget by chance (three sigma of a Poisson
-// count).
-double with_chance(double allowed) { return allowed + 3 * std::sqrt(allowed) + 3; }
+// Retention of finished requests and of tokens. No event about them can still be in flight after this time.
+constexpr Millis kRetention = 30000;
+// Adds three standard deviations of a Poisson count, since an instance that picks servers at random may
+// exceed the budget of a cold server by chance.
+double with_statistical_margin(double allowed) { return allowed + 3 * std::sqrt(allowed) + 3; }
 }  // namespace
 
-const char* word_of(Rule rule) {
-  constexpr const char* words[] = {"an op is lost", "an effect came twice", "a drain was not kept",
-                                   "a cold store was pushed over", "a read was stale"};
-  return words[static_cast<int>(rule)];
+const char* description_of(Rule rule) {
+  constexpr const char* descriptions[] = {"response guarantee violated", "effect applied more than once",
+                                          "request sent to a draining server", "cold server overloaded",
+                                          "stale read"};
+  return descriptions[static_cast<int>(rule)];
 }
 
-std::vector<Broken> InvariantChecker::settle(Millis now) {
+std::vector<Violation> InvariantChecker::check(Millis now) {
   now_ = now;
-  for (const Event& event : std::exchange(events_, {})) {
-    std::visit([this](const auto& happened) { take(happened); }, event);
-  }
-  std::vector<std::string> over;
-  for (const std::string& id : open_) {
-    const Op& op = ops_.at(id);
-    if (!paused_.contains(op.taken.front) && now > op.until + terms_.slack) {
-      over.push_back(id);
+  for (const Event& event : std::exchange(pending_events_, {})) {
+    std::visit([this](const auto& recorded) { apply(recorded); }, event);
+  }
+  std::vector<std::string> overdue;
+  for (const std::string& id : open_requests_) {
+    const RequestState& state = requests_.at(id);
+    if (!paused_since_.contains(state.received.instance) && now > state.deadline + options_.slack) {
+      overdue.push_back(id);
     }
   }
-  for (const std::string& id : over) {
-    Op& op = ops_.at(id);
-    broken(Rule::lost, id, op.taken.front, {}, now,
-           fmt::format("no final answer {:.0f} ms after it was taken, its client waits {:.0f} ms; sends: {}",
-                       now - op.taken.at, op.taken.remaining, op.sends.size()));
-    end(op, now);
+  for (const std::string& id : overdue) {
+    RequestState& state = requests_.at(id);
+    report(Rule::response_guarantee, id, state.received.instance, {}, now,
+           fmt::format("no final response {:.0f} ms after the request was received; timeout: {:.0f} ms, "
+                       "attempts sent: {}",
+                       now - state.received.at, state.received.timeout, state.sends.size()));
+    finish(state, now);
   }
-  while (!ended_.empty() && now - ended_.front().first > kKept) {
-    ops_.erase(ended_.front().second);
-    ended_.pop_front();
+  while (!ended_requests_.empty() && now - ended_requests_.front().first > kRetention) {
+    requests_.erase(ended_requests_.front().second);
+    ended_requests_.pop_front();
   }
-  while (!tokens_.empty() && now - tokens_.front().first > kKept) {
-    effects_.erase(tokens_.front().second);
-    tokens_.pop_front();
+  while (!tokens_by_age_.empty() && now - tokens_by_age_.front().first > kRetention) {
+    effects_by_token_.erase(tokens_by_age_.front().second);
+    tokens_by_age_.pop_front();
   }
-  return std::exchange(found_, {});
+  return std::exchange(violations_, {});
 }
 
-void InvariantChecker::broken(Rule rule, const std::string& op, FrontNumber front, StoreNumber store,
-                              Millis at, std::string why) {
-  found_.push_back({rule, op, front, store, at, std::move(why)});
+void InvariantChecker::report(Rule rule, const std::string& request, InstanceIndex instance,
+                              ServerIndex server, Millis at, std::string details) {
+  violations_.push_back({rule, request, instance, server, at, std::move(details)});
 }
 
-void InvariantChecker::take(const Taken& taken) {
-  if (ops_.contains(taken.request)) {
+void InvariantChecker::apply(const RequestArrived& received) {
+  if (requests_.contains(received.request)) {
     return;
   }
-  ops_[taken.request] = {taken, taken.at + taken.remaining, -1, 0, 0, {}};
-  open_.insert(taken.request);
+  requests_[received.request] = {received, received.at + received.timeout, -1, 0, 0, {}};
+  open_requests_.insert(received.request);
 }
 
-void InvariantChecker::take(const Sent& sent) {
-  // A send after the answer breaks the rule whether or not the store did anything with it.
-  if (const auto found = ops_.find(sent.request); found != ops_.end()) {
-    Op& op = found->second;
-    op.sends.push_back(sent);
-    if (op.ended >= 0 && op.answers > 0 && sent.at > op.ended + terms_.order) {
-      broken(Rule::lost, sent.request, sent.front, sent.store, sent.at,
-             fmt::format("sent {:.0f} ms after its final answer", sent.at - op.ended));
+void InvariantChecker::apply(const RequestSent& sent) {
+  // A send after the final response violates the rule even if the server ignores the request.
+  if (const auto entry = requests_.find(sent.request); entry != requests_.end()) {
+    RequestState& state = entry->second;
+    state.sends.push_back(sent);
+    if (state.ended_at >= 0 && state.responses > 0 && sent.at > state.ended_at + options_.reorder_tolerance) {
+      report(Rule::response_guarantee, sent.request, sent.instance, sent.server, sent.at,
+             fmt::format("sent {:.0f} ms after the final response", sent.at - state.ended_at));
     }
   }
-  const auto& listed = told_[sent.front];
-  const auto listing = listed.find(sent.store);
-  if (listing != listed.end() && !listing->second.wanted &&
-      sent.at > listing->second.since + terms_.drain_grace + terms_.slack) {
-    broken(Rule::drain, sent.request, sent.front, sent.store, sent.at,
-           fmt::format("sent {:.0f} ms after its front was told", sent.at - listing->second.since));
+  const auto& listed = listings_[sent.instance];
+  const auto listing = listed.find(sent.server);
+  if (listing != listed.end() && !listing->second.accepts_requests &&
+      sent.at > listing->second.since + options_.drain_grace + options_.slack) {
+    report(Rule::send_while_draining, sent.request, sent.instance, sent.server, sent.at,
+           fmt::format("sent {:.0f} ms after the instance learned of the drain",
+                       sent.at - listing->second.since));
   }
-  const auto started = started_.find(sent.store);
-  if (started == started_.end() || sent.at > started->second + terms_.warm_within) {
+  const auto started = started_at_.find(sent.server);
+  if (started == started_at_.end() || sent.at > started->second + options_.slow_start_window) {
     return;
   }
-  cold_sends_[sent.store].emplace_back(
-      sent.at, listing != listed.end() && listing->second.booted >= started->second - terms_.order);
-  weigh_cold(sent.store, sent.at);
+  cold_sends_[sent.server].emplace_back(
+      sent.at,
+      listing != listed.end() && listing->second.started_at >= started->second - options_.reorder_tolerance);
+  check_cold_server_load(sent.server, sent.at);
 }
 
 double InvariantChecker::slow_start_fraction(Millis since, Millis at) const {
-  const double run = std::clamp((at - since) / terms_.warm_within, 0.0, 1.0);
-  return terms_.cold_from + (1 - terms_.cold_from) * run;
+  const double progress = std::clamp((at - since) / options_.slow_start_window, 0.0, 1.0);
+  return options_.slow_start_minimum + (1 - options_.slow_start_minimum) * progress;
 }
 
-void InvariantChecker::weigh_cold(StoreNumber store, Millis now) {
-  std::deque<std::pair<Millis, bool>>& sends = cold_sends_[store];
-  const Millis since = started_.at(store);
-  while (!sends.empty() && sends.front().first < now - terms_.fall) {
+void InvariantChecker::check_cold_server_load(ServerIndex server, Millis now) {
+  std::deque<std::pair<Millis, bool>>& sends = cold_sends_[server];
+  const Millis since = started_at_.at(server);
+  while (!sends.empty() && sends.front().first < now - options_.overload_window) {
     sends.pop_front();
   }
-  // Its capacity grows in a straight line, so over the span it is that of the middle.
-  const Millis from = std::max(since, now - terms_.fall);
-  const double allowed = terms_.fall_multiple * terms_.capacity *
-                         slow_start_fraction(since, (from + now) / 2) * terms_.fall / 1000;
-  const auto told = std::ranges::count(sends, true, &std::pair<Millis, bool>::second);
-  if (static_cast<double>(sends.size()) <= with_chance(allowed) || 3 * told <= 2 * std::ssize(sends)) {
+  // The capacity of a cold server grows linearly, so its average over the window is the value at the
+  // midpoint.
+  const Millis from = std::max(since, now - options_.overload_window);
+  const double allowed = options_.slow_start_multiple * options_.capacity *
+                         slow_start_fraction(since, (from + now) / 2) * options_.overload_window / 1000;
+  const auto informed = std::ranges::count(sends, true, &std::pair<Millis, bool>::second);
+  if (static_cast<double>(sends.size()) <= with_statistical_margin(allowed) ||
+      3 * informed <= 2 * std::ssize(sends)) {
     return;
   }
-  broken(Rule::pushed_over, "", {}, store, now,
-         fmt::format("{} ops in {:.0f} ms, {:.0f} ms after its start; allowed: {:.0f}", sends.size(),
-                     terms_.fall, now - since, allowed));
-  started_.erase(store);  // told once
+  report(Rule::cold_server_overload, "", {}, server, now,
+         fmt::format("{} requests in {:.0f} ms, {:.0f} ms after the server started; allowed: {:.0f}",
+                     sends.size(), options_.overload_window, now - since, allowed));
+  started_at_.erase(server);  // reports each start of a server at most once
   sends.clear();
 }
 
-void InvariantChecker::take(const Ran& ran) {
-  if (ran.effect && !ran.token.empty()) {
-    auto& [count, first] = effects_[ran.token];
+void InvariantChecker::apply(const RequestProcessed& processed) {
+  if (processed.effect && !processed.token.empty()) {
+    auto& [count, first] = effects_by_token_[processed.token];
     if (++count == 1) {
-      tokens_.emplace_back(first = now_, ran.token);
+      tokens_by_age_.emplace_back(first = now_, processed.token);
     }
     if (count > 1) {
-      broken(Rule::twice, ran.request, {}, ran.store, now_,
-             fmt::format("token {} has had an effect before", ran.token));
+      report(Rule::duplicate_effect, processed.request, {}, processed.server, now_,
+             fmt::format("token {} has already been applied", processed.token));
     }
   }
-  const auto found = ops_.find(ran.request);
-  if (found == ops_.end()) {
+  const auto entry = requests_.find(processed.request);
+  if (entry == requests_.end()) {
     return;
   }
-  Op& op = found->second;
-  const Taken& taken = op.taken;
-  if (ran.effect && ran.token.empty() && ++op.effects > 1) {
-    broken(Rule::twice, ran.request, taken.front, ran.store, now_, "it has had an effect before");
+  RequestState& state = entry->second;
+  const RequestArrived& received = state.received;
+  if (processed.effect && processed.token.empty() && ++state.effects > 1) {
+    report(Rule::duplicate_effect, processed.request, received.instance, processed.server, now_,
+           "the request has already been applied");
   }
-  if (taken.needs == Needs::bounded && ran.position < ran.sent - taken.bound - terms_.slack) {
-    broken(Rule::stale, ran.request, taken.front, ran.store, now_,
-           fmt::format("data {:.0f} ms old when it was sent, at most {:.0f} ms are allowed",
-                       ran.sent - ran.position, taken.bound));
+  if (received.needs == Needs::bounded &&
+      processed.position < processed.sent - received.max_age - options_.slack) {
+    report(Rule::stale_read, processed.request, received.instance, processed.server, now_,
+           fmt::format("data was {:.0f} ms old when the request was sent; allowed: {:.0f} ms",
+                       processed.sent - processed.position, received.max_age));
   }
-  if (taken.needs == Needs::session && ran.position + 1 < taken.after) {
-    broken(
-        Rule::stale, ran.request, taken.front, ran.store, now_,
-        fmt::format("the store was {:.0f} ms short of its session's last write", taken.after - ran.position));
+  if (received.needs == Needs::session && processed.position + 1 < received.required_position) {
+    report(Rule::stale_read, processed.request, received.instance, processed.server, now_,
+           fmt::format("the server was {:.0f} ms behind the last write of the session",
+                       received.required_position - processed.position));
   }
 }
 
-void InvariantChecker::take(const Answered& answered) {
-  const auto found = ops_.find(answered.request);
-  if (found == ops_.end()) {
+void InvariantChecker::apply(const ResponseSent& response) {
+  const auto entry = requests_.find(response.request);
+  if (entry == requests_.end()) {
     return;
   }
-  Op& op = found->second;
-  if (++op.answers > 1) {
-    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at, "a second final answer");
+  RequestState& state = entry->second;
+  if (++state.responses > 1) {
+    report(Rule::response_guarantee, response.request, state.received.instance, {}, response.at,
+           "second final response");
   }
-  if (answered.answer == Answer::acked && !answered.mine) {
-    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at,
-           "acked with what no store made for it");
+  if (response.kind == ResponseKind::acknowledged && !response.own_result) {
+    report(Rule::response_guarantee, response.request, state.received.instance, {}, response.at,
+           "acknowledged with a result that no server produced for this request");
   }
-  if (op.ended >= 0) {
+  if (state.ended_at >= 0) {
     return;
   }
-  if (answered.at > op.until + terms_.slack) {
-    broken(Rule::lost, answered.request, op.taken.front, {}, answered.at,
-           fmt::format("answered {:.0f} ms late", answered.at - op.until));
+  if (response.at > state.deadline + options_.slack) {
+    report(Rule::response_guarantee, response.request, state.received.instance, {}, response.at,
+           fmt::format("response {:.0f} ms late", response.at - state.deadline));
   }
-  end(op, answered.at);
+  finish(state, response.at);
 }
 
-void InvariantChecker::take(const AttemptBrokenOff& off) {
-  const auto found = ops_.find(off.request);
-  if (found == ops_.end() || found->second.ended >= 0) {
+void InvariantChecker::apply(const ConnectionClosed& closed) {
+  const auto entry = requests_.find(closed.request);
+  if (entry == requests_.end() || entry->second.ended_at >= 0) {
     return;
   }
-  broken(Rule::lost, off.request, found->second.taken.front, {}, off.at,
-         "its connection was ended with no answer");
-  end(found->second, off.at);
+  report(Rule::response_guarantee, closed.request, entry->second.received.instance, {}, closed.at,
+         "connection closed without a final response");
+  finish(entry->second, closed.at);
 }
 
-void InvariantChecker::take(const Gone& gone) {
-  if (const auto found = ops_.find(gone.request); found != ops_.end()) {
-    end(found->second, now_);
+void InvariantChecker::apply(const ClientDisconnected& disconnected) {
+  if (const auto entry = requests_.find(disconnected.request); entry != requests_.end()) {
+    finish(entry->second, now_);
   }
 }
 
-void InvariantChecker::end(Op& op, Millis at) {
-  if (op.ended >= 0) {
+void InvariantChecker::finish(RequestState& state, Millis at) {
+  if (state.ended_at >= 0) {
     return;
   }
-  op.ended = at;
-  open_.erase(op.taken.request);
-  ended_.emplace_back(now_, op.taken.request);
+  state.ended_at = at;
+  open_requests_.erase(state.received.request);
+  ended_requests_.emplace_back(now_, state.received.request);
 }
 
-void InvariantChecker::take(const Down& down) {
-  for (const std::string& id : std::set<std::string>(open_)) {
-    if (Op& op = ops_.at(id); op.taken.front == down.front) {
-      end(op, now_);
+void InvariantChecker::apply(const InstanceKilled& killed) {
+  for (const std::string& id : std::set<std::string>(open_requests_)) {
+    if (RequestState& state = requests_.at(id); state.received.instance == killed.instance) {
+      finish(state, now_);
     }
   }
-  told_.erase(down.front);
-  paused_.erase(down.front);
+  listings_.erase(killed.instance);
+  paused_since_.erase(killed.instance);
 }
 
-void InvariantChecker::take(const Paused& paused) { paused_.emplace(paused.front, paused.at); }
+void InvariantChecker::apply(const InstancePaused& pause) { paused_since_.emplace(pause.instance, pause.at); }
 
-// What came or was told while it could do nothing counts from when it could.
-void InvariantChecker::take(const Woken& woken) {
-  const auto paused = paused_.find(woken.front);
-  if (paused == paused_.end()) {
+// A paused instance can do nothing: deadlines and drain notices that fall into the pause count from its end.
+void InvariantChecker::apply(const InstanceResumed& resumed) {
+  const auto pause = paused_since_.find(resumed.instance);
+  if (pause == paused_since_.end()) {
     return;
   }
-  for (const std::string& id : open_) {
-    if (Op& op = ops_.at(id); op.taken.front == woken.front) {
-      op.until = std::max(op.until, woken.at);
+  for (const std::string& id : open_requests_) {
+    if (RequestState& state = requests_.at(id); state.received.instance == resumed.instance) {
+      state.deadline = std::max(state.deadline, resumed.at);
     }
   }
-  for (auto& [store, listing] : told_[woken.front]) {
-    if (listing.since + terms_.drain_grace > paused->second) {
-      listing.since = std::max(listing.since, woken.at);
+  for (auto& [server, listing] : listings_[resumed.instance]) {
+    if (listing.since + options_.drain_grace > pause->second) {
+      listing.since = std::max(listing.since, resumed.at);
     }
   }
-  paused_.erase(paused);
+  paused_since_.erase(pause);
 }
 
-void InvariantChecker::take(const Told& told) {
-  Listing& listing = told_[told.front][told.store];
-  if (listing.wanted != told.wanted) {
-    listing.since = told.at;
+void InvariantChecker::apply(const ListingDelivered& delivered) {
+  Listing& listing = listings_[delivered.instance][delivered.server];
+  if (listing.accepts_requests != delivered.accepts_requests) {
+    listing.since = delivered.at;
   }
-  listing.wanted = told.wanted, listing.booted = told.booted;
+  listing.accepts_requests = delivered.accepts_requests, listing.started_at = delivered.started_at;
 }
 
-void InvariantChecker::take(const Started& started) {
-  started_[started.store] = started.at;
-  cold_sends_[started.store].clear();
+void InvariantChecker::apply(const ServerStarted& started) {
+  started_at_[started.server] = started.at;
+  cold_sends_[started.server].clear();
 }
 
 }  // namespace reedspindle::invariants
--- a/tests/invariants.cpp
+++ b/tests/invariants.cpp
@@ -1,6 +1,6 @@
-// Plays what happened to the checker of the rules and prints what it finds. A line: a time in ms, what
-// happened, its parts; "settle" closes a moment. Lines that begin with two spaces are what is expected and
-// are skipped.
+// Replays a trace of events to the invariant checker and prints the violations that it reports. Each line has
+// a time in ms, an event and its fields; "check" only advances the time. Lines that begin with two spaces are
+// the expected output and are skipped.
 #include "invariants/invariants.hpp"
 
 #include <fmt/format.h>
@@ -12,12 +12,12 @@
 using namespace reedspindle;
 using namespace reedspindle::invariants;
 
-int main(int /*unused*/, char** words) {
-  Terms terms;
-  terms.slack = 100, terms.cold_from = 0.2, terms.warm_within = 10000, terms.fall = 1000,
-  terms.capacity = 100;
-  InvariantChecker rules(terms);
-  std::ifstream file(words[1]);
+int main(int /*unused*/, char** arguments) {
+  CheckerOptions options;
+  options.slack = 100, options.slow_start_minimum = 0.2, options.slow_start_window = 10000,
+  options.overload_window = 1000, options.capacity = 100;
+  InvariantChecker checker(options);
+  std::ifstream file(arguments[1]);
   for (std::string line; std::getline(file, line);) {
     if (line.starts_with("  ")) {
       continue;
@@ -26,73 +26,78 @@
     if (line.empty() || line[0] == '#') {
       continue;
     }
-    std::istringstream parts(line);
+    std::istringstream fields(line);
     Millis at = 0;
-    std::string what;
-    std::string op;
+    std::string event;
+    std::string request;
     std::string word;
-    FrontNumber front;
-    StoreNumber store;
-    parts >> at >> what;
-    if (what == "taken") {
-      Taken taken;
-      parts >> taken.request >> front.number >> word >> taken.remaining >> taken.bound >> taken.after;
-      taken.front = front, taken.at = at;
-      taken.needs = word == "bounded" ? Needs::bounded : word == "session" ? Needs::session : Needs::write;
-      rules.note(taken);
-    } else if (what == "sent") {
-      parts >> op >> front.number >> store.number;
+    InstanceIndex instance;
+    ServerIndex server;
+    fields >> at >> event;
+    if (event == "received") {
+      RequestArrived received;
+      fields >> received.request >> instance.number >> word >> received.timeout >> received.max_age >>
+          received.required_position;
+      received.instance = instance, received.at = at;
+      received.needs = word == "bounded" ? Needs::bounded : word == "session" ? Needs::session : Needs::write;
+      checker.record(received);
+    } else if (event == "sent") {
+      fields >> request >> instance.number >> server.number;
       int count = 1;
-      if (!(parts >> count)) {
+      if (!(fields >> count)) {
         count = 1;
       }
       while (count-- > 0) {
-        rules.note(Sent{op, front, store, at});
+        checker.record(RequestSent{request, instance, server, at});
       }
-    } else if (what == "ran") {
-      Ran ran;
-      parts >> ran.request >> ran.store.number >> ran.sent >> ran.position >> ran.token;
-      ran.effect = !ran.token.empty();
-      if (ran.token == "-") {
-        ran.token.clear();
+    } else if (event == "executed") {
+      RequestProcessed processed;
+      fields >> processed.request >> processed.server.number >> processed.sent >> processed.position >>
+          processed.token;
+      processed.effect = !processed.token.empty();
+      if (processed.token == "-") {
+        processed.token.clear();
       }
-      rules.note(ran);
-    } else if (what == "answered") {
-      parts >> op >> word;
-      rules.note(Answered{op, word == "busy" ? Answer::busy_replied : Answer::acked, at, word != "foreign"});
-    } else if (what == "off") {
-      parts >> op;
-      rules.note(AttemptBrokenOff{op, at});
-    } else if (what == "gone") {
-      parts >> op;
-      rules.note(Gone{op});
-    } else if (what == "down" || what == "paused" || what == "woken") {
-      parts >> front.number;
-      if (what == "down") {
-        rules.note(Down{front});
+      checker.record(processed);
+    } else if (event == "responded") {
+      fields >> request >> word;
+      checker.record(ResponseSent{request, word == "busy" ? ResponseKind::busy : ResponseKind::acknowledged,
+                                  at, word != "wrong-result"});
+    } else if (event == "closed") {
+      fields >> request;
+      checker.record(ConnectionClosed{request, at});
+    } else if (event == "disconnected") {
+      fields >> request;
+      checker.record(ClientDisconnected{request});
+    } else if (event == "killed" || event == "paused" || event == "resumed") {
+      fields >> instance.number;
+      if (event == "killed") {
+        checker.record(InstanceKilled{instance});
       }
-      if (what == "paused") {
-        rules.note(Paused{front, at});
+      if (event == "paused") {
+        checker.record(InstancePaused{instance, at});
       }
-      if (what == "woken") {
-        rules.note(Woken{front, at});
+      if (event == "resumed") {
+        checker.record(InstanceResumed{instance, at});
       }
-    } else if (what == "told") {
-      Millis booted = 0;
-      parts >> front.number >> store.number >> word >> booted;
-      rules.note(Told{front, store, word == "ready", booted, at});
-    } else if (what == "started") {
-      parts >> store.number;
-      rules.note(Started{store, at});
-    } else if (what != "settle") {
-      std::cout << "  no such line\n";
+    } else if (event == "listed") {
+      Millis started_at = 0;
+      fields >> instance.number >> server.number >> word >> started_at;
+      checker.record(ListingDelivered{instance, server, word == "ready", started_at, at});
+    } else if (event == "started") {
+      fields >> server.number;
+      checker.record(ServerStarted{server, at});
+    } else if (event != "check") {
+      std::cout << "  unknown event\n";
       return 1;
     }
-    for (const Broken& one : rules.settle(at)) {
+    for (const Violation& violation : checker.check(at)) {
       std::cout << fmt::format(
-          "  {}{}{}{}: {}\n", word_of(one.rule), one.request.empty() ? "" : ", op " + one.request,
-          one.front.number < 0 ? "" : fmt::format(", front {}", one.front.number),
-          one.store.number < 0 ? "" : fmt::format(", store {}", one.store.number), one.why);
+          "  {}{}{}{}: {}\n", description_of(violation.rule),
+          violation.request.empty() ? "" : ", request " + violation.request,
+          violation.instance.number < 0 ? "" : fmt::format(", instance {}", violation.instance.number),
+          violation.server.number < 0 ? "" : fmt::format(", server {}", violation.server.number),
+          violation.details);
     }
   }
 }
