--- a/bench/consistency.cpp
+++ b/bench/consistency.cpp
@@ -24,8 +24,8 @@
 class Fleet {
  public:
   Fleet(int fronts, std::uint64_t seed) : fleet(fronts, membership::Options{}, seed), muted_(at(fronts)) {
-    fleet.compare(consistency::Options{});
-    fleet.passes = [this](int from, int to) { return !cut || (from < side) == (to < side); };
+    fleet.enable_consistency(consistency::Options{});
+    fleet.link_up = [this](int from, int to) { return !cut || (from < side) == (to < side); };
     for (int front = 0; front < fronts; ++front) {
       fleet.start(front), tell(front, 1);
     }
@@ -37,8 +37,8 @@
       return;
     }
     // All that are held there are told of as one view.
-    fleet.act(front, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
-    fleet.confirm(front);
+    fleet.set_applied_state(front, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
+    fleet.confirm_discovery(front);
   }
   // TestDiscovery speaks to all each half second.
   template <typename There>
@@ -89,16 +89,16 @@
                            all.until_accord(1));
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   std::vector<double> sent;
-  std::vector<faulttest::Load> before;
+  std::vector<faulttest::Traffic> before;
   for (int front = 0; front < fronts; ++front) {
-    before.push_back(fleet.consistency_load(front));
+    before.push_back(fleet.consistency_traffic(front));
   }
   all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   double datagrams = 0;
   double bytes = 0;
   for (int front = 0; front < fronts; ++front) {
-    const faulttest::Load now = fleet.consistency_load(front);
-    const faulttest::Load then = before[Fleet::at(front)];
+    const faulttest::Traffic now = fleet.consistency_traffic(front);
+    const faulttest::Traffic then = before[Fleet::at(front)];
     datagrams += static_cast<double>(now.datagrams - then.datagrams) / 20 / fronts;
     bytes += static_cast<double>(now.bytes - then.bytes) / 20 / fronts;
   }
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -111,7 +111,7 @@
     fleet.start(front);
   }
   const Millis began = fleet.now();
-  while (!fleet.agreed() && fleet.now() - began < most) {
+  while (!fleet.converged() && fleet.now() - began < most) {
     fleet.run(250);
   }
   return fleet.now() - began;
@@ -127,7 +127,7 @@
     fleet.run(3000 + 137 * turn % 500);
     int seen = 0;
     const Millis killed = fleet.now();
-    fleet.on([&](Millis at, int, const PeerChanged& change) {
+    fleet.set_listeners([&](Millis at, int, const PeerChanged& change) {
       if (change.event != PeerEvent::failed || change.slot.number != dead) {
         return;
       }
@@ -142,9 +142,9 @@
     while (seen < fronts - 1 && fleet.now() - killed < 60000) {
       fleet.run(100);
     }
-    fleet.on({});
+    fleet.set_listeners({});
     fleet.start(dead);
-    while (!fleet.agreed() && fleet.now() - killed < 120000) {
+    while (!fleet.converged() && fleet.now() - killed < 120000) {
       fleet.run(250);
     }
   }
@@ -160,23 +160,23 @@
   fleet.network.loss = loss;
   int failed = 0;
   int suspected = 0;
-  fleet.on([&](Millis, int, const PeerChanged& change) {
+  fleet.set_listeners([&](Millis, int, const PeerChanged& change) {
     failed += change.event == PeerEvent::failed;
     suspected += change.event == PeerEvent::suspected;
   });
-  std::vector<faulttest::Load> before;
+  std::vector<faulttest::Traffic> before;
   for (int front = 0; front < fronts; ++front) {
-    before.push_back(fleet.load(front));
+    before.push_back(fleet.membership_traffic(front));
   }
   const Millis began = fleet.now();
   while (fleet.now() - began < span) {
     if (stops) {
       for (int front = 0; front < fronts; front += 10) {
-        fleet.stop(front);
+        fleet.pause(front);
       }
       fleet.run(1000);
       for (int front = 0; front < fronts; front += 10) {
-        fleet.wake(front);
+        fleet.resume(front);
       }
       fleet.run(9000);
     } else {
@@ -186,9 +186,10 @@
   double datagrams = 0;
   double bytes = 0;
   for (int front = 0; front < fronts; ++front) {
-    datagrams +=
-        static_cast<double>(fleet.load(front).datagrams - before[static_cast<std::size_t>(front)].datagrams);
-    bytes += static_cast<double>(fleet.load(front).bytes - before[static_cast<std::size_t>(front)].bytes);
+    datagrams += static_cast<double>(fleet.membership_traffic(front).datagrams -
+                                     before[static_cast<std::size_t>(front)].datagrams);
+    bytes += static_cast<double>(fleet.membership_traffic(front).bytes -
+                                 before[static_cast<std::size_t>(front)].bytes);
   }
   const double seconds = span / 1000 * fronts;
   std::cout << fmt::format(
@@ -203,20 +204,20 @@
   VirtualFleet fleet = sizes.fleet(fronts, seed);
   gather(fleet);
   fleet.run(5000);
-  fleet.passes = [&](int from, int to) { return (from < fronts / 2) == (to < fronts / 2); };
+  fleet.link_up = [&](int from, int to) { return (from < fronts / 2) == (to < fronts / 2); };
   fleet.run(cut);
-  fleet.passes = {};
+  fleet.link_up = {};
   const Millis healed = fleet.now();
   std::uint64_t before = 0;
   std::uint64_t after = 0;
   for (int front = 0; front < fronts; ++front) {
-    before += fleet.load(front).datagrams;
+    before += fleet.membership_traffic(front).datagrams;
   }
-  while (!fleet.agreed() && fleet.now() - healed < 300000) {
+  while (!fleet.converged() && fleet.now() - healed < 300000) {
     fleet.run(100);
   }
   for (int front = 0; front < fronts; ++front) {
-    after += fleet.load(front).datagrams;
+    after += fleet.membership_traffic(front).datagrams;
   }
   const Millis took = std::max(100.0, fleet.now() - healed);
   std::cout << fmt::format(
--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -26,12 +26,12 @@
   VirtualFleet fleet(wish.fronts, membership::Options{}, seed);
   quota::Options options;
   options.slot_count = wish.fronts;
-  fleet.share(options);
+  fleet.enable_quota(options);
   std::minstd_rand random(static_cast<unsigned>(seed * 7919 + 1));
   const auto below = [&](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
   std::set<std::pair<int, int>> cut;
   std::set<int> slow;
-  fleet.passes = [&](int from, int to) { return cut.empty() || !cut.contains({from, to}); };
+  fleet.link_up = [&](int from, int to) { return cut.empty() || !cut.contains({from, to}); };
   fleet.extra_delay = [&](int from, int to) {
     return slow.contains(from) || slow.contains(to) ? 1500.0 : 0.0;
   };
@@ -43,12 +43,12 @@
     return all;
   };
   const auto want = [&](int front) {
-    if (fleet.up(front)) {
-      fleet.want(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
+    if (fleet.running(front)) {
+      fleet.set_demand(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
     }
   };
   for (int front = 0; front < wish.fronts; ++front) {
-    fleet.drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
+    fleet.set_clock_drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
     fleet.start(front);
     want(front);
   }
@@ -59,7 +59,7 @@
     switch (below(12)) {
       case 0:
         for (int turn = below(wish.fronts); turn > 0; --turn) {
-          if (const int struck = below(wish.fronts); fleet.up(struck)) {
+          if (const int struck = below(wish.fronts); fleet.running(struck)) {
             fleet.kill(struck);
           }
         }
@@ -67,19 +67,19 @@
       case 1:
       case 2:
         for (int turn = 0; turn < wish.fronts; ++turn) {
-          if (!fleet.up(turn)) {
+          if (!fleet.running(turn)) {
             fleet.start(turn), want(turn);
           }
         }
         break;
       case 3:
-        if (fleet.up(front)) {
-          fleet.stop(front);
+        if (fleet.running(front)) {
+          fleet.pause(front);
         }
         break;
       case 4:
         for (int turn = 0; turn < wish.fronts; ++turn) {
-          fleet.wake(turn);
+          fleet.resume(turn);
         }
         break;
       case 5:
@@ -140,10 +140,10 @@
   VirtualFleet fleet(wish.fronts, membership::Options{}, static_cast<std::uint64_t>(wish.seed));
   quota::Options options;
   options.slot_count = wish.fronts;
-  fleet.share(options);
+  fleet.enable_quota(options);
   for (int front = 0; front < wish.fronts; ++front) {
     fleet.start(front);
-    fleet.want(front, {quota::kSlot, 0});
+    fleet.set_demand(front, {quota::kSlot, 0});
   }
   const auto until = [&](auto there) {
     Millis took = 0;
@@ -164,15 +164,15 @@
                            until([&] { return all(0, quota::kSlot); }));
   fleet.run(20000);
   const auto load = [&](const char* when) {
-    std::vector<faulttest::Load> before;
+    std::vector<faulttest::Traffic> before;
     for (int front = 0; front < wish.fronts; ++front) {
-      before.push_back(fleet.quota_load(front));
+      before.push_back(fleet.quota_traffic(front));
     }
     fleet.run(10000);
     std::vector<double> sent;
     for (int front = 0; front < wish.fronts; ++front) {
-      if (fleet.up(front)) {
-        sent.push_back(static_cast<double>(fleet.quota_load(front).datagrams -
+      if (fleet.running(front)) {
+        sent.push_back(static_cast<double>(fleet.quota_traffic(front).datagrams -
                                            before[static_cast<std::size_t>(front)].datagrams) /
                        10);
       }
@@ -195,7 +195,7 @@
   std::cout << fmt::format("started again, theirs after {:.2f} s\n",
                            until([&] { return all(0, quota::kSlot); }));
   for (int front = 0; front < wish.fronts; ++front) {
-    fleet.want(front, {});
+    fleet.set_demand(front, {});
   }
   fleet.run(10000);
   load("while nobody wants more");
--- a/src/faulttest/virtual_fleet.cpp
+++ b/src/faulttest/virtual_fleet.cpp
@@ -7,286 +7,291 @@
 
 namespace reedspindle::faulttest {
 
-// What a socket holds while its process is stopped.
-constexpr std::size_t kSocket = 256;
+// The number of datagrams that a socket buffers while its process is paused.
+constexpr std::size_t kSocketBuffer = 256;
 
-VirtualFleet::VirtualFleet(int fronts, membership::Options options, std::uint64_t seed, Maker maker)
+VirtualFleet::VirtualFleet(int instances, membership::Options options, std::uint64_t seed, Factory factory)
     : membership_options_(std::move(options)),
-      maker_(std::move(maker)),
+      factory_(std::move(factory)),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
-      processes_(at(fronts)) {
-  for (int front = 0; front < fronts; ++front) {
-    processes_[at(front)].name = fmt::format("n{}", front);
+      processes_(at(instances)) {
+  for (int instance = 0; instance < instances; ++instance) {
+    processes_[at(instance)].name = fmt::format("n{}", instance);
   }
 }
 
-void VirtualFleet::start(int front) {
-  Process& process = processes_.at(at(front));
+void VirtualFleet::start(int instance) {
+  Process& process = processes_.at(at(instance));
   membership::Options options = membership_options_;
-  options.name = process.name, options.slot = {front}, options.slots = size();
-  process.core = maker_(options, random_());
-  ++process.life, process.stopped = false;
-  process.wakes = process.quota_wake = process.consistency_wake = 0;
-  process.waiting.clear();
-  process.born = now_;
+  options.name = process.name, options.slot = {instance}, options.slots = size();
+  process.membership = factory_(options, random_());
+  ++process.generation, process.paused = false;
+  process.membership_wakeup = process.quota_wakeup = process.consistency_wakeup = 0;
+  process.pending.clear();
+  process.started_at = now_;
   if (quota_options_) {
     quota::Options quota_options = *quota_options_;
-    quota_options.slot = {front};
+    quota_options.slot = {instance};
     process.quota = quota::make_quota_manager(quota_options, random_());
   }
   if (consistency_options_) {
     consistency::Options consistency_options = *consistency_options_;
-    consistency_options.slot = {front};
+    consistency_options.slot = {instance};
     process.consistency = consistency::make_consistency_monitor(consistency_options, random_());
   }
-  settle(front);
+  run_module(instance);
 }
 
-void VirtualFleet::kill(int front) {
-  Process& process = processes_.at(at(front));
-  process.core.reset();
+void VirtualFleet::kill(int instance) {
+  Process& process = processes_.at(at(instance));
+  process.membership.reset();
   process.quota.reset();
   process.consistency.reset();
-  ++process.life;
+  ++process.generation;
 }
 
-void VirtualFleet::want(int front, const quota::Demand& demand) {
-  Process& process = processes_.at(at(front));
-  if (!process.quota || process.stopped) {
+void VirtualFleet::set_demand(int instance, const quota::Demand& demand) {
+  Process& process = processes_.at(at(instance));
+  if (!process.quota || process.paused) {
     return;
   }
   process.quota->enqueue(demand);
-  settle(front, Of::quota);
+  run_module(instance, Module::quota);
 }
 
-void VirtualFleet::act(int front, const consistency::AppliedState& acts) {
-  Process& process = processes_.at(at(front));
-  if (!process.consistency || process.stopped) {
+void VirtualFleet::set_applied_state(int instance, const consistency::AppliedState& state) {
+  Process& process = processes_.at(at(instance));
+  if (!process.consistency || process.paused) {
     return;
   }
-  process.consistency->enqueue(acts);
-  settle(front, Of::consistency);
+  process.consistency->enqueue(state);
+  run_module(instance, Module::consistency);
 }
 
-void VirtualFleet::confirm(int front) {
-  Process& process = processes_.at(at(front));
-  if (!process.consistency || process.stopped) {
+void VirtualFleet::confirm_discovery(int instance) {
+  Process& process = processes_.at(at(instance));
+  if (!process.consistency || process.paused) {
     return;
   }
   process.consistency->enqueue(consistency::DiscoveryAnswered{});
-  settle(front, Of::consistency);
+  run_module(instance, Module::consistency);
 }
 
-quota::Allocation VirtualFleet::allocation(int front) const {
-  const Process& process = processes_.at(at(front));
-  return process.quota && !process.stopped ? process.quota->allocation(own(process, now_))
-                                           : quota::Allocation{};
+quota::Allocation VirtualFleet::allocation(int instance) const {
+  const Process& process = processes_.at(at(instance));
+  return process.quota && !process.paused ? process.quota->allocation(local_time(process, now_))
+                                          : quota::Allocation{};
 }
 
-void VirtualFleet::leave(int front) {
-  Process& process = processes_.at(at(front));
-  process.core->enqueue(membership::Leaving{});
-  settle(front);
+void VirtualFleet::leave(int instance) {
+  Process& process = processes_.at(at(instance));
+  process.membership->enqueue(membership::Leaving{});
+  run_module(instance);
   if (!process.quota) {
     return;
   }
   process.quota->enqueue(quota::Leaving{});
-  settle(front, Of::quota);
+  run_module(instance, Module::quota);
 }
 
-void VirtualFleet::stop(int front) { processes_.at(at(front)).stopped = true; }
+void VirtualFleet::pause(int instance) { processes_.at(at(instance)).paused = true; }
 
-void VirtualFleet::wake(int front) {
-  Process& process = processes_.at(at(front));
-  if (!std::exchange(process.stopped, false) || !process.core) {
+void VirtualFleet::resume(int instance) {
+  Process& process = processes_.at(at(instance));
+  if (!std::exchange(process.paused, false) || !process.membership) {
     return;
   }
-  for (const Process::Datagram& waited : std::exchange(process.waiting, {})) {
-    note(front, waited.of, waited.from, waited.bytes);
+  for (const Process::Datagram& datagram : std::exchange(process.pending, {})) {
+    enqueue_datagram(instance, datagram.module, datagram.from, datagram.bytes);
   }
-  settle(front);
-  settle(front, Of::quota);
-  settle(front, Of::consistency);
+  run_module(instance);
+  run_module(instance, Module::quota);
+  run_module(instance, Module::consistency);
 }
 
-void VirtualFleet::note(int front, Of of, int from, const std::string& bytes) {
-  Process& process = processes_[at(front)];
-  if (of == Of::membership) {
-    process.core->enqueue(DatagramReceived{{from}, bytes});
+void VirtualFleet::enqueue_datagram(int instance, Module module, int from, const std::string& bytes) {
+  Process& process = processes_[at(instance)];
+  if (module == Module::membership) {
+    process.membership->enqueue(DatagramReceived{{from}, bytes});
   }
-  if (of == Of::quota && process.quota) {
+  if (module == Module::quota && process.quota) {
     process.quota->enqueue(DatagramReceived{{from}, bytes});
   }
-  if (of == Of::consistency && process.consistency) {
+  if (module == Module::consistency && process.consistency) {
     process.consistency->enqueue(DatagramReceived{{from}, bytes});
   }
 }
 
-void VirtualFleet::hear(int front, int from, const std::string& bytes) {
-  hear(front, Of::membership, from, bytes);
+void VirtualFleet::deliver(int instance, int from, const std::string& bytes) {
+  deliver(instance, Module::membership, from, bytes);
 }
 
-void VirtualFleet::hear(int front, Of of, int from, const std::string& bytes) {
-  Process& process = processes_.at(at(front));
-  if (!process.core) {
-    // The machine says that nobody listens, where that gets back.
-    if (of == Of::quota && (!passes || passes(front, from))) {
-      due_.push({now_ + network.delay + network.jitter * chance(), ++order_, from,
-                 processes_.at(at(from)).life, front, Of::refusal, bytes});
+void VirtualFleet::deliver(int instance, Module module, int from, const std::string& bytes) {
+  Process& process = processes_.at(at(instance));
+  if (!process.membership) {
+    // The operating system reports that no process listens, if that report can reach the sender.
+    if (module == Module::quota && (!link_up || link_up(instance, from))) {
+      schedule_.push({now_ + network.delay + network.jitter * random_fraction(), ++sequence_, from,
+                      processes_.at(at(from)).generation, instance, Module::refusal, bytes});
     }
     return;
   }
-  if (process.stopped) {
-    if (process.waiting.size() < kSocket) {
-      process.waiting.push_back({of, from, bytes});
+  if (process.paused) {
+    if (process.pending.size() < kSocketBuffer) {
+      process.pending.push_back({module, from, bytes});
     }
     return;
   }
-  if (of == Of::membership) {
-    process.last = bytes;
+  if (module == Module::membership) {
+    process.last_received = bytes;
   }
-  note(front, of, from, bytes);
-  settle(front, of);
+  enqueue_datagram(instance, module, from, bytes);
+  run_module(instance, module);
 }
 
-void VirtualFleet::run(Millis span) {
-  const Millis until = now_ + span;
-  while (!due_.empty() && due_.top().at <= until) {
-    const Due due = due_.top();
-    due_.pop();
-    now_ = due.at;
-    Process& process = processes_[at(due.front)];
-    const bool awake = process.core && !process.stopped && due.life == process.life;
-    const Millis wakes = due.of == Of::membership ? process.wakes
-                         : due.of == Of::quota    ? process.quota_wake
-                                                  : process.consistency_wake;
-    if (due.of == Of::refusal) {
-      if (awake && process.quota) {
-        process.quota->enqueue(quota::DatagramReturned{{due.from}, due.bytes});
-        settle(due.front, Of::quota);
+void VirtualFleet::run(Millis duration) {
+  const Millis until = now_ + duration;
+  while (!schedule_.empty() && schedule_.top().at <= until) {
+    const ScheduledEvent scheduled = schedule_.top();
+    schedule_.pop();
+    now_ = scheduled.at;
+    Process& process = processes_[at(scheduled.instance)];
+    const bool active = process.membership && !process.paused && scheduled.generation == process.generation;
+    const Millis wakeup = scheduled.module == Module::membership ? process.membership_wakeup
+                          : scheduled.module == Module::quota    ? process.quota_wakeup
+                                                                 : process.consistency_wakeup;
+    if (scheduled.module == Module::refusal) {
+      if (active && process.quota) {
+        process.quota->enqueue(quota::DatagramReturned{{scheduled.from}, scheduled.bytes});
+        run_module(scheduled.instance, Module::quota);
       }
-    } else if (due.from >= 0) {
-      hear(due.front, due.of, due.from, due.bytes);
-    } else if (awake && due.at == wakes) {
-      settle(due.front, due.of);
+    } else if (scheduled.from >= 0) {
+      deliver(scheduled.instance, scheduled.module, scheduled.from, scheduled.bytes);
+    } else if (active && scheduled.at == wakeup) {
+      run_module(scheduled.instance, scheduled.module);
     }
-    if (stepped) {
-      stepped(now_);
+    if (on_step) {
+      on_step(now_);
     }
   }
   now_ = until;
 }
 
-template <typename Core, typename Took>
-void VirtualFleet::decide(int front, Core& core, Of of, Millis& wakes, Load& load, Took took) {
-  Process& process = processes_[at(front)];
-  for (const auto& decision : core.process(own(process, now_))) {
+template <typename Core, typename Handler>
+void VirtualFleet::dispatch(int instance, Core& core, Module module, Millis& wakeup, Traffic& traffic,
+                            Handler handle) {
+  Process& process = processes_[at(instance)];
+  for (const auto& decision : core.process(local_time(process, now_))) {
     std::visit(
-        [&](const auto& taken) {
-          if constexpr (requires { taken.to, taken.bytes; }) {
-            ++load.datagrams, load.bytes += taken.bytes.size();
-            send(front, taken.to.number, of, taken.bytes);
-          } else if constexpr (requires { taken.at; }) {
-            // Time goes on between two wake-ups, whatever rounding makes of a clock that stands apart.
-            const Millis when = std::max(now_ + 0.001, VirtualFleet::when(process, taken.at));
-            if (when == wakes) {
+        [&](const auto& output) {
+          if constexpr (requires { output.to, output.bytes; }) {
+            ++traffic.datagrams, traffic.bytes += output.bytes.size();
+            send(instance, output.to.number, module, output.bytes);
+          } else if constexpr (requires { output.at; }) {
+            // Advances the time between two wake-ups even if the rounding of an offset clock yields the
+            // current time.
+            const Millis global_time = std::max(now_ + 0.001, VirtualFleet::global_time(process, output.at));
+            if (global_time == wakeup) {
               return;
             }
-            wakes = when;
-            due_.push({when, ++order_, front, process.life, -1, of, ""});
+            wakeup = global_time;
+            schedule_.push({global_time, ++sequence_, instance, process.generation, -1, module, ""});
           } else {
-            took(taken);
+            handle(output);
           }
         },
         decision);
   }
 }
 
-void VirtualFleet::settle(int front, Of of) {
-  Process& process = processes_[at(front)];
-  const auto nothing = [](const auto&) {};
-  if (of == Of::membership) {
-    settle(front);
+void VirtualFleet::run_module(int instance, Module module) {
+  Process& process = processes_[at(instance)];
+  const auto ignore = [](const auto&) {};
+  if (module == Module::membership) {
+    run_module(instance);
   }
-  if (of == Of::quota && process.quota) {
-    decide(front, *process.quota, of, process.quota_wake, process.quota_load, nothing);
+  if (module == Module::quota && process.quota) {
+    dispatch(instance, *process.quota, module, process.quota_wakeup, process.quota_traffic, ignore);
   }
-  if (of == Of::consistency && process.consistency) {
-    decide(front, *process.consistency, of, process.consistency_wake, process.consistency_load, nothing);
+  if (module == Module::consistency && process.consistency) {
+    dispatch(instance, *process.consistency, module, process.consistency_wakeup, process.consistency_traffic,
+             ignore);
   }
 }
 
-// The membership's turn, and where its view has changed, the others'.
-void VirtualFleet::settle(int front) {
-  Process& process = processes_[at(front)];
+// Runs the membership module and, if its view changed, the other modules too.
+void VirtualFleet::run_module(int instance) {
+  Process& process = processes_[at(instance)];
   bool changed = false;
-  decide(front, *process.core, Of::membership, process.wakes, process.load, [&](const auto& taken) {
-    if constexpr (requires { taken.incarnation; }) {
-      changed = true;
-      if (seen_) {
-        seen_(now_, front, taken);
-      }
-    } else if (found_) {
-      found_(now_, front, taken);
-    }
-  });
+  dispatch(instance, *process.membership, Module::membership, process.membership_wakeup,
+           process.membership_traffic, [&](const auto& output) {
+             if constexpr (requires { output.incarnation; }) {
+               changed = true;
+               if (peer_listener_) {
+                 peer_listener_(now_, instance, output);
+               }
+             } else if (self_listener_) {
+               self_listener_(now_, instance, output);
+             }
+           });
   if (!process.quota && !process.consistency) {
     return;
   }
-  std::set<SlotId> there;
+  std::set<SlotId> alive;
   if (changed) {
-    there = membership::alive_peers(process.core->view());
+    alive = membership::alive_peers(process.membership->view());
   }
   if (changed && process.quota) {
-    process.quota->enqueue(quota::PeersChanged{there});
+    process.quota->enqueue(quota::PeersChanged{alive});
   }
   if (changed && process.consistency) {
-    process.consistency->enqueue(consistency::PeersChanged{there, size()});
+    process.consistency->enqueue(consistency::PeersChanged{alive, size()});
   }
-  if (changed || process.quota_wake == 0) {
-    settle(front, Of::quota);
+  if (changed || process.quota_wakeup == 0) {
+    run_module(instance, Module::quota);
   }
-  if (changed || process.consistency_wake == 0) {
-    settle(front, Of::consistency);
+  if (changed || process.consistency_wakeup == 0) {
+    run_module(instance, Module::consistency);
   }
 }
 
-void VirtualFleet::send(int from, int to, Of of, const std::string& bytes) {
-  if (to < 0 || to >= size() || (passes && !passes(from, to))) {
+void VirtualFleet::send(int from, int to, Module module, const std::string& bytes) {
+  if (to < 0 || to >= size() || (link_up && !link_up(from, to))) {
     return;
   }
-  const int copies = network.doubled > 0 && chance() < network.doubled ? 2 : 1;
+  const int copies = network.duplication > 0 && random_fraction() < network.duplication ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    if (network.loss > 0 && chance() < network.loss) {
+    if (network.loss > 0 && random_fraction() < network.loss) {
       continue;
     }
     const Millis extra = extra_delay ? extra_delay(from, to) : 0;
-    due_.push({now_ + network.delay + extra + network.jitter * chance(), ++order_, to, 0, from, of, bytes});
+    schedule_.push({now_ + network.delay + extra + network.jitter * random_fraction(), ++sequence_, to, 0,
+                    from, module, bytes});
   }
 }
 
-bool VirtualFleet::agreed() const {
-  std::set<std::string> up;
+bool VirtualFleet::converged() const {
+  std::set<std::string> running;
   for (const Process& process : processes_) {
-    if (process.core) {
-      up.insert(process.name);
+    if (process.membership) {
+      running.insert(process.name);
     }
   }
   for (const Process& process : processes_) {
-    if (!process.core) {
+    if (!process.membership) {
       continue;
     }
-    std::size_t there = 0;
-    for (const membership::PeerView& peer : process.core->view().peers) {
+    std::size_t alive = 0;
+    for (const membership::PeerView& peer : process.membership->view().peers) {
       if (peer.state == membership::PeerState::failed || peer.state == membership::PeerState::left) {
         continue;
       }
-      if (peer.state != membership::PeerState::alive || !up.contains(peer.name)) {
+      if (peer.state != membership::PeerState::alive || !running.contains(peer.name)) {
         return false;
       }
-      ++there;
+      ++alive;
     }
-    if (there + 1 != up.size()) {
+    if (alive + 1 != running.size()) {
       return false;
     }
   }
--- a/src/faulttest/virtual_fleet.hpp
+++ b/src/faulttest/virtual_fleet.hpp
@@ -1,6 +1,6 @@
-// Many fronts' membership, shares and accord in virtual time, with the faults of a network and of processes:
-// for designs, figures at sizes that one machine's processes don't reach, and tests. One thread, one seed,
-// the same run each time.
+// Simulates the membership, quota and consistency modules of many instances in virtual time, with network and
+// process faults. Used by tests and by benchmarks at sizes that processes on one machine cannot reach. Runs
+// in one thread; the same seed gives the same run.
 #pragma once
 
 #include <cstdint>
@@ -21,130 +21,149 @@
 namespace reedspindle::faulttest {
 
 struct Network {
-  Millis delay = 0.5, jitter = 1;  // of a datagram: from the first to the sum of both
-  double loss = 0, doubled = 0;    // shares of datagrams
+  Millis delay = 0.5, jitter = 1;    // of a datagram: between delay and delay + jitter
+  double loss = 0, duplication = 0;  // fractions of datagrams
 };
 
-struct Load {
+struct Traffic {
   std::uint64_t datagrams = 0, bytes = 0;  // sent
 };
 
 class VirtualFleet {
  public:
-  using Maker =
+  using Factory =
       std::function<std::unique_ptr<membership::Membership>(const membership::Options&, std::uint64_t)>;
-  using Seen = std::function<void(Millis at, int front, const membership::PeerChanged&)>;
-  using Found = std::function<void(Millis at, int front, const membership::SelfReport&)>;
+  using PeerListener = std::function<void(Millis at, int instance, const membership::PeerChanged&)>;
+  using SelfListener = std::function<void(Millis at, int instance, const membership::SelfReport&)>;
 
-  VirtualFleet(int fronts, membership::Options options, std::uint64_t seed,
-               Maker maker = membership::make_membership);
+  VirtualFleet(int instances, membership::Options options, std::uint64_t seed,
+               Factory factory = membership::make_membership);
 
-  void on(Seen seen, Found found = {}) { seen_ = std::move(seen), found_ = std::move(found); }
+  void set_listeners(PeerListener peer_listener, SelfListener self_listener = {}) {
+    peer_listener_ = std::move(peer_listener), self_listener_ = std::move(self_listener);
+  }
   Network network;
-  std::function<bool(int from, int to)> passes;         // none: all links are whole
-  std::function<Millis(int from, int to)> extra_delay;  // none: no link is slower than the others
-  // A process' clock stands apart from the others' by as much from its next start on.
-  void clock(int front, Millis apart) { processes_.at(at(front)).apart = apart; }
-  void name(int front, const std::string& name) { processes_.at(at(front)).name = name; }
-  // Its steady clock gains or loses by that share, from its next start on.
-  void drift(int front, double share) { processes_.at(at(front)).rate = 1 + share; }
+  std::function<bool(int from, int to)> link_up;        // empty: all links work
+  std::function<Millis(int from, int to)> extra_delay;  // empty: no link has extra delay
+  // Sets the offset of an instance's clock, which takes effect at its next start.
+  void set_clock_offset(int instance, Millis clock_offset) {
+    processes_.at(at(instance)).clock_offset = clock_offset;
+  }
+  void set_name(int instance, const std::string& name) { processes_.at(at(instance)).name = name; }
+  // Sets the drift of an instance's steady clock as a fraction, which takes effect at its next start.
+  void set_clock_drift(int instance, double fraction) {
+    processes_.at(at(instance)).clock_rate = 1 + fraction;
+  }
 
-  // From their next start on the processes share what the fleet has, too.
-  void share(const quota::Options& options) { quota_options_ = options; }
-  void want(int front, const quota::Demand& demand);
-  // What a process may use now, by its own clock; nothing where it does not run or is stopped.
-  [[nodiscard]] quota::Allocation allocation(int front) const;
-  [[nodiscard]] const quota::QuotaManager* quota(int front) const {
-    return processes_.at(at(front)).quota.get();
+  // Runs the quota module too, in instances that start from now on.
+  void enable_quota(const quota::Options& options) { quota_options_ = options; }
+  void set_demand(int instance, const quota::Demand& demand);
+  // The current allocation of an instance by its own clock; empty if it does not run or is paused.
+  [[nodiscard]] quota::Allocation allocation(int instance) const;
+  [[nodiscard]] const quota::QuotaManager* quota(int instance) const {
+    return processes_.at(at(instance)).quota.get();
   }
-  // From their next start on the processes compare what they act on, too.
-  void compare(const consistency::Options& options) { consistency_options_ = options; }
-  void act(int front, const consistency::AppliedState& acts);
-  void confirm(int front);  // discovery speaks to it
-  [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int front) const {
-    return processes_.at(at(front)).consistency.get();
+  // Runs the consistency module too, in instances that start from now on.
+  void enable_consistency(const consistency::Options& options) { consistency_options_ = options; }
+  void set_applied_state(int instance, const consistency::AppliedState& state);
+  void confirm_discovery(int instance);  // reports an answer of discovery to the instance
+  [[nodiscard]] const consistency::ConsistencyMonitor* consistency(int instance) const {
+    return processes_.at(at(instance)).consistency.get();
   }
-  // Called after each step with the time.
-  std::function<void(Millis)> stepped;
+  // Called with the virtual time after each event.
+  std::function<void(Millis)> on_step;
 
-  void start(int front);
-  void kill(int front);
-  void leave(int front);  // told; it goes on until it is killed
-  void stop(int front);   // the process is paused
-  void wake(int front);
-  void hear(int front, int from, const std::string& bytes);  // a datagram that nobody sent
-  [[nodiscard]] std::string last_heard(int front) const { return processes_.at(at(front)).last; }
+  void start(int instance);
+  void kill(int instance);
+  void leave(int instance);  // announces the departure; the instance runs until it is killed
+  void pause(int instance);
+  void resume(int instance);
+  void deliver(int instance, int from, const std::string& bytes);  // injects a datagram
+  [[nodiscard]] std::string last_datagram(int instance) const {
+    return processes_.at(at(instance)).last_received;
+  }
 
-  void run(Millis span);
+  void run(Millis duration);
   [[nodiscard]] Millis now() const { return now_; }
   [[nodiscard]] int size() const { return static_cast<int>(processes_.size()); }
-  [[nodiscard]] bool up(int front) const { return processes_.at(at(front)).core != nullptr; }
-  [[nodiscard]] membership::View view(int front) const { return processes_.at(at(front)).core->view(); }
-  [[nodiscard]] std::string name_of(int front) const { return processes_.at(at(front)).name; }
-  [[nodiscard]] Load load(int front) const { return processes_.at(at(front)).load; }
-  [[nodiscard]] Load quota_load(int front) const { return processes_.at(at(front)).quota_load; }
-  [[nodiscard]] Load consistency_load(int front) const { return processes_.at(at(front)).consistency_load; }
-  // Whether each front that is up holds each other that is up for there, and nobody else for here.
-  [[nodiscard]] bool agreed() const;
+  [[nodiscard]] bool running(int instance) const { return processes_.at(at(instance)).membership != nullptr; }
+  [[nodiscard]] membership::View view(int instance) const {
+    return processes_.at(at(instance)).membership->view();
+  }
+  [[nodiscard]] std::string name_of(int instance) const { return processes_.at(at(instance)).name; }
+  [[nodiscard]] Traffic membership_traffic(int instance) const {
+    return processes_.at(at(instance)).membership_traffic;
+  }
+  [[nodiscard]] Traffic quota_traffic(int instance) const {
+    return processes_.at(at(instance)).quota_traffic;
+  }
+  [[nodiscard]] Traffic consistency_traffic(int instance) const {
+    return processes_.at(at(instance)).consistency_traffic;
+  }
+  // Whether each running instance considers exactly the other running instances alive.
+  [[nodiscard]] bool converged() const;
 
  private:
-  enum class Of { membership, quota, consistency, refusal };
+  enum class Module { membership, quota, consistency, refusal };
   struct Process {
     std::string name;
-    std::unique_ptr<membership::Membership> core;
+    std::unique_ptr<membership::Membership> membership;
     std::unique_ptr<quota::QuotaManager> quota;
     std::unique_ptr<consistency::ConsistencyMonitor> consistency;
-    double rate = 1;
-    Millis born = 0;
-    int life = 0;  // datagrams and wake-ups of an earlier one come to nothing
-    Millis apart = 0, wakes = 0, quota_wake = 0, consistency_wake = 0;
-    bool stopped = false;
+    double clock_rate = 1;
+    Millis started_at = 0;
+    int generation = 0;  // changes at each start and kill; events for an earlier one are dropped
+    Millis clock_offset = 0, membership_wakeup = 0, quota_wakeup = 0, consistency_wakeup = 0;
+    bool paused = false;
     struct Datagram {
-      Of of = Of::membership;
+      Module module = Module::membership;
       int from = 0;
       std::string bytes;
     };
-    std::vector<Datagram> waiting;  // while it is stopped, as in a socket
-    std::string last;
-    Load load, quota_load, consistency_load;
+    std::vector<Datagram> pending;  // received while paused, as in a socket buffer
+    std::string last_received;
+    Traffic membership_traffic, quota_traffic, consistency_traffic;
   };
-  struct Due {
+  struct ScheduledEvent {
     Millis at = 0;
-    std::uint64_t order = 0;
-    int front = 0, life = 0, from = -1;  // below 0: a wake-up
-    Of of = Of::membership;
+    std::uint64_t sequence = 0;
+    int instance = 0, generation = 0, from = -1;  // from below 0: a wake-up
+    Module module = Module::membership;
     std::string bytes;
-    bool operator>(const Due& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
+    bool operator>(const ScheduledEvent& other) const {
+      return std::pair(at, sequence) > std::pair(other.at, other.sequence);
+    }
   };
-  static std::size_t at(int front) { return static_cast<std::size_t>(front); }
-  double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
-  // What one core has decided: datagrams and its next turn are alike for all, the rest is taken.
-  template <typename Core, typename Took>
-  void decide(int front, Core& core, Of of, Millis& wakes, Load& load, Took took);
-  void settle(int front);
-  void settle(int front, Of of);
-  void note(int front, Of of, int from, const std::string& bytes);
-  void hear(int front, Of of, int from, const std::string& bytes);
-  void send(int from, int to, Of of, const std::string& bytes);
-  // The process' own time, and when that will be.
-  static Millis own(const Process& process, Millis now) {
-    return process.born + (now - process.born) * process.rate + process.apart;
+  static std::size_t at(int instance) { return static_cast<std::size_t>(instance); }
+  double random_fraction() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
+  // Carries out the decisions of one module: sends datagrams and schedules its next wake-up; passes all other
+  // decisions to the handler.
+  template <typename Core, typename Handler>
+  void dispatch(int instance, Core& core, Module module, Millis& wakeup, Traffic& traffic, Handler handle);
+  void run_module(int instance);
+  void run_module(int instance, Module module);
+  void enqueue_datagram(int instance, Module module, int from, const std::string& bytes);
+  void deliver(int instance, Module module, int from, const std::string& bytes);
+  void send(int from, int to, Module module, const std::string& bytes);
+  // Convert between virtual time and the time of the process's own clock.
+  static Millis local_time(const Process& process, Millis now) {
+    return process.started_at + (now - process.started_at) * process.clock_rate + process.clock_offset;
   }
-  static Millis when(const Process& process, Millis own) {
-    return process.born + (own - process.apart - process.born) / process.rate;
+  static Millis global_time(const Process& process, Millis local_time) {
+    return process.started_at + (local_time - process.clock_offset - process.started_at) / process.clock_rate;
   }
 
   const membership::Options membership_options_;
-  const Maker maker_;
+  const Factory factory_;
   std::optional<quota::Options> quota_options_;
   std::optional<consistency::Options> consistency_options_;
   std::minstd_rand random_;
   std::vector<Process> processes_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::uint64_t order_ = 0;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> schedule_;
+  std::uint64_t sequence_ = 0;
   Millis now_ = 1000000;
-  Seen seen_;
-  Found found_;
+  PeerListener peer_listener_;
+  SelfListener self_listener_;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/virtual_routers.cpp
+++ b/src/faulttest/virtual_routers.cpp
@@ -35,8 +35,8 @@
       fleet_(stage.fronts, membership::Options{}, seed),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       fronts_(static_cast<std::size_t>(stage.fronts)) {
-  fleet_.passes = [this](int from, int to) { return cut_.empty() || !cut_.contains({from, to}); };
-  fleet_.on([this](Millis, int by, const membership::PeerChanged&) { front(by).changed = true; });
+  fleet_.link_up = [this](int from, int to) { return cut_.empty() || !cut_.contains({from, to}); };
+  fleet_.set_listeners([this](Millis, int by, const membership::PeerChanged&) { front(by).changed = true; });
 }
 
 EndpointListReceived VirtualRouters::list() const {
@@ -68,12 +68,12 @@
 
 void VirtualRouters::stop(int number) {
   front(number).stopped = true;
-  fleet_.stop(number);
+  fleet_.pause(number);
 }
 
 void VirtualRouters::wake(int number) {
   front(number).stopped = false;
-  fleet_.wake(number);
+  fleet_.resume(number);
 }
 
 void VirtualRouters::due(Millis at, int number, Event event) {
--- a/tests/consistency_properties.cpp
+++ b/tests/consistency_properties.cpp
@@ -35,8 +35,8 @@
       : fleet(instances, fast_options(), seed), list_index(static_cast<std::size_t>(instances)) {
     options.poll_interval = 200, options.grace_period = 600, options.isolation_timeout = 1500,
     options.admit_writes_for = 2500;
-    fleet.compare(options);
-    fleet.passes = [this](int from, int to) { return !blocked.contains({from, to}); };
+    fleet.enable_consistency(options);
+    fleet.link_up = [this](int from, int to) { return !blocked.contains({from, to}); };
     for (int instance = 0; instance < instances; ++instance) {
       start(instance);
     }
@@ -56,7 +56,7 @@
     state.digest.revision = list_index[static_cast<std::size_t>(instance)] + 1;
     state.digest.sums = {static_cast<std::uint32_t>(state.digest.revision), 1, 1};
     state.ready = lists[list_index[static_cast<std::size_t>(instance)]];
-    fleet.act(instance, state);
+    fleet.set_applied_state(instance, state);
   }
   void change(bool is_addition, std::uint32_t mark) {
     lists.push_back(lists.back());
@@ -65,11 +65,11 @@
   void run(Millis duration) {
     for (Millis elapsed = 0; elapsed < duration; elapsed += 100) {
       for (int instance = 0; instance < fleet.size(); ++instance) {
-        if (!fleet.up(instance) || discovery_down.contains(instance) || paused.contains(instance)) {
+        if (!fleet.running(instance) || discovery_down.contains(instance) || paused.contains(instance)) {
           continue;
         }
         list_index[static_cast<std::size_t>(instance)] = lists.size() - 1;
-        fleet.confirm(instance);
+        fleet.confirm_discovery(instance);
         apply_state(instance);
         last_discovery_answer[instance] = fleet.now();
       }
@@ -79,7 +79,7 @@
   }
   void check_invariants() {
     for (int instance = 0; instance < fleet.size(); ++instance) {
-      if (!fleet.up(instance) || paused.contains(instance)) {
+      if (!fleet.running(instance) || paused.contains(instance)) {
         continue;
       }
       const consistency::View view = fleet.consistency(instance)->view();
@@ -120,10 +120,10 @@
           const std::string kind = kKinds[fault.kind];
           const int instance = fault.instance;
           const int other = fault.other;
-          if (kind == "kill" && fleet.up(instance)) {
+          if (kind == "kill" && fleet.running(instance)) {
             fleet.kill(instance), world.paused.erase(instance);
           }
-          if (kind == "start" && !fleet.up(instance)) {
+          if (kind == "start" && !fleet.running(instance)) {
             world.start(instance);
           }
           if (kind == "partition" || kind == "one-way block") {
@@ -149,18 +149,18 @@
           if (kind == "remove" || kind == "add") {
             world.change(kind == "add", static_cast<std::uint32_t>(1 + (instance + other) % 8));
           }
-          if (kind == "pause" && fleet.up(instance)) {
-            fleet.stop(instance), world.paused.insert(instance);
+          if (kind == "pause" && fleet.running(instance)) {
+            fleet.pause(instance), world.paused.insert(instance);
           }
           if (kind == "resume") {
-            fleet.wake(instance), world.paused.erase(instance);
+            fleet.resume(instance), world.paused.erase(instance);
           }
           world.run(fault.duration);
         }
         world.blocked.clear(), world.discovery_down.clear(), world.paused.clear();
         for (int instance = 0; instance < instances; ++instance) {
-          fleet.wake(instance);
-          if (!fleet.up(instance)) {
+          fleet.resume(instance);
+          if (!fleet.running(instance)) {
             world.start(instance);
           }
         }
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -42,11 +42,12 @@
         key == "forget-after" ? void(input >> options.forget_after) : reject(text);
       }
       fleet_ = std::make_unique<VirtualFleet>(instance, options, 7);
-      fleet_->on([this](Millis at, int by, const PeerChanged& change) { on_peer_changed(at, by, change); },
-                 [this](Millis, int by, const SelfReport& report) {
-                   self_reports_[{to_string(report.event), by}]++;
-                 });
-      fleet_->passes = [this](int from, int to) { return !blocked_.contains({from, to}); };
+      fleet_->set_listeners(
+          [this](Millis at, int by, const PeerChanged& change) { on_peer_changed(at, by, change); },
+          [this](Millis, int by, const SelfReport& report) {
+            self_reports_[{to_string(report.event), by}]++;
+          });
+      fleet_->link_up = [this](int from, int to) { return !blocked_.contains({from, to}); };
       fleet_->extra_delay = [this](int from, int to) {
         return std::max(extra_delay_[from], extra_delay_[to]);
       };
@@ -72,27 +73,27 @@
     } else if (word == "loss") {
       input >> fleet_->network.loss;
     } else if (word == "duplication") {
-      input >> fleet_->network.doubled;
+      input >> fleet_->network.duplication;
     } else if (word == "delay") {
       input >> instance >> extra_delay_[instance];
     } else if (word == "clock-offset") {
       Millis offset = 0;
       input >> instance >> offset;
-      fleet_->clock(instance, offset);
+      fleet_->set_clock_offset(instance, offset);
     } else if (word == "name") {
       input >> instance >> argument;
-      fleet_->name(instance, argument);
+      fleet_->set_name(instance, argument);
     } else if (word == "record") {
       input >> instance;
-      recorded_ = fleet_->last_heard(instance);
+      recorded_ = fleet_->last_datagram(instance);
     } else if (word == "replay") {  // delivers the recorded datagram to an instance as if from another
       input >> instance >> other;
-      fleet_->hear(instance, other, recorded_);
+      fleet_->deliver(instance, other, recorded_);
     } else if (word == "garbage") {
       input >> instance >> other >> argument;
       for (int turn = 0; turn < std::stoi(argument); ++turn) {
-        fleet_->hear(instance, other,
-                     recorded_.substr(0, recorded_.size() / 2) + std::string(1, static_cast<char>(turn)));
+        fleet_->deliver(instance, other,
+                        recorded_.substr(0, recorded_.size() / 2) + std::string(1, static_cast<char>(turn)));
       }
     } else if (word == "dropped") {
       input >> instance;
@@ -149,10 +150,10 @@
       fleet_->leave(instance);
     }
     if (word == "pause") {
-      fleet_->stop(instance);
+      fleet_->pause(instance);
     }
     if (word == "resume") {
-      fleet_->wake(instance);
+      fleet_->resume(instance);
     }
   }
 
@@ -177,7 +178,7 @@
     for (const auto& [event, times] : self_reports_) {
       std::cout << fmt::format("  n{}: {}\n", event.second, event.first);
     }
-    if (fleet_->agreed()) {
+    if (fleet_->converged()) {
       std::cout << "  views agree\n";
     }
     observations_.clear(), order_.clear(), self_reports_.clear();
--- a/tests/membership_properties.cpp
+++ b/tests/membership_properties.cpp
@@ -37,16 +37,16 @@
         std::set<std::pair<int, int>> blocked;
         std::map<std::pair<int, std::string>, Incarnation> last_incarnations;
         std::vector<std::string> recorded;  // last datagrams received before one instance is killed
-        fleet.passes = [&](int from, int to) { return !blocked.contains({from, to}); };
+        fleet.link_up = [&](int from, int to) { return !blocked.contains({from, to}); };
         const auto restart = [&](int instance) {
           std::erase_if(last_incarnations, [&](const auto& entry) { return entry.first.first == instance; });
-          if (!fleet.up(instance)) {
+          if (!fleet.running(instance)) {
             fleet.start(instance);
           }
         };
         const auto check_incarnations = [&] {
           for (int instance = 0; instance < instances; ++instance) {
-            if (!fleet.up(instance)) {
+            if (!fleet.running(instance)) {
               continue;
             }
             for (const PeerView& peer : fleet.view(instance).peers) {
@@ -60,7 +60,7 @@
           fleet.start(instance);
         }
         for (const Fault& fault : fault_sequence) {
-          const bool up = fleet.up(fault.instance);
+          const bool up = fleet.running(fault.instance);
           if (fault.kind == 0 && up) {
             fleet.kill(fault.instance);
           }
@@ -68,10 +68,10 @@
             restart(fault.instance);
           }
           if (fault.kind == 2 && up) {
-            fleet.stop(fault.instance);
+            fleet.pause(fault.instance);
           }
           if (fault.kind == 3) {
-            fleet.wake(fault.instance);
+            fleet.resume(fault.instance);
           }
           if (fault.kind == 4 || fault.kind == 5) {
             blocked.insert({fault.instance, fault.other});
@@ -88,16 +88,16 @@
         }
         blocked.clear(), fleet.network.loss = 0;
         for (int instance = 0; instance < instances; ++instance) {
-          fleet.wake(instance), restart(instance);
+          fleet.resume(instance), restart(instance);
         }
         fleet.run(30000);
         check_incarnations();
-        RC_ASSERT(fleet.agreed());
+        RC_ASSERT(fleet.converged());
         // Datagrams from before the kill do not bring back a failed instance.
         const int failed = *rc::gen::inRange(0, instances);
         for (int instance = 0; instance < instances; ++instance) {
           if (instance != failed) {
-            recorded.push_back(fleet.last_heard(instance));
+            recorded.push_back(fleet.last_datagram(instance));
           }
         }
         fleet.kill(failed);
@@ -106,12 +106,12 @@
           for (const std::string& bytes : recorded) {
             if (instance != failed) {
               for (int from = 0; from < instances; ++from) {
-                fleet.hear(instance, from, bytes);
+                fleet.deliver(instance, from, bytes);
               }
             }
           }
         }
         fleet.run(5000);
-        RC_ASSERT(fleet.agreed());
+        RC_ASSERT(fleet.converged());
       });
 }
--- a/tests/quota_properties.cpp
+++ b/tests/quota_properties.cpp
@@ -44,14 +44,14 @@
                            static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
         quota::Options options;
         options.slot_count = instances;
-        fleet.share(options);
+        fleet.enable_quota(options);
         std::set<std::pair<int, int>> blocked;
         std::set<int> delayed;
-        fleet.passes = [&](int from, int to) { return !blocked.contains({from, to}); };
+        fleet.link_up = [&](int from, int to) { return !blocked.contains({from, to}); };
         fleet.extra_delay = [&](int from, int to) {
           return delayed.contains(from) || delayed.contains(to) ? 1500.0 : 0.0;
         };
-        fleet.stepped = [&](Millis) {
+        fleet.on_step = [&](Millis) {
           int sum = 0;
           for (int instance = 0; instance < instances; ++instance) {
             sum += fleet.allocation(instance).hold;
@@ -60,27 +60,27 @@
         };
         // Monotonic clocks differ in rate by as much as max_drift allows; wall clocks have arbitrary offsets.
         for (int instance = 0; instance < instances; ++instance) {
-          fleet.drift(instance, (instance % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
-          fleet.clock(instance, 60000.0 * (instance % 3 - 1));
+          fleet.set_clock_drift(instance, (instance % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
+          fleet.set_clock_offset(instance, 60000.0 * (instance % 3 - 1));
           fleet.start(instance);
-          fleet.want(instance, {quota::kSlot * instances, 0});
+          fleet.set_demand(instance, {quota::kSlot * instances, 0});
         }
         fleet.run(9000);
         for (const Fault& fault : fault_sequence) {
-          const bool up = fleet.up(fault.instance);
+          const bool up = fleet.running(fault.instance);
           const std::string kind = kKinds[fault.kind];
           if ((kind == "kill" || kind == "restart") && up) {
             fleet.kill(fault.instance);
           }
-          if ((kind == "start" || kind == "restart") && !fleet.up(fault.instance)) {
+          if ((kind == "start" || kind == "restart") && !fleet.running(fault.instance)) {
             fleet.start(fault.instance);
-            fleet.want(fault.instance, {quota::kSlot * instances, 0});
+            fleet.set_demand(fault.instance, {quota::kSlot * instances, 0});
           }
           if (kind == "pause" && up) {
-            fleet.stop(fault.instance);
+            fleet.pause(fault.instance);
           }
           if (kind == "resume") {
-            fleet.wake(fault.instance);
+            fleet.resume(fault.instance);
           }
           if (kind == "partition" || kind == "one-way block") {
             blocked.insert({fault.instance, fault.other});
@@ -101,10 +101,10 @@
           }
           fleet.network.loss = kind == "loss" ? 0.3 : 0;
           if (kind == "want" && up) {
-            fleet.want(fault.instance, {quota::kSlot * fault.other, 0});
+            fleet.set_demand(fault.instance, {quota::kSlot * fault.other, 0});
           }
           if (kind == "lend" && up) {
-            fleet.want(fault.instance, {0, 100 * (1 + fault.other)});
+            fleet.set_demand(fault.instance, {0, 100 * (1 + fault.other)});
           }
           if (kind == "leave" && up) {
             fleet.leave(fault.instance);
@@ -120,10 +120,10 @@
                            static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
         quota::Options options;
         options.slot_count = instances;
-        fleet.share(options);
+        fleet.enable_quota(options);
         for (int instance = 0; instance < instances; ++instance) {
           fleet.start(instance);
-          fleet.want(instance, {quota::kSlot, 0});
+          fleet.set_demand(instance, {quota::kSlot, 0});
         }
         fleet.run(10000);
         for (int instance = 0; instance < instances; ++instance) {
@@ -142,7 +142,7 @@
         RC_ASSERT(sum > expected - instances);
         for (int instance = 0; instance < failed; ++instance) {
           fleet.start(instance);
-          fleet.want(instance, {quota::kSlot, 0});
+          fleet.set_demand(instance, {quota::kSlot, 0});
         }
         fleet.run(200);
         for (int instance = 0; instance < failed; ++instance) {
@@ -159,20 +159,20 @@
                        static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000)));
     quota::Options options;
     options.slot_count = instances;
-    fleet.share(options);
+    fleet.enable_quota(options);
     for (int instance = 0; instance < instances; ++instance) {
       fleet.start(instance);
     }
     fleet.run(10000);
-    fleet.want(instances - 1, {2 * quota::kSlot, 0});
+    fleet.set_demand(instances - 1, {2 * quota::kSlot, 0});
     for (int instance = 0; instance + 1 < instances; ++instance) {
-      fleet.want(instance, {0, 600});
+      fleet.set_demand(instance, {0, 600});
     }
     fleet.run(10000);
     RC_ASSERT(fleet.allocation(instances - 1).open > quota::kSlot);
     // The slot is whole again within two leases of the last request that lent a part of it.
     for (int instance = 0; instance + 1 < instances; ++instance) {
-      fleet.want(instance, {0, 0});
+      fleet.set_demand(instance, {0, 0});
     }
     fleet.run(2 * options.lease * (1 + 3 * options.max_drift) + 1);
     for (int instance = 0; instance < instances; ++instance) {
