--- a/bench/consistency.cpp
+++ b/bench/consistency.cpp
@@ -1,6 +1,6 @@
-// The accord at sizes that processes don't reach, in virtual time: how soon a difference is seen, and seen to
-// be over, after a start, after a cut heals, and where one front's discovery is silent; what it costs on the
-// wire.
+// Measures the consistency module in virtual time at sizes that processes on one machine cannot reach: how
+// soon a difference is detected and how soon its end, after a start, after a partition heals, and while
+// discovery does not answer one instance; and the network traffic.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -14,50 +14,55 @@
 
 namespace {
 
-// Whether a front differs from nobody, having compared itself.
-bool agrees(const VirtualFleet& fleet, int front) {
-  const consistency::View view = fleet.consistency(front)->view();
-  return std::ranges::all_of(view.differences,
-                             [](const auto& is) { return is.differ == 0 && is.compared > 0; });
+// Whether an instance has compared itself with others and differs from none.
+bool in_agreement(const VirtualFleet& fleet, int instance) {
+  const consistency::View view = fleet.consistency(instance)->view();
+  return std::ranges::all_of(view.differences, [](const auto& difference) {
+    return difference.differ == 0 && difference.compared > 0;
+  });
 }
 
-class Fleet {
+class Simulation {
  public:
-  Fleet(int fronts, std::uint64_t seed) : fleet(fronts, membership::Options{}, seed), muted_(at(fronts)) {
+  Simulation(int instances, std::uint64_t seed)
+      : fleet(instances, membership::Options{}, seed), silent_(at(instances)) {
     fleet.enable_consistency(consistency::Options{});
-    fleet.link_up = [this](int from, int to) { return !cut || (from < side) == (to < side); };
-    for (int front = 0; front < fronts; ++front) {
-      fleet.start(front), tell(front, 1);
+    fleet.link_up = [this](int from, int to) {
+      return !partitioned || (from < partition_size) == (to < partition_size);
+    };
+    for (int instance = 0; instance < instances; ++instance) {
+      fleet.start(instance), deliver_list(instance, 1);
     }
   }
-  static std::size_t at(int front) { return static_cast<std::size_t>(front); }
-  void mute(int front, bool muted) { muted_[at(front)] = muted; }
-  void tell(int front, std::uint32_t list) {
-    if (muted_[at(front)]) {
+  static std::size_t at(int instance) { return static_cast<std::size_t>(instance); }
+  void set_discovery_silent(int instance, bool silent) { silent_[at(instance)] = silent; }
+  void deliver_list(int instance, std::uint32_t list) {
+    if (silent_[at(instance)]) {
       return;
     }
-    // All that are held there are told of as one view.
-    fleet.set_applied_state(front, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
-    fleet.confirm_discovery(front);
+    // The view is the same for all instances; only the list and the servers ready in it differ.
+    fleet.set_applied_state(instance, {{{list, 1, 1}, list}, {1, 2, 3, 4, 5, 6 + list}});
+    fleet.confirm_discovery(instance);
   }
-  // TestDiscovery speaks to all each half second.
-  template <typename There>
-  Millis until(std::uint32_t list, There there) {
-    Millis took = 0;
-    for (; took < 600000 && !there(); took += 50) {
-      if (std::fmod(took, 500) == 0) {
-        for (int front = 0; front < fleet.size(); ++front) {
-          tell(front, list);
+  // Runs until the condition holds, at most 10 minutes, and returns the seconds. Discovery answers every
+  // instance each half second.
+  template <typename Condition>
+  Millis until(std::uint32_t list, Condition condition) {
+    Millis elapsed = 0;
+    for (; elapsed < 600000 && !condition(); elapsed += 50) {
+      if (std::fmod(elapsed, 500) == 0) {
+        for (int instance = 0; instance < fleet.size(); ++instance) {
+          deliver_list(instance, list);
         }
       }
       fleet.run(50);
     }
-    return took / 1000;
+    return elapsed / 1000;
   }
-  Millis until_accord(std::uint32_t list) {
+  Millis until_agreement(std::uint32_t list) {
     return until(list, [this] {
-      for (int front = 0; front < fleet.size(); ++front) {
-        if (!agrees(fleet, front)) {
+      for (int instance = 0; instance < fleet.size(); ++instance) {
+        if (!in_agreement(fleet, instance)) {
           return false;
         }
       }
@@ -66,94 +71,102 @@
   }
 
   VirtualFleet fleet;
-  bool cut = false;
-  int side = 0;
+  bool partitioned = false;
+  int partition_size = 0;
 
  private:
-  std::vector<bool> muted_;
+  std::vector<bool> silent_;
 };
 
 }  // namespace
 
-int main(int count, char** words) {
-  int fronts = 10;
+int main(int count, char** arguments) {
+  int instances = 10;
   std::uint64_t seed = 1;
-  CLI::App app{"The accord of the fleet in virtual time", "reedspindle-bench-consistency"};
-  app.add_option("--fronts", fronts);
+  CLI::App app{"Measures the consistency module in virtual time", "reedspindle-bench-consistency"};
+  app.add_option("--fronts", instances);
   app.add_option("--seed", seed);
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, count, arguments);
 
-  Fleet all(fronts, seed);
-  VirtualFleet& fleet = all.fleet;
-  std::cout << fmt::format("{} fronts\nstarted together, all in accord after {:.1f} s\n", fronts,
-                           all.until_accord(1));
-  all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
+  Simulation simulation(instances, seed);
+  VirtualFleet& fleet = simulation.fleet;
+  std::cout << fmt::format("{} instances\nstarted together, all in agreement after {:.1f} s\n", instances,
+                           simulation.until_agreement(1));
+  simulation.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   std::vector<double> sent;
   std::vector<faulttest::Traffic> before;
-  for (int front = 0; front < fronts; ++front) {
-    before.push_back(fleet.consistency_traffic(front));
+  for (int instance = 0; instance < instances; ++instance) {
+    before.push_back(fleet.consistency_traffic(instance));
   }
-  all.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
+  simulation.until(1, [&, from = fleet.now()] { return fleet.now() - from > 20000; });
   double datagrams = 0;
   double bytes = 0;
-  for (int front = 0; front < fronts; ++front) {
-    const faulttest::Traffic now = fleet.consistency_traffic(front);
-    const faulttest::Traffic then = before[Fleet::at(front)];
-    datagrams += static_cast<double>(now.datagrams - then.datagrams) / 20 / fronts;
-    bytes += static_cast<double>(now.bytes - then.bytes) / 20 / fronts;
+  for (int instance = 0; instance < instances; ++instance) {
+    const faulttest::Traffic later = fleet.consistency_traffic(instance);
+    const faulttest::Traffic earlier = before[Simulation::at(instance)];
+    datagrams += static_cast<double>(later.datagrams - earlier.datagrams) / 20 / instances;
+    bytes += static_cast<double>(later.bytes - earlier.bytes) / 20 / instances;
   }
-  std::cout << fmt::format("in quiet {:.1f} datagrams/s, {:.0f} B/s a front\n", datagrams, bytes);
+  std::cout << fmt::format("when idle {:.1f} datagrams/s, {:.0f} B/s per instance\n", datagrams, bytes);
 
-  all.mute(0, true);
-  const auto differs = [&](int front) { return fleet.consistency(front)->view().differences[0].differ > 0; };
-  std::cout << fmt::format("discovery silent to one, a new list: it sees that it differs after {:.1f} s",
-                           all.until(2, [&] { return differs(0); }));
-  std::cout << fmt::format(", doubts who left {:.1f} s later", all.until(2, [&] {
+  simulation.set_discovery_silent(0, true);
+  const auto sees_difference = [&](int instance) {
+    return fleet.consistency(instance)->view().differences[0].differ > 0;
+  };
+  std::cout << fmt::format(
+      "discovery does not answer one instance, new list: it detects the difference after {:.1f} s",
+      simulation.until(2, [&] { return sees_difference(0); }));
+  std::cout << fmt::format(", suspects the removed server {:.1f} s later", simulation.until(2, [&] {
     return !fleet.consistency(0)->view().suspect_servers.empty();
   }));
-  std::cout << fmt::format(", the first of the others sees it {:.1f} s after that\n", all.until(2, [&] {
-    for (int front = 1; front < fronts; ++front) {
-      if (differs(front)) {
-        return true;
-      }
-    }
-    return false;
-  }));
-  all.mute(0, false);
-  std::cout << fmt::format("it speaks again: all in accord after {:.1f} s\n", all.until_accord(2));
+  std::cout << fmt::format(", the first other instance detects it {:.1f} s after that\n",
+                           simulation.until(2, [&] {
+                             for (int instance = 1; instance < instances; ++instance) {
+                               if (sees_difference(instance)) {
+                                 return true;
+                               }
+                             }
+                             return false;
+                           }));
+  simulation.set_discovery_silent(0, false);
+  std::cout << fmt::format("discovery answers again: all in agreement after {:.1f} s\n",
+                           simulation.until_agreement(2));
 
-  // Two fifths without discovery and cut off, a list changes meanwhile.
-  all.cut = true, all.side = fronts * 2 / 5;
-  for (int front = 0; front < all.side; ++front) {
-    all.mute(front, true);
+  // Two fifths of the instances are partitioned from the others and from discovery while a list changes.
+  simulation.partitioned = true, simulation.partition_size = instances * 2 / 5;
+  for (int instance = 0; instance < simulation.partition_size; ++instance) {
+    simulation.set_discovery_silent(instance, true);
   }
-  all.until(3, [&, from = fleet.now()] { return fleet.now() - from > 30000; });
-  int off = 0;
-  for (int front = 0; front < fronts; ++front) {
-    off += fleet.consistency(front)->view().isolated;
+  simulation.until(3, [&, from = fleet.now()] { return fleet.now() - from > 30000; });
+  int isolated_count = 0;
+  for (int instance = 0; instance < instances; ++instance) {
+    isolated_count += fleet.consistency(instance)->view().isolated;
   }
   std::cout << fmt::format(
-      "two fifths cut off, and from discovery, for 30 s: {} of {} hold themselves cut off\n", off, all.side);
-  all.cut = false;
-  std::cout << fmt::format("links heal, discovery stays silent to them: none cut off after {:.1f} s",
-                           all.until(3, [&] {
-                             for (int front = 0; front < fronts; ++front) {
-                               if (fleet.consistency(front)->view().isolated) {
+      "two fifths partitioned, also from discovery, for 30 s: {} of {} consider themselves isolated\n",
+      isolated_count, simulation.partition_size);
+  simulation.partitioned = false;
+  std::cout << fmt::format("links heal, discovery still does not answer them: none isolated after {:.1f} s",
+                           simulation.until(3, [&] {
+                             for (int instance = 0; instance < instances; ++instance) {
+                               if (fleet.consistency(instance)->view().isolated) {
                                  return false;
                                }
                              }
                              return true;
                            }));
-  std::cout << fmt::format(", all of them doubt who left {:.1f} s later\n", all.until(3, [&] {
-    for (int front = 0; front < all.side; ++front) {
-      if (fleet.consistency(front)->view().suspect_servers.empty()) {
-        return false;
-      }
-    }
-    return true;
-  }));
-  for (int front = 0; front < all.side; ++front) {
-    all.mute(front, false);
+  std::cout << fmt::format(", all of them suspect the removed server {:.1f} s later\n",
+                           simulation.until(3, [&] {
+                             for (int instance = 0; instance < simulation.partition_size; ++instance) {
+                               if (fleet.consistency(instance)->view().suspect_servers.empty()) {
+                                 return false;
+                               }
+                             }
+                             return true;
+                           }));
+  for (int instance = 0; instance < simulation.partition_size; ++instance) {
+    simulation.set_discovery_silent(instance, false);
   }
-  std::cout << fmt::format("discovery speaks again: all in accord after {:.1f} s\n", all.until_accord(3));
+  std::cout << fmt::format("discovery answers again: all in agreement after {:.1f} s\n",
+                           simulation.until_agreement(3));
 }
--- a/src/faulttest/virtual_routers.cpp
+++ b/src/faulttest/virtual_routers.cpp
@@ -8,14 +8,14 @@
 namespace reedspindle::faulttest {
 namespace {
 
-constexpr Millis kStep = 5;    // the modules' shortest time between two settles
-constexpr Millis kLook = 250;  // between two looks at all samples
-constexpr std::size_t kSocket = 256;
+constexpr Millis kTick = 5;              // the shortest time between two runs of a router
+constexpr Millis kSamplingPeriod = 250;  // between two readings of the ages of all samples
+constexpr std::size_t kSocketBuffer = 256;
 
-Settings router_settings_in(const Stage& stage, int rank) {
-  Settings values{{"instances", static_cast<double>(stage.fronts)},
+Settings router_settings_in(const FleetOptions& options, int rank) {
+  Settings values{{"instances", static_cast<double>(options.instances)},
                   {"rank", static_cast<double>(rank)},
-                  {"tick", kStep},
+                  {"tick", kTick},
                   {"op_types", 1.0},
                   {"op_type.0.needs", "bounded"},
                   {"op_type.0.effect", "retryable"},
@@ -30,147 +30,154 @@
 
 }  // namespace
 
-VirtualRouters::VirtualRouters(const Stage& stage, std::uint64_t seed)
-    : stage_(stage),
-      fleet_(stage.fronts, membership::Options{}, seed),
+VirtualRouters::VirtualRouters(const FleetOptions& options, std::uint64_t seed)
+    : options_(options),
+      fleet_(options.instances, membership::Options{}, seed),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
-      fronts_(static_cast<std::size_t>(stage.fronts)) {
-  fleet_.link_up = [this](int from, int to) { return cut_.empty() || !cut_.contains({from, to}); };
-  fleet_.set_listeners([this](Millis, int by, const membership::PeerChanged&) { front(by).changed = true; });
+      instances_(static_cast<std::size_t>(options.instances)) {
+  fleet_.link_up = [this](int from, int to) {
+    return blocked_links_.empty() || !blocked_links_.contains({from, to});
+  };
+  fleet_.set_listeners([this](Millis, int at_instance, const membership::PeerChanged&) {
+    instance(at_instance).view_changed = true;
+  });
 }
 
-EndpointListReceived VirtualRouters::list() const {
-  EndpointListReceived read{EndpointListKind::complete, {}};
-  for (int group = 0; group < stage_.groups; ++group) {
-    for (int member = 0; member < stage_.members; ++member) {
+EndpointListReceived VirtualRouters::endpoint_list() const {
+  EndpointListReceived list{EndpointListKind::complete, {}};
+  for (int group = 0; group < options_.groups; ++group) {
+    for (int member = 0; member < options_.group_size; ++member) {
       ServerEntry entry;
       entry.id = {fmt::format("g{}m{}", group, member)};
       entry.group = {group};
-      read.servers.push_back(entry);
+      list.servers.push_back(entry);
     }
   }
-  return read;
+  return list;
 }
 
-void VirtualRouters::start(int number) {
-  Front& front = this->front(number);
-  front.router = make_router(router_settings_in(stage_, number), random_());
-  ++front.life, front.stopped = false, front.changed = true;
-  front.waiting.clear();
-  front.waiting.emplace_back(std::in_place_type<EndpointListReceived>, list());
-  fleet_.start(number);
+void VirtualRouters::start(int index) {
+  Instance& instance = this->instance(index);
+  instance.router = make_router(router_settings_in(options_, index), random_());
+  ++instance.generation, instance.paused = false, instance.view_changed = true;
+  instance.pending.clear();
+  instance.pending.emplace_back(std::in_place_type<EndpointListReceived>, endpoint_list());
+  fleet_.start(index);
 }
 
-void VirtualRouters::kill(int number) {
-  front(number).router.reset();
-  fleet_.kill(number);
+void VirtualRouters::kill(int index) {
+  instance(index).router.reset();
+  fleet_.kill(index);
 }
 
-void VirtualRouters::stop(int number) {
-  front(number).stopped = true;
-  fleet_.pause(number);
+void VirtualRouters::pause(int index) {
+  instance(index).paused = true;
+  fleet_.pause(index);
 }
 
-void VirtualRouters::wake(int number) {
-  front(number).stopped = false;
-  fleet_.resume(number);
+void VirtualRouters::resume(int index) {
+  instance(index).paused = false;
+  fleet_.resume(index);
 }
 
-void VirtualRouters::due(Millis at, int number, Event event) {
-  due_.push({at, ++order_, number, front(number).life, std::move(event)});
+void VirtualRouters::schedule(Millis at, int index, Event event) {
+  schedule_.push({at, ++sequence_, index, instance(index).generation, std::move(event)});
 }
 
-void VirtualRouters::settle(int number) {
-  Front& front = this->front(number);
+void VirtualRouters::run_router(int index) {
+  Instance& instance = this->instance(index);
   const Millis now = fleet_.now();
-  if (std::exchange(front.changed, false) && stage_.by_view) {
-    FleetViewChanged among;
-    for (const SlotId place : membership::alive_peers(fleet_.view(number))) {
-      among.alive_peers.insert(place.number);
+  if (std::exchange(instance.view_changed, false) && options_.use_membership_view) {
+    FleetViewChanged view;
+    for (const SlotId slot : membership::alive_peers(fleet_.view(index))) {
+      view.alive_peers.insert(slot.number);
     }
-    const Event event(std::in_place_type<FleetViewChanged>, std::move(among));
-    front.router->enqueue(event);
+    const Event event(std::in_place_type<FleetViewChanged>, std::move(view));
+    instance.router->enqueue(event);
   }
-  for (Event& event : std::exchange(front.waiting, {})) {
-    front.router->enqueue(event);
+  for (Event& event : std::exchange(instance.pending, {})) {
+    instance.router->enqueue(event);
   }
-  for (const Decision& decision : front.router->process(now)) {
+  for (const Decision& decision : instance.router->process(now)) {
     if (const auto* probe = std::get_if<reedspindle::StartProbe>(&decision)) {
       ++probes_;
       const bool primary = probe->server.address.ends_with("m0");
-      ProbeCompleted ended{probe->server, true, stage_.answer, {}};
-      const Millis at = now + stage_.answer * (1 + chance());
-      ended.sample = {primary ? Role::primary : Role::replica, primary ? at : at - stage_.lag, 0.3};
-      due(at, number, std::move(ended));
-    } else if (const auto* wake = std::get_if<SetTimer>(&decision)) {
-      due(wake->at, number, TimerExpired{wake->timer});
-    } else if (const auto* words = std::get_if<BroadcastToPeers>(&decision)) {
-      ++words_;
-      for (int other = 0; other < stage_.fronts; ++other) {
-        if (other == number || !this->front(other).router || cut_.contains({number, other})) {
+      ProbeCompleted completed{probe->server, true, options_.probe_latency, {}};
+      const Millis at = now + options_.probe_latency * (1 + random_fraction());
+      completed.sample = {primary ? Role::primary : Role::replica,
+                          primary ? at : at - options_.replication_lag, 0.3};
+      schedule(at, index, std::move(completed));
+    } else if (const auto* timer = std::get_if<SetTimer>(&decision)) {
+      schedule(timer->at, index, TimerExpired{timer->timer});
+    } else if (const auto* message = std::get_if<BroadcastToPeers>(&decision)) {
+      ++broadcasts_;
+      for (int other = 0; other < options_.instances; ++other) {
+        if (other == index || !this->instance(other).router || blocked_links_.contains({index, other})) {
           continue;
         }
-        if (fleet_.network.loss > 0 && chance() < fleet_.network.loss) {
+        if (fleet_.network.loss > 0 && random_fraction() < fleet_.network.loss) {
           continue;
         }
-        due(now + fleet_.network.delay + fleet_.network.jitter * chance(), other,
-            PeerMessageReceived{number, words->text});
+        schedule(now + fleet_.network.delay + fleet_.network.jitter * random_fraction(), other,
+                 PeerMessageReceived{index, message->text});
       }
     }
   }
 }
 
-Probing VirtualRouters::run(Millis span) {
+ProbeStatistics VirtualRouters::run(Millis duration) {
   const Millis from = fleet_.now();
   const std::uint64_t probes = probes_;
-  const std::uint64_t words = words_;
-  Millis next_look = from + kLook;
+  const std::uint64_t broadcasts = broadcasts_;
+  Millis next_sample = from + kSamplingPeriod;
   std::vector<Millis> ages;
-  while (fleet_.now() < from + span) {
-    fleet_.run(kStep);
+  while (fleet_.now() < from + duration) {
+    fleet_.run(kTick);
     const Millis now = fleet_.now();
-    while (!due_.empty() && due_.top().at <= now) {
-      const Due due = due_.top();
-      due_.pop();
-      Front& front = this->front(due.front);
-      if (!front.router || front.life != due.life) {
+    while (!schedule_.empty() && schedule_.top().at <= now) {
+      const ScheduledEvent scheduled = schedule_.top();
+      schedule_.pop();
+      Instance& instance = this->instance(scheduled.instance);
+      if (!instance.router || instance.generation != scheduled.generation) {
         continue;
       }
-      if (!front.stopped || front.waiting.size() < kSocket) {
-        front.waiting.push_back(due.event);
+      if (!instance.paused || instance.pending.size() < kSocketBuffer) {
+        instance.pending.push_back(scheduled.event);
       }
     }
-    for (int number = 0; number < stage_.fronts; ++number) {
-      Front& front = this->front(number);
-      if (front.router && !front.stopped && (front.changed || !front.waiting.empty())) {
-        settle(number);
+    for (int index = 0; index < options_.instances; ++index) {
+      Instance& instance = this->instance(index);
+      if (instance.router && !instance.paused && (instance.view_changed || !instance.pending.empty())) {
+        run_router(index);
       }
     }
-    if (now < next_look) {
+    if (now < next_sample) {
       continue;
     }
-    next_look += kLook;
-    for (Front& front : fronts_) {
-      if (front.router && !front.stopped) {
-        for (const ServerView& member : front.router->view()) {
-          ages.push_back(member.sampled_at < 0 ? span : now - member.sampled_at);
+    next_sample += kSamplingPeriod;
+    for (Instance& instance : instances_) {
+      if (instance.router && !instance.paused) {
+        for (const ServerView& member : instance.router->view()) {
+          ages.push_back(member.sampled_at < 0 ? duration : now - member.sampled_at);
         }
       }
     }
   }
-  const double seconds = span / 1000;
-  Probing probing;
-  probing.probes = static_cast<double>(probes_ - probes) / seconds / (stage_.groups * stage_.members);
-  probing.words = static_cast<double>(words_ - words) / seconds;
+  const double seconds = duration / 1000;
+  ProbeStatistics statistics;
+  statistics.probes =
+      static_cast<double>(probes_ - probes) / seconds / (options_.groups * options_.group_size);
+  statistics.broadcasts = static_cast<double>(broadcasts_ - broadcasts) / seconds;
   std::ranges::sort(ages);
   if (ages.empty()) {
-    return probing;
+    return statistics;
   }
-  probing.median = ages[ages.size() / 2], probing.p99 = ages[ages.size() * 99 / 100];
-  probing.longest = ages.back();
-  probing.unusable = static_cast<double>(std::ranges::count_if(ages, [](Millis age) { return age > 1000; })) /
-                     static_cast<double>(ages.size());
-  return probing;
+  statistics.median_age = ages[ages.size() / 2], statistics.p99_age = ages[ages.size() * 99 / 100];
+  statistics.max_age = ages.back();
+  statistics.stale_fraction =
+      static_cast<double>(std::ranges::count_if(ages, [](Millis age) { return age > 1000; })) /
+      static_cast<double>(ages.size());
+  return statistics;
 }
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/virtual_routers.hpp
+++ b/src/faulttest/virtual_routers.hpp
@@ -1,6 +1,6 @@
-// Many fronts' decision modules in virtual time, with their membership beside them: who probes which store,
-// what is told of it, and how old the samples are that ops are steered by. TestStores answer probes; no ops
-// yet. One thread, one seed, the same run each time.
+// Simulates the routers and the membership of many instances in virtual time: which instance probes which
+// server, how samples are broadcast, and how old the samples are by which requests are routed. Simulated
+// servers answer probes; there are no client requests. Runs in one thread; the same seed gives the same run.
 #pragma once
 
 #include <cstdint>
@@ -15,61 +15,66 @@
 
 namespace reedspindle::faulttest {
 
-struct Stage {
-  int fronts = 10, groups = 4, members = 6;  // members of each group, the first is primary
-  bool by_view = false;  // the membership's view is told to the modules; else they go by what they hear
-  Millis answer = 1, lag = 20;  // of a probe; of a replica
+// A group has group_size servers, the first of which is the primary. Without use_membership_view, routers are
+// not told the membership view and go by the broadcasts that they receive. replication_lag is that of
+// replicas.
+struct FleetOptions {
+  int instances = 10, groups = 4, group_size = 6;
+  bool use_membership_view = false;
+  Millis probe_latency = 1, replication_lag = 20;
 };
 
-// Of a span of time.
-struct Probing {
-  double probes = 0;                        // a second and store
-  double words = 0;                         // texts to all, a second, of all fronts
-  Millis median = 0, p99 = 0, longest = 0;  // ages of samples, over live fronts and stores
-  double unusable = 0;                      // share of them over a second old, by which no read may go
+// Figures of one run().
+struct ProbeStatistics {
+  double probes = 0;                                // per second and server
+  double broadcasts = 0;                            // per second, of all instances
+  Millis median_age = 0, p99_age = 0, max_age = 0;  // of samples, over running instances and servers
+  double stale_fraction = 0;  // fraction of samples over a second old, which are too old for any read
 };
 
 class VirtualRouters {
  public:
-  VirtualRouters(const Stage& stage, std::uint64_t seed);
+  VirtualRouters(const FleetOptions& options, std::uint64_t seed);
 
-  void start(int front);
-  void kill(int front);
-  void stop(int front);
-  void wake(int front);
-  // Links between fronts, membership and words alike.
-  void cut(int from, int to) { cut_.insert({from, to}), cut_.insert({to, from}); }
-  void heal() { cut_.clear(); }
-  void loss(double share) { fleet_.network.loss = share; }
-  Probing run(Millis span);
+  void start(int instance);
+  void kill(int instance);
+  void pause(int instance);
+  void resume(int instance);
+  // Blocks the link between two instances in both directions, for membership and broadcasts.
+  void block_link(int from, int to) { blocked_links_.insert({from, to}), blocked_links_.insert({to, from}); }
+  void heal() { blocked_links_.clear(); }
+  void set_loss(double fraction) { fleet_.network.loss = fraction; }
+  ProbeStatistics run(Millis duration);
 
  private:
-  struct Front {
+  struct Instance {
     std::unique_ptr<Router> router;
-    int life = 0;
-    bool stopped = false, changed = false;  // changed: its membership's view
-    std::vector<Event> waiting;
+    int generation = 0;
+    bool paused = false, view_changed = false;  // view_changed: of its membership
+    std::vector<Event> pending;
   };
-  struct Due {
+  struct ScheduledEvent {
     Millis at = 0;
-    std::uint64_t order = 0;
-    int front = 0, life = 0;
+    std::uint64_t sequence = 0;
+    int instance = 0, generation = 0;
     Event event;
-    bool operator>(const Due& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
+    bool operator>(const ScheduledEvent& other) const {
+      return std::pair(at, sequence) > std::pair(other.at, other.sequence);
+    }
   };
-  Front& front(int number) { return fronts_.at(static_cast<std::size_t>(number)); }
-  double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
-  [[nodiscard]] EndpointListReceived list() const;
-  void settle(int number);
-  void due(Millis at, int number, Event event);
+  Instance& instance(int index) { return instances_.at(static_cast<std::size_t>(index)); }
+  double random_fraction() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
+  [[nodiscard]] EndpointListReceived endpoint_list() const;
+  void run_router(int index);
+  void schedule(Millis at, int index, Event event);
 
-  const Stage stage_;
+  const FleetOptions options_;
   VirtualFleet fleet_;
   std::minstd_rand random_;
-  std::vector<Front> fronts_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::set<std::pair<int, int>> cut_;
-  std::uint64_t order_ = 0, probes_ = 0, words_ = 0;
+  std::vector<Instance> instances_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> schedule_;
+  std::set<std::pair<int, int>> blocked_links_;
+  std::uint64_t sequence_ = 0, probes_ = 0, broadcasts_ = 0;
 };
 
 }  // namespace reedspindle::faulttest
