--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -13,22 +13,22 @@
 
 using Json = nlohmann::json;
 
-// Roles in the rig's own addresses.
-constexpr int kGates = 96, kStandIns = 128;
-constexpr std::size_t kUnderway = 1000;  // connections of discovery's whose answers are waited for
+// Roles of local addresses.
+constexpr int kRelayRole = 96, kServerRole = 128;
+constexpr std::size_t kMaxTrackedConnections = 1000;  // connections to discovery with responses in transit
 
-std::vector<Endpoint> places_of(int count, const TestEnvironment::Own& own) {
-  std::vector<Endpoint> places;
-  for (int store = 0; store < count; ++store) {
-    places.push_back(own(kStandIns, store));
+std::vector<Endpoint> server_addresses(int count, const TestEnvironment::AddressAllocator& allocate_address) {
+  std::vector<Endpoint> addresses;
+  for (int server = 0; server < count; ++server) {
+    addresses.push_back(allocate_address(kServerRole, server));
   }
-  return places;
+  return addresses;
 }
 
-double ns(Millis span) { return span * 1e6; }
+double to_nanoseconds(Millis duration) { return duration * 1e6; }
 
-// The settings object, in the words of the platform.
-Json settings_of(const Plan& plan, int front) {
+// The settings of an instance in the platform's format.
+Json instance_settings(const Plan& plan, int instance) {
   Json types = Json::array();
   Json needs = Json::array();
   Json bounds = Json::array();
@@ -38,20 +38,20 @@
                      {"effect", op.effect == Effect::tokened     ? "by_key"
                                 : op.effect == Effect::retryable ? "repeatable"
                                                                  : "once"},
-                     {"goalTime", ns(plan.clients.latency_target)},
-                     {"deadline", ns(plan.clients.request_timeout)},
+                     {"goalTime", to_nanoseconds(plan.clients.latency_target)},
+                     {"deadline", to_nanoseconds(plan.clients.request_timeout)},
                      {"keyScope", "cell"},
-                     {"dedupWindow", ns(plan.work.token_memory)},
+                     {"dedupWindow", to_nanoseconds(plan.work.token_memory)},
                      {"importance", 1}});
     needs.push_back(op.needs == Needs::write     ? "update"
                     : op.needs == Needs::session ? "own_writes"
                     : op.needs == Needs::bounded ? "recent"
                                                  : "loose");
-    bounds.push_back(ns(op.bound));
+    bounds.push_back(to_nanoseconds(op.bound));
   }
   return {{"nInstances", plan.fronts},
-          {"rank", front},
-          {"quantum", ns(5)},
+          {"rank", instance},
+          {"quantum", to_nanoseconds(5)},
           {"discovery", "push"},
           {"requestClasses", types},
           {"familyInfo",
@@ -64,126 +64,133 @@
           {"report", {{"how", "pull"}}},
           {"ceilings",
            {{"cancel", true},
-            {"connIdle", ns(30000)},
-            {"connectTimeout", ns(250)},
+            {"connIdle", to_nanoseconds(30000)},
+            {"connectTimeout", to_nanoseconds(250)},
             {"maxAttempts", 6},
             {"maxOpen", 20000},
-            {"maxRetryAfter", ns(1000)},
+            {"maxRetryAfter", to_nanoseconds(1000)},
             {"mayTell", plan.fronts > 1},
             {"probes", true},
             {"retryAfter", true}}},
           {"rules",
-           {{"stopSendingWithin", ns(plan.terms.drain_grace)},
-            {"graceToAnswer", ns(20)},
+           {{"stopSendingWithin", to_nanoseconds(plan.terms.drain_grace)},
+            {"graceToAnswer", to_nanoseconds(20)},
             {"coldFrom", plan.terms.slow_start_minimum},
-            {"warmWithin", ns(plan.terms.slow_start_window)},
+            {"warmWithin", to_nanoseconds(plan.terms.slow_start_window)},
             {"fallMultiple", plan.terms.slow_start_multiple},
-            {"fall", ns(plan.terms.overload_window)}}}};
+            {"fall", to_nanoseconds(plan.terms.overload_window)}}}};
 }
 
 }  // namespace
 
 TestEnvironment::TestEnvironment(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
-                                 const Plan& plan, const std::vector<Endpoint>& fronts, const Own& own)
+                                 const Plan& plan, const std::vector<Endpoint>& listen_addresses,
+                                 const AddressAllocator& allocate_address)
     : plan_(plan),
       clock_(clock),
-      rules_(plan.terms),
+      checker_(plan.terms),
       streams_(io, timers, clock, plan.seed),
-      stores_(io, timers, clock, places_of(plan.stores, own), plan.work, plan.seed),
-      met_at_([&] {
-        std::vector<Endpoint> met;
-        for (int front = 0; front < plan.fronts; ++front) {
-          met.push_back(own(kGates, front * each() + plan.stores + 1));
+      stores_(io, timers, clock, server_addresses(plan.stores, allocate_address), plan.work, plan.seed),
+      client_addresses_([&] {
+        std::vector<Endpoint> addresses;
+        for (int instance = 0; instance < plan.fronts; ++instance) {
+          addresses.push_back(
+              allocate_address(kRelayRole, instance * relays_per_instance() + plan.stores + 1));
         }
-        return met;
+        return addresses;
       }()),
-      clients_(io, timers, clock, streams_, rules_, met_at_, plan.groups, plan.clients, plan.seed),
-      sends_to_(static_cast<std::size_t>(plan.stores)) {
-  for (int store = 0; store < plan.stores; ++store) {
-    StoreState& state = stores_.state(store);
-    state.group = store % plan.groups, state.primary = store < plan.groups, state.lag = plan.lag;
+      clients_(io, timers, clock, streams_, checker_, client_addresses_, plan.groups, plan.clients,
+               plan.seed),
+      sends_by_server_(static_cast<std::size_t>(plan.stores)) {
+  for (int server = 0; server < plan.stores; ++server) {
+    StoreState& state = stores_.state(server);
+    state.group = server % plan.groups, state.primary = server < plan.groups, state.lag = plan.lag;
   }
-  for (int front = 0; front < plan.fronts; ++front) {
-    agents_.push_back(std::make_unique<TestDiscovery>(
-        io, timers, clock, own(kStandIns, plan.stores + front),
-        [this, front](long long) { return list_of(front); },
-        [this, front](const Endpoint& to, std::size_t bytes, long long) {
-          // What never arrived, for its connection broke, is forgotten with the oldest.
-          if (underway_.size() > kUnderway) {
-            underway_.erase(underway_.begin());
+  for (int instance = 0; instance < plan.fronts; ++instance) {
+    discoveries_.push_back(std::make_unique<TestDiscovery>(
+        io, timers, clock, allocate_address(kServerRole, plan.stores + instance),
+        [this, instance](long long) { return discovery_list(instance); },
+        [this, instance](const Endpoint& to, std::size_t bytes, long long) {
+          // Responses that never arrive because their connection broke are evicted here.
+          if (responses_in_transit_.size() > kMaxTrackedConnections) {
+            responses_in_transit_.erase(responses_in_transit_.begin());
           }
-          underway_[to].push_back({bytes, front, listed()});
+          responses_in_transit_[to].push_back({bytes, instance, list_servers()});
         }));
-    std::vector<Endpoint>& seen = seen_at_.emplace_back();
-    for (int store = 0; store < plan.stores; ++store) {
-      seen.push_back(own(kGates, front * each() + store));
-      streams_.open(seen.back(), stores_.at(store));
+    std::vector<Endpoint>& addresses = upstream_addresses_.emplace_back();
+    for (int server = 0; server < plan.stores; ++server) {
+      addresses.push_back(allocate_address(kRelayRole, instance * relays_per_instance() + server));
+      streams_.open(addresses.back(), stores_.at(server));
     }
-    seen.push_back(own(kGates, front * each() + plan.stores));
-    streams_.open(seen.back(), agents_.back()->at());
-    streams_.open(met_at_[static_cast<std::size_t>(front)], fronts[static_cast<std::size_t>(front)]);
+    addresses.push_back(allocate_address(kRelayRole, instance * relays_per_instance() + plan.stores));
+    streams_.open(addresses.back(), discoveries_.back()->at());
+    streams_.open(client_addresses_[static_cast<std::size_t>(instance)],
+                  listen_addresses[static_cast<std::size_t>(instance)]);
   }
-  stores_.on(
-      [this](const RequestExecuted& done) { carried_out(done); },
-      [this](int store, const std::string& op, const Endpoint& from) {
-        ++sends_to_[static_cast<std::size_t>(store)];
-        if (const auto crossing = streams_.crossing(from)) {
-          rules_.record(invariants::RequestSent{op, {crossing->gate / each()}, {store}, crossing->to.read});
-        }
-      });
+  stores_.on([this](const RequestExecuted& execution) { record_execution(execution); },
+             [this](int server, const std::string& op, const Endpoint& from) {
+               ++sends_by_server_[static_cast<std::size_t>(server)];
+               if (const auto crossing = streams_.crossing(from)) {
+                 checker_.record(invariants::RequestSent{
+                     op, {crossing->gate / relays_per_instance()}, {server}, crossing->to.read});
+               }
+             });
   streams_.on([this](const Streams::Passed& passed) {
     clients_.passed(passed);
-    const auto answers = passed.back ? underway_.find(passed.target) : underway_.end();
-    if (answers == underway_.end()) {
+    const auto responses =
+        passed.back ? responses_in_transit_.find(passed.target) : responses_in_transit_.end();
+    if (responses == responses_in_transit_.end()) {
       return;
     }
-    while (!answers->second.empty() && answers->second.front().bytes <= passed.given) {
-      told(answers->second.front().front, answers->second.front().listed, passed.at);
-      answers->second.pop_front();
+    while (!responses->second.empty() && responses->second.front().bytes <= passed.given) {
+      record_listing(responses->second.front().instance, responses->second.front().listings, passed.at);
+      responses->second.pop_front();
     }
-    if (answers->second.empty()) {
-      underway_.erase(answers);
+    if (responses->second.empty()) {
+      responses_in_transit_.erase(responses);
     }
   });
-  first_ = Json::array();
-  for (int front = 0; front < plan.fronts; ++front) {
-    first_.push_back(Json::parse(list_of(front).list));
+  initial_lists_ = Json::array();
+  for (int instance = 0; instance < plan.fronts; ++instance) {
+    initial_lists_.push_back(Json::parse(discovery_list(instance).list));
   }
 }
 
-nlohmann::json TestEnvironment::placement_of(int front) const {
-  const auto at = static_cast<std::size_t>(front);
-  return {{"discovery", config::format_endpoint(seen_at_[at].back())},
-          {"known", first_[at]},
-          {"settings", settings_of(plan_, front)}};
+nlohmann::json TestEnvironment::placement_of(int instance) const {
+  const auto at = static_cast<std::size_t>(instance);
+  return {{"discovery", config::format_endpoint(upstream_addresses_[at].back())},
+          {"known", initial_lists_[at]},
+          {"settings", instance_settings(plan_, instance)}};
 }
 
-std::vector<TestEnvironment::Listed> TestEnvironment::listed() const {
-  std::vector<Listed> all;
-  for (int store = 0; store < plan_.stores; ++store) {
-    const StoreState& state = stores_.state(store);
-    all.push_back({store, state.listed && !state.draining, state.booted});
+std::vector<TestEnvironment::ServerListing> TestEnvironment::list_servers() const {
+  std::vector<ServerListing> all;
+  for (int server = 0; server < plan_.stores; ++server) {
+    const StoreState& state = stores_.state(server);
+    all.push_back({server, state.listed && !state.draining, state.booted});
   }
   return all;
 }
 
-void TestEnvironment::told(int front, const std::vector<Listed>& listed, Millis at) {
-  for (const Listed& one : listed) {
-    rules_.record(invariants::ListingDelivered{{front}, {one.store}, one.wanted, one.booted, at});
+void TestEnvironment::record_listing(int instance, const std::vector<ServerListing>& listings, Millis at) {
+  for (const ServerListing& entry : listings) {
+    checker_.record(invariants::ListingDelivered{
+        {instance}, {entry.server}, entry.accepts_requests, entry.started_at, at});
   }
 }
 
-TestDiscovery::Now TestEnvironment::list_of(int front) const {
+TestDiscovery::Now TestEnvironment::discovery_list(int instance) const {
   Json targets = Json::array();
-  for (int store = 0; store < plan_.stores; ++store) {
-    const StoreState& state = stores_.state(store);
+  for (int server = 0; server < plan_.stores; ++server) {
+    const StoreState& state = stores_.state(server);
     if (!state.listed) {
       continue;
     }
     targets.push_back(
-        {{"uid", fmt::format("s{}", store)},
-         {"endpoint", config::format_endpoint(
-                          seen_at_[static_cast<std::size_t>(front)][static_cast<std::size_t>(store)])},
+        {{"uid", fmt::format("s{}", server)},
+         {"endpoint",
+          config::format_endpoint(
+              upstream_addresses_[static_cast<std::size_t>(instance)][static_cast<std::size_t>(server)])},
          {"pod_group", state.group},
          {"state", state.draining ? "leaving" : "active"},
          {"boot_ms", state.booted}});
@@ -191,77 +198,82 @@
   return {revision_, Json{{"rev", revision_}, {"all", true}, {"targets", targets}}.dump()};
 }
 
-void TestEnvironment::carried_out(const RequestExecuted& done) {
-  const bool effect = done.writes && done.deed == Deed::ran;
+void TestEnvironment::record_execution(const RequestExecuted& execution) {
+  const bool effect = execution.writes && execution.deed == Deed::ran;
   if (effect) {
-    clients_.committed(done.request, done.position);
+    clients_.committed(execution.request, execution.position);
   }
-  if (done.deed != Deed::ran) {
+  if (execution.deed != Deed::ran) {
     return;
   }
-  const auto crossing = streams_.crossing(done.from);
-  rules_.record(invariants::RequestProcessed{done.request,
-                                             {done.store},
-                                             done.token,
-                                             effect,
-                                             crossing ? crossing->to.read : done.came,
-                                             done.position});
+  const auto crossing = streams_.crossing(execution.from);
+  checker_.record(invariants::RequestProcessed{execution.request,
+                                               {execution.store},
+                                               execution.token,
+                                               effect,
+                                               crossing ? crossing->to.read : execution.came,
+                                               execution.position});
 }
 
-std::vector<int> TestEnvironment::gates(const Step& step) const {
+std::vector<int> TestEnvironment::selected_relays(const Step& step) const {
   std::vector<int> all;
-  for (const int front : step.fronts) {
-    for (const int store : step.stores) {
-      all.push_back(gate(front, store));
+  for (const int instance : step.fronts) {
+    for (const int server : step.stores) {
+      all.push_back(relay_index(instance, server));
     }
     if (step.with.contains("discovery")) {
-      all.push_back(gate(front, plan_.stores));
+      all.push_back(relay_index(instance, plan_.stores));
     }
     if (step.with.contains("clients")) {
-      all.push_back(gate(front, plan_.stores + 1));
+      all.push_back(relay_index(instance, plan_.stores + 1));
     }
   }
   return all;
 }
 
-// Of each link between the fronts and the others: first what the fronts say, then what they hear. Clients
-// open their links themselves, so there it is the other way round.
-template <typename Change>
-void TestEnvironment::ways(const Step& step, Change change) {
-  for (const int gate : gates(step)) {
-    const bool of_clients = gate % each() == plan_.stores + 1;
-    change(of_clients ? streams_.back(gate) : streams_.to(gate),
-           of_clients ? streams_.to(gate) : streams_.back(gate));
+// Calls the function for each selected link with the direction from the instance first and the direction to
+// it second. Clients open their connections themselves, so on their links the directions of the relay are
+// swapped.
+template <typename Function>
+void TestEnvironment::for_each_link(const Step& step, Function apply) {
+  for (const int relay_index : selected_relays(step)) {
+    const bool towards_instance = relay_index % relays_per_instance() == plan_.stores + 1;
+    apply(towards_instance ? streams_.back(relay_index) : streams_.to(relay_index),
+          towards_instance ? streams_.to(relay_index) : streams_.back(relay_index));
   }
 }
 
-void TestEnvironment::strike(const Step& step) {
+void TestEnvironment::apply_fault(const Step& step) {
   if (step.fault.starts_with("cut")) {
-    ways(step, [&](Way& out, Way& in) {
+    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
       if (step.fault != "cut-back") {
-        out.cut = true;
+        from_instance.cut = true;
       }
       if (step.fault != "cut-one-way") {
-        in.cut = true;
+        to_instance.cut = true;
       }
     });
   }
   if (step.fault == "slow") {
-    ways(step, [&](Way& out, Way& in) { out.by = in.by = step.by, out.jitter = in.jitter = step.jitter; });
+    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
+      from_instance.by = to_instance.by = step.by, from_instance.jitter = to_instance.jitter = step.jitter;
+    });
   }
   if (step.fault == "limit") {
-    ways(step, [&](Way& out, Way& in) { out.rate = in.rate = step.rate; });
+    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
+      from_instance.rate = to_instance.rate = step.rate;
+    });
   }
   if (step.fault == "reset") {
-    for (const int gate : gates(step)) {
-      streams_.reset(gate);
+    for (const int relay_index : selected_relays(step)) {
+      streams_.reset(relay_index);
     }
   }
   if (step.fault.starts_with("discovery-")) {
-    for (const int front : step.fronts) {
-      agents_[static_cast<std::size_t>(front)]->be_silent(step.fault == "discovery-silent");
+    for (const int instance : step.fronts) {
+      discoveries_[static_cast<std::size_t>(instance)]->be_silent(step.fault == "discovery-silent");
       if (step.fault == "discovery-speaks") {
-        agents_[static_cast<std::size_t>(front)]->changed();
+        discoveries_[static_cast<std::size_t>(instance)]->changed();
       }
     }
   }
@@ -270,17 +282,17 @@
     return;
   }
 
-  bool listed = false;
-  for (const int store : step.stores) {
-    StoreState& state = stores_.state(store);
-    state.reached = stores_.position(store);
+  bool list_changed = false;
+  for (const int server : step.stores) {
+    StoreState& state = stores_.state(server);
+    state.reached = stores_.position(server);
     if (step.fault == "fall") {
-      stores_.fall(store);
+      stores_.fall(server);
     }
     if (step.fault == "rise") {
-      stores_.rise(store);
-      rules_.record(invariants::ServerStarted{{store}, state.booted});
-      listed = true;
+      stores_.rise(server);
+      checker_.record(invariants::ServerStarted{{server}, state.booted});
+      list_changed = true;
     }
     if (step.fault == "hang") {
       state.answers = false;
@@ -295,70 +307,72 @@
       state.lag = step.by;
     }
     if (step.fault == "stall") {
-      state.stalled_at = stores_.position(store);
+      state.stalled_at = stores_.position(server);
     }
     if (step.fault == "promote") {
-      for (int other = 0; other < plan_.stores; ++other) {
-        if (stores_.state(other).group != state.group) {
+      for (int peer = 0; peer < plan_.stores; ++peer) {
+        if (stores_.state(peer).group != state.group) {
           continue;
         }
-        stores_.state(other).reached = stores_.position(other);
-        stores_.state(other).primary = other == store;
+        stores_.state(peer).reached = stores_.position(peer);
+        stores_.state(peer).primary = peer == server;
       }
     }
     if (step.fault == "drain") {
-      state.draining = listed = true;
+      state.draining = list_changed = true;
     }
     if (step.fault == "unlist") {
-      state.listed = false, listed = true;
+      state.listed = false, list_changed = true;
     }
     if (step.fault == "enlist") {
-      state.listed = listed = true, state.draining = false;
+      state.listed = list_changed = true, state.draining = false;
     }
   }
-  if (!listed) {
+  if (!list_changed) {
     return;
   }
   ++revision_;
-  for (const auto& agent : agents_) {
-    agent->changed();
+  for (const auto& discovery : discoveries_) {
+    discovery->changed();
   }
 }
 
 void TestEnvironment::heal() { streams_.heal(); }
 
-void TestEnvironment::begin() {
-  if (plan_.clients.rate <= 0 || std::exchange(begun_, true)) {
+void TestEnvironment::start_clients() {
+  if (plan_.clients.rate <= 0 || std::exchange(clients_started_, true)) {
     return;
   }
   clients_.begin();
 }
 
-std::vector<invariants::Violation> TestEnvironment::settle() { return rules_.check(clock_.now()); }
+std::vector<invariants::Violation> TestEnvironment::check_invariants() {
+  return checker_.check(clock_.now());
+}
 
-std::uint64_t TestEnvironment::Asked::sends() const {
-  return std::accumulate(sends_to.begin(), sends_to.end(), std::uint64_t{0});
+std::uint64_t TestEnvironment::Counters::total_sends() const {
+  return std::accumulate(sends_by_server.begin(), sends_by_server.end(), std::uint64_t{0});
 }
 
-TestEnvironment::Asked TestEnvironment::asked() const {
-  Asked asked{stores_.probes(), 0, sends_to_};
-  for (const auto& agent : agents_) {
-    asked.calls += agent->calls();
+TestEnvironment::Counters TestEnvironment::counters() const {
+  Counters result{stores_.probes(), 0, sends_by_server_};
+  for (const auto& discovery : discoveries_) {
+    result.discovery_requests += discovery->calls();
   }
-  return asked;
+  return result;
 }
 
-int TestEnvironment::connections(int store, const std::set<int>& without) const {
+int TestEnvironment::connections(int server, const std::set<int>& paused_instances) const {
   int sum = 0;
-  for (int front = 0; front < plan_.fronts; ++front) {
-    if (!without.contains(front)) {
-      sum += streams_.open_at(gate(front, store));
+  for (int instance = 0; instance < plan_.fronts; ++instance) {
+    if (!paused_instances.contains(instance)) {
+      sum += streams_.open_at(relay_index(instance, server));
     }
   }
   return sum;
 }
 
-Tally TestEnvironment::between(Millis from, Millis to) const {
+Tally TestEnvironment::tally_between(Millis from, Millis to) const {
   Tally sum;
   sum.at = from;
   for (const Tally& tally : clients_.tallies()) {
--- a/src/faulttest/environment.hpp
+++ b/src/faulttest/environment.hpp
@@ -1,5 +1,6 @@
-// What stands round the fronts of the rig: stores, discovery (an agent a front), clients, the links to all of
-// them, and the checker of the rules that sees what crosses those links.
+// The environment of the proxy instances under test: simulated servers, clients and discovery (one per
+// instance), relays on all connections to them, and the invariant checker that observes what crosses these
+// connections.
 #pragma once
 
 #include <asio.hpp>
@@ -22,73 +23,76 @@
 
 class TestEnvironment {
  public:
-  // An address of the rig's own for a role and a number in it.
-  using Own = std::function<Endpoint(int role, int number)>;
+  // Returns the local address for a role and a number within it.
+  using AddressAllocator = std::function<Endpoint(int role, int number)>;
 
-  // Fronts by where they listen for clients.
+  // listen_addresses: where the instances listen for clients.
   TestEnvironment(asio::io_context& io, net::Timers& timers, const net::Clock& clock, const Plan& plan,
-                  const std::vector<Endpoint>& fronts, const Own& own);
+                  const std::vector<Endpoint>& listen_addresses, const AddressAllocator& allocate_address);
 
-  // What a front's placement says of them: discovery, known, settings.
-  [[nodiscard]] nlohmann::json placement_of(int front) const;
-  void strike(const Step& step);
+  // The part of an instance's placement file that describes the environment: discovery, known and settings.
+  [[nodiscard]] nlohmann::json placement_of(int instance) const;
+  void apply_fault(const Step& step);
   void heal();
-  void enqueue(invariants::Event event) { rules_.record(std::move(event)); }
-  // Clients begin, once.
-  void begin();
-  void rest() { clients_.rest(); }
-  [[nodiscard]] bool asking() const { return begun_; }
-  std::vector<invariants::Violation> settle();
+  void enqueue(invariants::Event event) { checker_.record(std::move(event)); }
+  // Starts the clients on the first call.
+  void start_clients();
+  void stop_clients() { clients_.rest(); }
+  [[nodiscard]] bool clients_started() const { return clients_started_; }
+  std::vector<invariants::Violation> check_invariants();
   [[nodiscard]] const std::deque<Tally>& tallies() const { return clients_.tallies(); }
-  // Ops that were meant for a span of time and are over.
-  [[nodiscard]] Tally between(Millis from, Millis to) const;
-  // Connections that the fronts hold to a store, those left out that stand still.
-  [[nodiscard]] int connections(int store, const std::set<int>& without) const;
-  // By the fronts, since the run began.
-  struct Asked {
-    std::uint64_t probes = 0, calls = 0;  // stores; discovery
-    std::vector<std::uint64_t> sends_to;  // each store
-    [[nodiscard]] std::uint64_t sends() const;
+  // The finished requests whose scheduled send time lies in the given interval.
+  [[nodiscard]] Tally tally_between(Millis from, Millis to) const;
+  // The connections that the instances hold to a server, without those of paused instances.
+  [[nodiscard]] int connections(int server, const std::set<int>& paused_instances) const;
+  // What the instances have sent since the start of the run.
+  struct Counters {
+    std::uint64_t probes = 0, discovery_requests = 0;  // to servers; to discovery
+    std::vector<std::uint64_t> sends_by_server;
+    [[nodiscard]] std::uint64_t total_sends() const;
   };
-  [[nodiscard]] Asked asked() const;
+  [[nodiscard]] Counters counters() const;
   [[nodiscard]] std::size_t open_requests() const { return clients_.open(); }
 
  private:
-  struct Listed {
-    int store = 0;
-    bool wanted = true;
-    Millis booted = 0;
+  struct ServerListing {
+    int server = 0;
+    bool accepts_requests = true;
+    Millis started_at = 0;
   };
-  [[nodiscard]] TestDiscovery::Now list_of(int front) const;
-  [[nodiscard]] std::vector<Listed> listed() const;
-  void told(int front, const std::vector<Listed>& listed, Millis at);
-  void carried_out(const RequestExecuted& done);
-  template <typename Change>
-  void ways(const Step& step, Change change);
-  [[nodiscard]] std::vector<int> gates(const Step& step) const;
-  [[nodiscard]] int each() const { return plan_.stores + 2; }  // gates of a front
-  // As they were opened: to the stores, to discovery, from clients.
-  [[nodiscard]] int gate(int front, int other) const { return front * each() + other; }
+  [[nodiscard]] TestDiscovery::Now discovery_list(int instance) const;
+  [[nodiscard]] std::vector<ServerListing> list_servers() const;
+  void record_listing(int instance, const std::vector<ServerListing>& listings, Millis at);
+  void record_execution(const RequestExecuted& execution);
+  template <typename Function>
+  void for_each_link(const Step& step, Function apply);
+  [[nodiscard]] std::vector<int> selected_relays(const Step& step) const;
+  // One per server, one for discovery, one for clients.
+  [[nodiscard]] int relays_per_instance() const { return plan_.stores + 2; }
+  // Relays are numbered in the order in which they were opened: servers, discovery, clients.
+  [[nodiscard]] int relay_index(int instance, int endpoint) const {
+    return instance * relays_per_instance() + endpoint;
+  }
 
   const Plan& plan_;
   const net::Clock& clock_;
-  invariants::InvariantChecker rules_;
+  invariants::InvariantChecker checker_;
   Streams streams_;
   TestStores stores_;
-  std::vector<std::unique_ptr<TestDiscovery>> agents_;
-  std::vector<std::vector<Endpoint>> seen_at_;  // of each front: where it meets stores and discovery
-  std::vector<Endpoint> met_at_;                // where clients meet each front
+  std::vector<std::unique_ptr<TestDiscovery>> discoveries_;
+  std::vector<std::vector<Endpoint>> upstream_addresses_;  // by instance: relays to servers and discovery
+  std::vector<Endpoint> client_addresses_;                 // relays to the instances, for clients
   TestClients clients_;
   long long revision_ = 1;
-  nlohmann::json first_;  // the list as the run began, a front's saved one
-  struct Underway {       // an answer of discovery, until it has reached its front
+  nlohmann::json initial_lists_;  // by instance: the list at the start, as if saved by an earlier run
+  struct ResponseInTransit {      // a response of discovery that its instance has not yet received
     std::size_t bytes = 0;
-    int front = 0;
-    std::vector<Listed> listed;
+    int instance = 0;
+    std::vector<ServerListing> listings;
   };
-  std::map<Endpoint, std::deque<Underway>> underway_;
-  bool begun_ = false;
-  std::vector<std::uint64_t> sends_to_;
+  std::map<Endpoint, std::deque<ResponseInTransit>> responses_in_transit_;
+  bool clients_started_ = false;
+  std::vector<std::uint64_t> sends_by_server_;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -193,7 +193,7 @@
     relay_->heal();
   }
   if (surroundings_) {
-    step.fault == "heal" ? surroundings_->heal() : surroundings_->strike(step);
+    step.fault == "heal" ? surroundings_->heal() : surroundings_->apply_fault(step);
   }
   if (step.fault == "list") {
     listed_ = std::min(step.count, plan_.fronts);
@@ -236,7 +236,7 @@
   }
   const Millis from = clock_.now();
   if (surroundings_) {
-    counted_ = counted_first_ = surroundings_->asked(), counted_at_ = from, most_probes_ = most_calls_ = 0;
+    counted_ = counted_first_ = surroundings_->counters(), counted_at_ = from, most_probes_ = most_calls_ = 0;
   }
   strike(step);
   happened_.push_back({from, text_of(step)});
@@ -284,7 +284,7 @@
     }
     // Clients ask from the end of the first step on.
     if (why.empty() && surroundings_) {
-      surroundings_->begin();
+      surroundings_->start_clients();
     }
     if (why.empty()) {
       return {true, took, ""};
@@ -296,10 +296,10 @@
 }
 
 Outcome FaultTest::finish() {
-  if (!surroundings_ || !surroundings_->asking()) {
+  if (!surroundings_ || !surroundings_->clients_started()) {
     return {true, 0, ""};
   }
-  surroundings_->rest();
+  surroundings_->stop_clients();
   const Millis from = clock_.now();
   for (;;) {
     run(kLook);
@@ -322,7 +322,7 @@
   if (!surroundings_) {
     return "";
   }
-  const std::vector<invariants::Violation> found = surroundings_->settle();
+  const std::vector<invariants::Violation> found = surroundings_->check_invariants();
   broken_.insert(broken_.end(), found.begin(), found.end());
   std::string text;
   for (const invariants::Violation& one : found) {
@@ -401,14 +401,15 @@
   if (step.acked <= 0 && step.sends <= 0) {
     return "";
   }
-  if (!surroundings_ || !surroundings_->asking()) {
+  if (!surroundings_ || !surroundings_->clients_started()) {
     return "no client asks yet";
   }
-  const Tally tally = surroundings_->between(from, from + step.lasts);
+  const Tally tally = surroundings_->tally_between(from, from + step.lasts);
   // Up to now, for clients ask on; the few ops that are open count as sends only.
-  const int over = surroundings_->between(from, clock_.now()).ops();
+  const int over = surroundings_->tally_between(from, clock_.now()).ops();
   const double sends =
-      static_cast<double>(surroundings_->asked().sends() - counted_first_.sends()) / std::max(1, over);
+      static_cast<double>(surroundings_->counters().total_sends() - counted_first_.total_sends()) /
+      std::max(1, over);
   if (step.sends > 0 && sends > step.sends) {
     return fmt::format("{:.2f} sends for each of {} ops, {:.2f} are allowed", sends, over, step.sends);
   }
@@ -569,11 +570,12 @@
   if (step.spared.empty()) {
     return "";
   }
-  const TestEnvironment::Asked now = surroundings_->asked();
+  const TestEnvironment::Counters now = surroundings_->counters();
   for (const int store : step.spared) {
     const auto at = static_cast<std::size_t>(store);
-    if (now.sends_to[at] > counted_first_.sends_to[at]) {
-      return fmt::format("{} ops reached store s{}", now.sends_to[at] - counted_first_.sends_to[at], store);
+    if (now.sends_by_server[at] > counted_first_.sends_by_server[at]) {
+      return fmt::format("{} ops reached store s{}",
+                         now.sends_by_server[at] - counted_first_.sends_by_server[at], store);
     }
   }
   return "";
@@ -585,9 +587,9 @@
     return "";
   }
   const double seconds = (clock_.now() - counted_at_) / 1000;
-  const TestEnvironment::Asked now = surroundings_->asked();
+  const TestEnvironment::Counters now = surroundings_->counters();
   const double probes = static_cast<double>(now.probes - counted_.probes) / seconds / plan_.stores;
-  const double calls = static_cast<double>(now.calls - counted_.calls) / seconds;
+  const double calls = static_cast<double>(now.discovery_requests - counted_.discovery_requests) / seconds;
   counted_ = now, counted_at_ = clock_.now();
   most_probes_ = std::max(most_probes_, probes), most_calls_ = std::max(most_calls_, calls);
   if (step.probes > 0 && probes > step.probes) {
@@ -660,13 +662,13 @@
   }
   const double seconds = std::max(1.0, spent_) / 1000 * plan_.fronts;
   std::string text = fmt::format("{:.1f} datagrams/s {:.0f} B/s", datagrams / seconds, bytes / seconds);
-  if (surroundings_ && surroundings_->asking()) {
+  if (surroundings_ && surroundings_->clients_started()) {
     const Millis now = clock_.now();
-    const Tally tally = surroundings_->between(now - spent_, now);
+    const Tally tally = surroundings_->tally_between(now - spent_, now);
     text += fmt::format(", {} ops", tally.ops());
     text += fmt::format(", most connections {}, at most {:.1f} probes/s of a store, {:.1f} calls/s, {} sends",
                         most_, most_probes_, most_calls_,
-                        surroundings_->asked().sends() - counted_first_.sends());
+                        surroundings_->counters().total_sends() - counted_first_.total_sends());
     for (const auto& [came, count] : tally.came) {
       text += fmt::format(" {} {}", word_of(came), count);
     }
--- a/src/faulttest/fault_test.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -83,7 +83,7 @@
   std::set<int> over_;  // stores that had too many at the last look
   int most_ = 0;        // connections that any store had at once
   // Of the second that runs, and the highest of the step.
-  TestEnvironment::Asked counted_, counted_first_;
+  TestEnvironment::Counters counted_, counted_first_;
   Millis counted_at_ = 0;
   double most_probes_ = 0, most_calls_ = 0;
   std::vector<std::string> names_;
