--- a/bench/quota.cpp
+++ b/bench/quota.cpp
@@ -1,6 +1,6 @@
-// Shares at sizes that processes don't reach, in virtual time: the highest sum of all parts over drawn
-// faults, times from a death to the use of what it left, from healing to whole parts, and what it costs on
-// the wire.
+// Measures the quota module in virtual time at sizes that processes on one machine cannot reach: the highest
+// sum of all allocations under random faults, the times from a failure to the use of the quota that it freed
+// and from a restart to full allocations, and the network traffic.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -16,187 +16,195 @@
 
 namespace {
 
-struct Wish {
-  int fronts = 10, runs = 10, seed = 1;
+struct BenchOptions {
+  int instances = 10, runs = 10, seed = 1;
   double seconds = 60;
 };
 
-// Everything that the network and the processes can do, one upon the other.
-int highest_sum(const Wish& wish, std::uint64_t seed) {
-  VirtualFleet fleet(wish.fronts, membership::Options{}, seed);
+// Applies random network and process faults, which may overlap, and returns the highest sum of the quota
+// held.
+int highest_sum(const BenchOptions& bench_options, std::uint64_t seed) {
+  VirtualFleet fleet(bench_options.instances, membership::Options{}, seed);
   quota::Options options;
-  options.slot_count = wish.fronts;
+  options.slot_count = bench_options.instances;
   fleet.enable_quota(options);
   std::minstd_rand random(static_cast<unsigned>(seed * 7919 + 1));
-  const auto below = [&](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
-  std::set<std::pair<int, int>> cut;
-  std::set<int> slow;
-  fleet.link_up = [&](int from, int to) { return cut.empty() || !cut.contains({from, to}); };
+  const auto random_below = [&](int limit) {
+    return static_cast<int>(random() % static_cast<unsigned>(limit));
+  };
+  std::set<std::pair<int, int>> blocked_links;
+  std::set<int> slow_instances;
+  fleet.link_up = [&](int from, int to) {
+    return blocked_links.empty() || !blocked_links.contains({from, to});
+  };
   fleet.extra_delay = [&](int from, int to) {
-    return slow.contains(from) || slow.contains(to) ? 1500.0 : 0.0;
+    return slow_instances.contains(from) || slow_instances.contains(to) ? 1500.0 : 0.0;
   };
-  const auto sum = [&] {
-    int all = 0;
-    for (int front = 0; front < wish.fronts; ++front) {
-      all += fleet.allocation(front).hold;
+  const auto total_held = [&] {
+    int total = 0;
+    for (int instance = 0; instance < bench_options.instances; ++instance) {
+      total += fleet.allocation(instance).hold;
     }
-    return all;
+    return total;
   };
-  const auto want = [&](int front) {
-    if (fleet.running(front)) {
-      fleet.set_demand(front, {below(2) * below(4) * quota::kSlot, below(2) * below(750)});
+  const auto set_random_demand = [&](int instance) {
+    if (fleet.running(instance)) {
+      fleet.set_demand(
+          instance, {random_below(2) * random_below(4) * quota::kSlot, random_below(2) * random_below(750)});
     }
   };
-  for (int front = 0; front < wish.fronts; ++front) {
-    fleet.set_clock_drift(front, (front % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
-    fleet.start(front);
-    want(front);
+  for (int instance = 0; instance < bench_options.instances; ++instance) {
+    fleet.set_clock_drift(instance, (instance % 2 == 0 ? 0.5 : -0.5) * options.max_drift);
+    fleet.start(instance);
+    set_random_demand(instance);
   }
-  int most = 0;
-  for (Millis at = 0; at < wish.seconds * 1000;) {
-    const int front = below(wish.fronts);
-    const int other = below(wish.fronts);
-    switch (below(12)) {
+  int highest = 0;
+  for (Millis at = 0; at < bench_options.seconds * 1000;) {
+    const int instance = random_below(bench_options.instances);
+    const int other = random_below(bench_options.instances);
+    switch (random_below(12)) {
       case 0:
-        for (int turn = below(wish.fronts); turn > 0; --turn) {
-          if (const int struck = below(wish.fronts); fleet.running(struck)) {
-            fleet.kill(struck);
+        for (int index = random_below(bench_options.instances); index > 0; --index) {
+          if (const int victim = random_below(bench_options.instances); fleet.running(victim)) {
+            fleet.kill(victim);
           }
         }
         break;
       case 1:
       case 2:
-        for (int turn = 0; turn < wish.fronts; ++turn) {
-          if (!fleet.running(turn)) {
-            fleet.start(turn), want(turn);
+        for (int index = 0; index < bench_options.instances; ++index) {
+          if (!fleet.running(index)) {
+            fleet.start(index), set_random_demand(index);
           }
         }
         break;
       case 3:
-        if (fleet.running(front)) {
-          fleet.pause(front);
+        if (fleet.running(instance)) {
+          fleet.pause(instance);
         }
         break;
       case 4:
-        for (int turn = 0; turn < wish.fronts; ++turn) {
-          fleet.resume(turn);
+        for (int index = 0; index < bench_options.instances; ++index) {
+          fleet.resume(index);
         }
         break;
       case 5:
         for (int from = 0; from < other; ++from) {
-          for (int to = other; to < wish.fronts; ++to) {
-            cut.insert({from, to}), cut.insert({to, from});
+          for (int to = other; to < bench_options.instances; ++to) {
+            blocked_links.insert({from, to}), blocked_links.insert({to, from});
           }
         }
         break;
       case 6:
-        for (int to = 0; to < wish.fronts; ++to) {
-          cut.insert({front, to});
+        for (int to = 0; to < bench_options.instances; ++to) {
+          blocked_links.insert({instance, to});
         }
         break;
       case 7:
-        cut.clear(), slow.clear(), fleet.network.loss = 0;
+        blocked_links.clear(), slow_instances.clear(), fleet.network.loss = 0;
         break;
       case 8:
-        slow.insert(front);
+        slow_instances.insert(instance);
         break;
       case 9:
         fleet.network.loss = 0.3;
         break;
       default:
-        for (int turn = 0; turn < 5; ++turn) {
-          want(below(wish.fronts));
+        for (int index = 0; index < 5; ++index) {
+          set_random_demand(random_below(bench_options.instances));
         }
     }
-    // Looked at every 5 ms: parts hold for seconds.
-    for (const Millis until = at + 20 + below(2000); at < until; at += 5) {
+    // A sample every 5 ms is sufficient, since allocations are held for seconds.
+    for (const Millis until = at + 20 + random_below(2000); at < until; at += 5) {
       fleet.run(5);
-      most = std::max(most, sum());
+      highest = std::max(highest, total_held());
     }
   }
-  return most;
+  return highest;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  Wish wish;
-  CLI::App app{"Shares of the fleet in virtual time", "reedspindle-bench-quota"};
-  app.add_option("--fronts", wish.fronts);
-  app.add_option("--runs", wish.runs, "of drawn faults");
-  app.add_option("--seconds", wish.seconds, "of each run");
-  app.add_option("--seed", wish.seed);
-  CLI11_PARSE(app, count, words);
+int main(int count, char** arguments) {
+  BenchOptions bench_options;
+  CLI::App app{"Measures the quota module in virtual time", "reedspindle-bench-quota"};
+  app.add_option("--fronts", bench_options.instances);
+  app.add_option("--runs", bench_options.runs, "of random faults");
+  app.add_option("--seconds", bench_options.seconds, "of each run");
+  app.add_option("--seed", bench_options.seed);
+  CLI11_PARSE(app, count, arguments);
 
-  double most = 0;
-  for (int run = 0; run < wish.runs; ++run) {
-    most =
-        std::max(most, static_cast<double>(highest_sum(wish, static_cast<std::uint64_t>(wish.seed + run))) /
-                           (quota::kSlot * wish.fronts));
+  double highest = 0;
+  for (int run = 0; run < bench_options.runs; ++run) {
+    highest = std::max(highest, static_cast<double>(highest_sum(
+                                    bench_options, static_cast<std::uint64_t>(bench_options.seed + run))) /
+                                    (quota::kSlot * bench_options.instances));
   }
-  std::cout << fmt::format("{} fronts, {} runs of {} s with drawn faults: highest sum {:.4f} of the whole\n",
-                           wish.fronts, wish.runs, wish.seconds, most);
+  std::cout << fmt::format(
+      "{} instances, {} runs of {} s with random faults: highest sum {:.4f} of the total quota\n",
+      bench_options.instances, bench_options.runs, bench_options.seconds, highest);
 
-  VirtualFleet fleet(wish.fronts, membership::Options{}, static_cast<std::uint64_t>(wish.seed));
+  VirtualFleet fleet(bench_options.instances, membership::Options{},
+                     static_cast<std::uint64_t>(bench_options.seed));
   quota::Options options;
-  options.slot_count = wish.fronts;
+  options.slot_count = bench_options.instances;
   fleet.enable_quota(options);
-  for (int front = 0; front < wish.fronts; ++front) {
-    fleet.start(front);
-    fleet.set_demand(front, {quota::kSlot, 0});
+  for (int instance = 0; instance < bench_options.instances; ++instance) {
+    fleet.start(instance);
+    fleet.set_demand(instance, {quota::kSlot, 0});
   }
-  const auto until = [&](auto there) {
-    Millis took = 0;
-    for (; took < 300000 && !there(); took += 20) {
+  const auto until = [&](auto condition) {
+    Millis elapsed = 0;
+    for (; elapsed < 300000 && !condition(); elapsed += 20) {
       fleet.run(20);
     }
-    return took / 1000;
+    return elapsed / 1000;
   };
-  const auto all = [&](int from, int least) {
-    for (int front = from; front < wish.fronts; ++front) {
-      if (fleet.allocation(front).open < least) {
+  const auto all_hold = [&](int from, int minimum) {
+    for (int instance = from; instance < bench_options.instances; ++instance) {
+      if (fleet.allocation(instance).open < minimum) {
         return false;
       }
     }
     return true;
   };
-  std::cout << fmt::format("started together, all whole after {:.2f} s\n",
-                           until([&] { return all(0, quota::kSlot); }));
+  std::cout << fmt::format("started together, all fully allocated after {:.2f} s\n",
+                           until([&] { return all_hold(0, quota::kSlot); }));
   fleet.run(20000);
-  const auto load = [&](const char* when) {
+  const auto print_traffic = [&](const char* phase) {
     std::vector<faulttest::Traffic> before;
-    for (int front = 0; front < wish.fronts; ++front) {
-      before.push_back(fleet.quota_traffic(front));
+    for (int instance = 0; instance < bench_options.instances; ++instance) {
+      before.push_back(fleet.quota_traffic(instance));
     }
     fleet.run(10000);
     std::vector<double> sent;
-    for (int front = 0; front < wish.fronts; ++front) {
-      if (fleet.running(front)) {
-        sent.push_back(static_cast<double>(fleet.quota_traffic(front).datagrams -
-                                           before[static_cast<std::size_t>(front)].datagrams) /
+    for (int instance = 0; instance < bench_options.instances; ++instance) {
+      if (fleet.running(instance)) {
+        sent.push_back(static_cast<double>(fleet.quota_traffic(instance).datagrams -
+                                           before[static_cast<std::size_t>(instance)].datagrams) /
                        10);
       }
     }
     std::ranges::sort(sent);
-    std::cout << fmt::format("datagrams/s of shares {}: median {:.1f}, most (the office) {:.1f}\n", when,
-                             sent[sent.size() / 2], sent.back());
+    std::cout << fmt::format("quota datagrams/s {}: median {:.1f}, maximum (the granting instance) {:.1f}\n",
+                             phase, sent[sent.size() / 2], sent.back());
   };
-  load("while all want more");
-  const int dead = wish.fronts * 2 / 5;
-  for (int front = 0; front < dead; ++front) {
-    fleet.kill(front);
+  print_traffic("while all request more");
+  const int killed = bench_options.instances * 2 / 5;
+  for (int instance = 0; instance < killed; ++instance) {
+    fleet.kill(instance);
   }
-  const int each = dead * (quota::kSlot - options.reserved) / (wish.fronts - dead);
-  std::cout << fmt::format("{} killed, each other has {} more after {:.2f} s\n", dead, each - 1,
-                           until([&] { return all(dead, quota::kSlot + each - 1); }));
-  for (int front = 0; front < dead; ++front) {
-    fleet.start(front);
+  const int extra = killed * (quota::kSlot - options.reserved) / (bench_options.instances - killed);
+  std::cout << fmt::format("{} killed, each remaining instance has {} more after {:.2f} s\n", killed,
+                           extra - 1, until([&] { return all_hold(killed, quota::kSlot + extra - 1); }));
+  for (int instance = 0; instance < killed; ++instance) {
+    fleet.start(instance);
   }
-  std::cout << fmt::format("started again, theirs after {:.2f} s\n",
-                           until([&] { return all(0, quota::kSlot); }));
-  for (int front = 0; front < wish.fronts; ++front) {
-    fleet.set_demand(front, {});
+  std::cout << fmt::format("restarted, fully allocated after {:.2f} s\n",
+                           until([&] { return all_hold(0, quota::kSlot); }));
+  for (int instance = 0; instance < bench_options.instances; ++instance) {
+    fleet.set_demand(instance, {});
   }
   fleet.run(10000);
-  load("while nobody wants more");
+  print_traffic("while none requests more");
 }
