--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -123,20 +123,21 @@
     streams_.open(seen.back(), agents_.back()->at());
     streams_.open(met_at_[static_cast<std::size_t>(front)], fronts[static_cast<std::size_t>(front)]);
   }
-  stores_.on([this](const RequestExecuted& done) { carried_out(done); },
-             [this](int store, const std::string& op, const Endpoint& from) {
-               ++sends_to_[static_cast<std::size_t>(store)];
-               if (const auto crossing = streams_.crossing(from)) {
-                 rules_.note(invariants::Sent{op, {crossing->gate / each()}, {store}, crossing->to.read});
-               }
-             });
-  streams_.on([this](const Streams::Passed& passed) {
-    clients_.passed(passed);
-    const auto answers = passed.back ? underway_.find(passed.target) : underway_.end();
+  stores_.set_callbacks(
+      [this](const RequestExecuted& done) { carried_out(done); },
+      [this](int store, const std::string& op, const Endpoint& from) {
+        ++sends_to_[static_cast<std::size_t>(store)];
+        if (const auto crossing = streams_.record(from)) {
+          rules_.note(invariants::Sent{op, {crossing->forwarder / each()}, {store}, crossing->forward.read});
+        }
+      });
+  streams_.set_callback([this](const StreamRelay::Delivery& passed) {
+    clients_.on_delivery(passed);
+    const auto answers = passed.backward ? underway_.find(passed.target) : underway_.end();
     if (answers == underway_.end()) {
       return;
     }
-    while (!answers->second.empty() && answers->second.front().bytes <= passed.given) {
+    while (!answers->second.empty() && answers->second.front().bytes <= passed.bytes_written) {
       told(answers->second.front().front, answers->second.front().listed, passed.at);
       answers->second.pop_front();
     }
@@ -172,7 +173,7 @@
   }
 }
 
-TestDiscovery::Now TestEnvironment::list_of(int front) const {
+TestDiscovery::ListUpdate TestEnvironment::list_of(int front) const {
   Json targets = Json::array();
   for (int store = 0; store < plan_.stores; ++store) {
     const StoreState& state = stores_.state(store);
@@ -191,19 +192,19 @@
 }
 
 void TestEnvironment::carried_out(const RequestExecuted& done) {
-  const bool effect = done.writes && done.deed == Deed::ran;
+  const bool effect = done.writes && done.outcome == ExecutionOutcome::ran;
   if (effect) {
     clients_.committed(done.request, done.position);
   }
-  if (done.deed != Deed::ran) {
+  if (done.outcome != ExecutionOutcome::ran) {
     return;
   }
-  const auto crossing = streams_.crossing(done.from);
+  const auto crossing = streams_.record(done.from);
   rules_.note(invariants::Ran{done.request,
                               {done.store},
                               done.token,
                               effect,
-                              crossing ? crossing->to.read : done.came,
+                              crossing ? crossing->forward.read : done.received_at,
                               done.position});
 }
 
@@ -229,14 +230,14 @@
 void TestEnvironment::ways(const Step& step, Change change) {
   for (const int gate : gates(step)) {
     const bool of_clients = gate % each() == plan_.stores + 1;
-    change(of_clients ? streams_.back(gate) : streams_.to(gate),
-           of_clients ? streams_.to(gate) : streams_.back(gate));
+    change(of_clients ? streams_.backward(gate) : streams_.forward(gate),
+           of_clients ? streams_.forward(gate) : streams_.backward(gate));
   }
 }
 
 void TestEnvironment::strike(const Step& step) {
   if (step.fault.starts_with("cut")) {
-    ways(step, [&](Way& out, Way& in) {
+    ways(step, [&](Direction& out, Direction& in) {
       if (step.fault != "cut-back") {
         out.cut = true;
       }
@@ -246,10 +247,12 @@
     });
   }
   if (step.fault == "slow") {
-    ways(step, [&](Way& out, Way& in) { out.by = in.by = step.by, out.jitter = in.jitter = step.jitter; });
+    ways(step, [&](Direction& out, Direction& in) {
+      out.delay = in.delay = step.by, out.jitter = in.jitter = step.jitter;
+    });
   }
   if (step.fault == "limit") {
-    ways(step, [&](Way& out, Way& in) { out.rate = in.rate = step.rate; });
+    ways(step, [&](Direction& out, Direction& in) { out.rate = in.rate = step.rate; });
   }
   if (step.fault == "reset") {
     for (const int gate : gates(step)) {
@@ -258,9 +261,9 @@
   }
   if (step.fault.starts_with("discovery-")) {
     for (const int front : step.fronts) {
-      agents_[static_cast<std::size_t>(front)]->be_silent(step.fault == "discovery-silent");
+      agents_[static_cast<std::size_t>(front)]->set_silent(step.fault == "discovery-silent");
       if (step.fault == "discovery-speaks") {
-        agents_[static_cast<std::size_t>(front)]->changed();
+        agents_[static_cast<std::size_t>(front)]->notify_watchers();
       }
     }
   }
@@ -272,7 +275,7 @@
   bool listed = false;
   for (const int store : step.stores) {
     StoreState& state = stores_.state(store);
-    state.reached = stores_.position(store);
+    state.min_position = stores_.position(store);
     if (step.fault == "fall") {
       stores_.fall(store);
     }
@@ -282,10 +285,10 @@
       listed = true;
     }
     if (step.fault == "hang") {
-      state.answers = false;
+      state.responsive = false;
     }
     if (step.fault == "recover") {
-      state.answers = true, state.errors = 0, state.lag = plan_.lag, state.stalled_at = -1;
+      state.responsive = true, state.errors = 0, state.lag = plan_.lag, state.stalled_at = -1;
     }
     if (step.fault == "errors") {
       state.errors = step.share;
@@ -301,7 +304,7 @@
         if (stores_.state(other).group != state.group) {
           continue;
         }
-        stores_.state(other).reached = stores_.position(other);
+        stores_.state(other).min_position = stores_.position(other);
         stores_.state(other).primary = other == store;
       }
     }
@@ -320,7 +323,7 @@
   }
   ++revision_;
   for (const auto& agent : agents_) {
-    agent->changed();
+    agent->notify_watchers();
   }
 }
 
@@ -330,7 +333,7 @@
   if (plan_.clients.rate <= 0 || std::exchange(begun_, true)) {
     return;
   }
-  clients_.begin();
+  clients_.start();
 }
 
 std::vector<invariants::Broken> TestEnvironment::settle() { return rules_.settle(clock_.now()); }
@@ -351,7 +354,7 @@
   int sum = 0;
   for (int front = 0; front < plan_.fronts; ++front) {
     if (!without.contains(front)) {
-      sum += streams_.open_at(gate(front, store));
+      sum += streams_.open_connections(gate(front, store));
     }
   }
   return sum;
@@ -361,11 +364,11 @@
   Tally sum;
   sum.at = from;
   for (const Tally& tally : clients_.tallies()) {
-    if (tally.at < from || tally.at + kTallied > to) {
+    if (tally.at < from || tally.at + kTallySpan > to) {
       continue;
     }
-    for (const auto& [came, count] : tally.came) {
-      sum.came[came] += count;
+    for (const auto& [outcome, count] : tally.outcomes) {
+      sum.outcomes[outcome] += count;
     }
     sum.latencies.insert(sum.latencies.end(), tally.latencies.begin(), tally.latencies.end());
   }
--- a/src/faulttest/environment.hpp
+++ b/src/faulttest/environment.hpp
@@ -36,7 +36,7 @@
   void enqueue(invariants::Event event) { rules_.note(std::move(event)); }
   // Clients begin, once.
   void begin();
-  void rest() { clients_.rest(); }
+  void rest() { clients_.stop(); }
   [[nodiscard]] bool asking() const { return begun_; }
   std::vector<invariants::Broken> settle();
   [[nodiscard]] const std::deque<Tally>& tallies() const { return clients_.tallies(); }
@@ -51,7 +51,7 @@
     [[nodiscard]] std::uint64_t sends() const;
   };
   [[nodiscard]] Asked asked() const;
-  [[nodiscard]] std::size_t open_requests() const { return clients_.open(); }
+  [[nodiscard]] std::size_t open_requests() const { return clients_.open_ops(); }
 
  private:
   struct Listed {
@@ -59,7 +59,7 @@
     bool wanted = true;
     Millis booted = 0;
   };
-  [[nodiscard]] TestDiscovery::Now list_of(int front) const;
+  [[nodiscard]] TestDiscovery::ListUpdate list_of(int front) const;
   [[nodiscard]] std::vector<Listed> listed() const;
   void told(int front, const std::vector<Listed>& listed, Millis at);
   void carried_out(const RequestExecuted& done);
@@ -73,7 +73,7 @@
   const Plan& plan_;
   const net::Clock& clock_;
   invariants::InvariantChecker rules_;
-  Streams streams_;
+  StreamRelay streams_;
   TestStores stores_;
   std::vector<std::unique_ptr<TestDiscovery>> agents_;
   std::vector<std::vector<Endpoint>> seen_at_;  // of each front: where it meets stores and discovery
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -30,7 +30,7 @@
       static_cast<std::uint16_t>(kPort + number)};
 }
 
-std::string text_of(const asio::ip::udp::endpoint& endpoint) {
+std::string endpoint_text(const asio::ip::udp::endpoint& endpoint) {
   return config::format_endpoint({endpoint.address(), endpoint.port()});
 }
 
@@ -65,7 +65,7 @@
     processes_.push_back(std::make_unique<Process>(program, folder, names_.back()));
   }
   signals_.async_wait([this](const asio::error_code& fault, int) { interrupted_ = !fault; });
-  relay_ = std::make_unique<Relay>(io_, timers_, clock_, fronts_, stands_, plan_.seed);
+  relay_ = std::make_unique<DatagramRelay>(io_, timers_, clock_, fronts_, stands_, plan_.seed);
   if (plan_.stores == 0) {
     return;
   }
@@ -88,7 +88,7 @@
 }
 
 void FaultTest::start(int front, const Step& step) {
-  if (process(front).up()) {
+  if (process(front).running()) {
     return;
   }
   begin_anew(front);
@@ -96,7 +96,7 @@
     names_[static_cast<std::size_t>(front)] = step.name;
   }
   const membership::Options& fleet = plan_.fleet;
-  relay_->listening(front, true);
+  relay_->set_listening(front, true);
   std::string quota;
   if (plan_.quota.connections > 0) {
     quota = fmt::format(
@@ -117,17 +117,17 @@
 std::string FaultTest::placement_of(int front) const {
   Json peers = Json::array();
   for (int place = 0; place < listed_; ++place) {
-    peers.push_back(text_of(stands_[static_cast<std::size_t>(place)]));
+    peers.push_back(endpoint_text(stands_[static_cast<std::size_t>(place)]));
   }
   const auto at = static_cast<std::size_t>(front);
   Json config = {
       {"name", name_of(front)},
-      {"listen", text_of(fronts_[at])},
+      {"listen", endpoint_text(fronts_[at])},
       {"discovery", fmt::format("{}:1", stands_[0].address().to_string())},
       {"seed", fmt::format("{:x}", plan_.seed * 1000 + static_cast<std::uint64_t>(front) + 1)},
-      {"peer_listen", text_of(fronts_[at])},
+      {"peer_listen", endpoint_text(fronts_[at])},
       {"peers", peers},
-      {"peers_all", text_of(stands_[at])},
+      {"peers_all", endpoint_text(stands_[at])},
       {"settings", {{"requestClasses", Json::array({{{"name", "look"}, {"effect", "repeatable"}}})}}}};
   if (surroundings_) {
     config.update(surroundings_->placement_of(front));
@@ -200,18 +200,18 @@
     each([&](int front) { process(front).reload(placement_of(front)); });
   }
   if (step.fault == "slow" && step.stores.empty() && step.with.empty()) {
-    links([&](Link& link) { link.by = step.by, link.jitter = step.jitter; });
+    links([&](Link& link) { link.delay = step.by, link.jitter = step.jitter; });
   }
   if (step.fault == "loss") {
     links([&](Link& link) { link.loss = step.share; });
   }
   if (step.fault == "doubled") {
-    links([&](Link& link) { link.doubled = step.share; });
+    links([&](Link& link) { link.duplication = step.share; });
   }
   if (step.fault == "garbage" || step.fault == "replay") {
     each([&](int front) {
       for (const int other : step.to) {
-        step.fault == "garbage" ? relay_->garbage(front, other, step.count)
+        step.fault == "garbage" ? relay_->send_garbage(front, other, step.count)
                                 : relay_->replay(front, other, step.count);
       }
     });
@@ -229,7 +229,7 @@
 Outcome FaultTest::carry_out(const Step& step) {
   before_.clear();
   for (int front = 0; front < plan_.fronts; ++front) {
-    before_.push_back(relay_->carried(front));
+    before_.push_back(relay_->sent_traffic(front));
   }
   for (int front = 0; front < plan_.fronts; ++front) {
     process(front).log_lines();
@@ -239,7 +239,7 @@
     counted_ = counted_first_ = surroundings_->asked(), counted_at_ = from, most_probes_ = most_calls_ = 0;
   }
   strike(step);
-  happened_.push_back({from, text_of(step)});
+  happened_.push_back({from, describe(step)});
   // A share of ops can be told once all of them are over.
   const Millis over = step.acked > 0 || step.sends > 0 ? plan_.clients.request_timeout + 600 : 0;
   for (;;) {
@@ -252,7 +252,7 @@
       if (process(front).crashed()) {
         return {false, took, fmt::format("{} has ended by itself", name_of(front))};
       }
-      relay_->listening(front, process(front).runs());
+      relay_->set_listening(front, process(front).exists());
     }
     if (std::string why = mistaken(step); !why.empty()) {
       return {false, took, std::move(why)};
@@ -384,7 +384,7 @@
     return "";
   }
   for (int front = 0; front < plan_.fronts; ++front) {
-    if (!process(front).up() || process(front).stopped()) {
+    if (!process(front).running() || process(front).stopped()) {
       continue;
     }
     const Json status = process(front).status();
@@ -412,13 +412,13 @@
   if (step.sends > 0 && sends > step.sends) {
     return fmt::format("{:.2f} sends for each of {} ops, {:.2f} are allowed", sends, over, step.sends);
   }
-  if (tally.share(Came::in_time) >= step.acked) {
+  if (tally.share(OpOutcome::in_time) >= step.acked) {
     return "";
   }
   std::string text =
-      fmt::format("only {:.3f} of {} ops were acked in time", tally.share(Came::in_time), tally.ops());
-  for (const auto& [came, count] : tally.came) {
-    text += fmt::format("; {} {}", word_of(came), count);
+      fmt::format("only {:.3f} of {} ops were acked in time", tally.share(OpOutcome::in_time), tally.ops());
+  for (const auto& [outcome, count] : tally.outcomes) {
+    text += fmt::format("; {} {}", outcome_name(outcome), count);
   }
   return text;
 }
@@ -445,8 +445,8 @@
   }
   for (const Tally& tally : surroundings_->tallies()) {
     Json span{{"at", tally.at - began_}};
-    for (const auto& [came, count] : tally.came) {
-      span[word_of(came)] = count;
+    for (const auto& [outcome, count] : tally.outcomes) {
+      span[outcome_name(outcome)] = count;
     }
     std::vector<Millis> sorted = tally.latencies;
     std::ranges::sort(sorted);
@@ -465,7 +465,7 @@
   }
   std::set<int> running;
   for (int front = 0; front < plan_.fronts; ++front) {
-    if (process(front).up() && !process(front).stopped()) {
+    if (process(front).running() && !process(front).stopped()) {
       running.insert(front);
     }
   }
@@ -483,7 +483,7 @@
     if (status["yielded"].get<bool>()) {
       continue;  // out of the fleet
     }
-    if (of_accord(step.until)) {
+    if (is_consistency_condition(step.until)) {
       if (step.until != "accord" && !step.of.contains(front)) {
         continue;
       }
@@ -622,7 +622,7 @@
 std::vector<std::string> FaultTest::views() const {
   std::vector<std::string> lines;
   for (int front = 0; front < plan_.fronts; ++front) {
-    const char* is = !process(front).up() ? "down" : process(front).stopped() ? "stopped" : "up";
+    const char* is = !process(front).running() ? "down" : process(front).stopped() ? "stopped" : "up";
     lines.push_back(fmt::format("{} {:8}{}", name_of(front), is, view_in(process(front).status())));
   }
   return lines;
@@ -653,8 +653,8 @@
   double datagrams = 0;
   double bytes = 0;
   for (int front = 0; front < plan_.fronts; ++front) {
-    const Carried now = relay_->carried(front);
-    const Carried then = before_.at(static_cast<std::size_t>(front));
+    const SentTraffic now = relay_->sent_traffic(front);
+    const SentTraffic then = before_.at(static_cast<std::size_t>(front));
     datagrams += static_cast<double>(now.datagrams - then.datagrams);
     bytes += static_cast<double>(now.bytes - then.bytes);
   }
@@ -667,8 +667,8 @@
     text += fmt::format(", most connections {}, at most {:.1f} probes/s of a store, {:.1f} calls/s, {} sends",
                         most_, most_probes_, most_calls_,
                         surroundings_->asked().sends() - counted_first_.sends());
-    for (const auto& [came, count] : tally.came) {
-      text += fmt::format(" {} {}", word_of(came), count);
+    for (const auto& [outcome, count] : tally.outcomes) {
+      text += fmt::format(" {} {}", outcome_name(outcome), count);
     }
   }
   return text;
--- a/src/faulttest/fault_test.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -72,7 +72,7 @@
   const net::Clock clock_;
   net::Timers timers_;
   std::vector<asio::ip::udp::endpoint> fronts_, stands_;
-  std::unique_ptr<Relay> relay_;
+  std::unique_ptr<DatagramRelay> relay_;
   std::unique_ptr<TestEnvironment> surroundings_;  // none: fronts alone
   struct Happened {
     Millis at = 0;
@@ -89,7 +89,7 @@
   std::vector<std::string> names_;
   int listed_;  // places that the lists have
   std::vector<std::unique_ptr<Process>> processes_;
-  std::vector<Carried> before_;
+  std::vector<SentTraffic> before_;
   Millis spent_ = 0;
   const Millis began_;
 };
--- a/src/faulttest/main.cpp
+++ b/src/faulttest/main.cpp
@@ -48,7 +48,7 @@
   faulttest::FaultTest rig(plan, program, folder.path());
   const auto record = [&] { std::ofstream(folder.path() + "/run.json") << rig.record().dump() << '\n'; };
   for (const faulttest::Step& step : plan.steps) {
-    std::cout << faulttest::text_of(step) << std::endl;
+    std::cout << faulttest::describe(step) << std::endl;
     const faulttest::Outcome outcome = rig.carry_out(step);
     std::string text = step.until == "now" ? "" : step.until;
     for (const int front : step.of) {
@@ -143,13 +143,14 @@
       }
       return 0;
     }
-    const faulttest::Plan plan = faulttest::plan_in(operators::read_file(path, faulttest::kPlan), path);
+    const faulttest::Plan plan =
+        faulttest::parse_plan(operators::read_file(path, faulttest::kPlanForm), path);
     if (*check) {
       std::cout << path << ": sound\n";
     }
     if (*show) {
       for (const faulttest::Step& step : plan.steps) {
-        std::cout << faulttest::text_of(step) << '\n';
+        std::cout << faulttest::describe(step) << '\n';
       }
     }
     return *running ? run(plan, program, keep, times) : 0;
--- a/src/faulttest/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -10,12 +10,12 @@
 namespace reedspindle::faulttest {
 
 extern const char* const kSchema;  // plan.json
-const operators::Form kPlan{"rig", kSchema};
+const operators::Form kPlanForm{"rig", kSchema};
 
 namespace {
 
-// "1,5-7"; the schema has checked the form.
-std::set<int> fronts_in(const std::string& text) {
+// Parses a list of indices such as "1,5-7"; the schema has validated the format.
+std::set<int> parse_indices(const std::string& text) {
   std::set<int> fronts;
   std::istringstream parts(text);
   for (std::string part; std::getline(parts, part, ',');) {
@@ -29,7 +29,7 @@
   return fronts;
 }
 
-std::set<int> all_of(int fronts) {
+std::set<int> all_fronts(int fronts) {
   std::set<int> all;
   for (int front = 0; front < fronts; ++front) {
     all.insert(front);
@@ -37,14 +37,15 @@
   return all;
 }
 
-bool of_stores(const std::string& fault) {
+bool is_store_fault(const std::string& fault) {
   static const std::set<std::string> faults{"fall",  "rise",    "hang",  "recover", "errors", "lag",
                                             "stall", "promote", "drain", "unlist",  "enlist"};
   return faults.contains(fault);
 }
 
-// What stands beside the fronts: stores, discovery, clients, and the terms of the rules.
-void stores_in(const nlohmann::json& values, Plan& plan) {
+// Reads the parts of the plan other than fronts and steps: stores, clients and the parameters of the
+// invariants.
+void parse_environment(const nlohmann::json& values, Plan& plan) {
   const nlohmann::json& stores = values["stores"];
   const nlohmann::json& clients = values["clients"];
   const nlohmann::json& terms = values["rules"];
@@ -59,11 +60,11 @@
   plan.terms.cold_from = terms["cold-from"], plan.terms.warm_within = terms["warm-within"];
   plan.terms.capacity = plan.work.workers * 1000 / plan.work.work;
   using invariants::Effect, invariants::Needs;
-  for (const nlohmann::json& told : values.value("op-type", nlohmann::json::array())) {
+  for (const nlohmann::json& entry : values.value("op-type", nlohmann::json::array())) {
     ClientOp op;
-    op.name = told["name"], op.weight = told["weight"], op.bound = told["bound"];
-    const std::string needs = told["needs"];
-    const std::string effect = told["effect"];
+    op.name = entry["name"], op.weight = entry["weight"], op.bound = entry["bound"];
+    const std::string needs = entry["needs"];
+    const std::string effect = entry["effect"];
     op.needs = needs == "write"     ? Needs::write
                : needs == "session" ? Needs::session
                : needs == "bounded" ? Needs::bounded
@@ -91,98 +92,98 @@
 
 }  // namespace
 
-bool of_accord(const std::string& until) {
+bool is_consistency_condition(const std::string& until) {
   return until == "accord" || until == "differs" || until == "cut-off";
 }
 
-Plan plan_in(const operators::File& file, const std::string& path) {
+Plan parse_plan(const operators::File& file, const std::string& path) {
   Plan plan;
   plan.fronts = file.values["fronts"], plan.seed = file.values["seed"], plan.longest = file.values["longest"];
   const nlohmann::json& fleet = file.values["fleet"];
   plan.fleet.protocol_period = fleet["pace"], plan.fleet.ack_timeout = fleet["time-out"];
   plan.fleet.suspicion_multiplier = fleet["patience"], plan.fleet.forget_after = fleet["forget"];
   if (fleet.contains("shares")) {
-    const nlohmann::json& told = fleet["shares"];
-    plan.quota = {told["connections"], told["lease"], told["evidence"], told["notice"], told["kept"]};
+    const nlohmann::json& entry = fleet["shares"];
+    plan.quota = {entry["connections"], entry["lease"], entry["evidence"], entry["notice"], entry["kept"]};
   }
   if (fleet.contains("accord")) {
-    const nlohmann::json& told = fleet["accord"];
+    const nlohmann::json& entry = fleet["accord"];
     plan.consistency =
         fmt::format(" (accord (pace {}ms) (grace {}ms) (silence {}ms) (writes-for {}ms) (reads-for {}ms))",
-                    told["pace"].get<double>(), told["grace"].get<double>(), told["silence"].get<double>(),
-                    told["writes-for"].get<double>(), told["reads-for"].get<double>());
+                    entry["pace"].get<double>(), entry["grace"].get<double>(), entry["silence"].get<double>(),
+                    entry["writes-for"].get<double>(), entry["reads-for"].get<double>());
   }
   if (fleet.contains("resends")) {
     plan.resends = fmt::format(" (resends (share {}) (burst {}))", fleet["resends"]["share"].get<double>(),
                                fleet["resends"]["burst"].get<double>());
   }
-  stores_in(file.values, plan);
+  parse_environment(file.values, plan);
   std::vector<std::string> faults;
-  int told_so_far = 0;
-  for (const nlohmann::json& told : file.values.value("step", nlohmann::json::array())) {
-    const std::string key = fmt::format("step[{}]", told_so_far++);
+  int step_index = 0;
+  for (const nlohmann::json& entry : file.values.value("step", nlohmann::json::array())) {
+    const std::string key = fmt::format("step[{}]", step_index++);
     Step step;
     step.line = file.lines.at(key);
-    step.fault = told["fault"], step.name = told.value("name", ""), step.until = told["until"];
-    step.in = told["in"], step.sends = told["sends-at-most"], step.probes = told["probes-at-most"],
-    step.calls = told["calls-at-most"];
-    step.fronts = told.contains("fronts") ? fronts_in(told["fronts"]) : all_of(plan.fronts);
-    step.to = fronts_in(told.value("to", "")), step.of = fronts_in(told.value("of", ""));
-    step.none_failed = fronts_in(told.value("none-failed", ""));
-    step.stores = fronts_in(told.value("stores", ""));
-    step.spared = fronts_in(told.value("spared", ""));
+    step.fault = entry["fault"], step.name = entry.value("name", ""), step.until = entry["until"];
+    step.in = entry["in"], step.sends = entry["sends-at-most"], step.probes = entry["probes-at-most"],
+    step.calls = entry["calls-at-most"];
+    step.fronts = entry.contains("fronts") ? parse_indices(entry["fronts"]) : all_fronts(plan.fronts);
+    step.to = parse_indices(entry.value("to", "")), step.of = parse_indices(entry.value("of", ""));
+    step.none_failed = parse_indices(entry.value("none-failed", ""));
+    step.stores = parse_indices(entry.value("stores", ""));
+    step.spared = parse_indices(entry.value("spared", ""));
     for (const char* with : {"discovery", "clients"}) {
-      if (told.value("with", "").find(with) != std::string::npos) {
+      if (entry.value("with", "").find(with) != std::string::npos) {
         step.with.insert(with);
       }
     }
-    step.rate = told["rate"], step.acked = told["acked"], step.part = told["part-at-least"];
-    step.clock = told["clock"], step.by = told["by"], step.jitter = told["jitter"],
-    step.share = told["share"];
-    step.count = told["count"], step.lasts = told["lasts"], step.within = told["within"];
+    step.rate = entry["rate"], step.acked = entry["acked"], step.part = entry["part-at-least"];
+    step.clock = entry["clock"], step.by = entry["by"], step.jitter = entry["jitter"],
+    step.share = entry["share"];
+    step.count = entry["count"], step.lasts = entry["lasts"], step.within = entry["within"];
     const auto fault = [&](const std::string& text) {
       faults.push_back(fmt::format("{}:{}: {}: {}", path, step.line, key, text));
     };
-    for (const std::set<int>* named : {&step.fronts, &step.to, &step.of, &step.none_failed}) {
-      if (!named->empty() && *named->rbegin() >= plan.fronts) {
-        fault("names a front that is not there");
+    for (const std::set<int>* indices : {&step.fronts, &step.to, &step.of, &step.none_failed}) {
+      if (!indices->empty() && *indices->rbegin() >= plan.fronts) {
+        fault("names a front that does not exist");
       }
     }
-    for (const std::set<int>* named : {&step.stores, &step.spared}) {
-      if (!named->empty() && *named->rbegin() >= plan.stores) {
-        fault("names a store that is not there");
+    for (const std::set<int>* indices : {&step.stores, &step.spared}) {
+      if (!indices->empty() && *indices->rbegin() >= plan.stores) {
+        fault("names a store that does not exist");
       }
     }
     if (plan.stores == 0 && !step.with.empty()) {
-      fault("'with' needs stores in the plan");
+      fault("'with' requires stores in the plan");
     }
     const bool sends = step.fault == "garbage" || step.fault == "replay";
     const bool streams = step.fault == "reset" || step.fault == "limit";
     const bool links = step.fault.starts_with("cut") || streams || step.fault == "slow";
     if (step.to.empty() ? sends : !sends && !step.fault.starts_with("cut")) {
-      fault("'to' goes with cut, garbage and replay; the last two need it");
+      fault("'to' is allowed with cut, garbage and replay only, and required with the last two");
     }
     if (links && step.fault != "slow" && step.to.empty() && step.stores.empty() && step.with.empty()) {
-      fault("the other side is missing: 'to', 'stores' or 'with'");
+      fault("the far side of the links is missing: 'to', 'stores' or 'with'");
     }
     if (!step.with.empty() && !links) {
-      fault("'with' goes with cut, slow, limit and reset");
+      fault("'with' is allowed with cut, slow, limit and reset only");
     }
-    if (step.stores.empty() ? of_stores(step.fault) : !of_stores(step.fault) && !links) {
-      fault("'stores' goes with what strikes stores, who need it, and with cut, slow, limit and reset");
+    if (step.stores.empty() ? is_store_fault(step.fault) : !is_store_fault(step.fault) && !links) {
+      fault("'stores' is required by store faults and allowed with cut, slow, limit and reset only");
     }
     if (step.of.empty() != (step.until == "now" || step.until == "agreed" || step.until == "accord")) {
-      fault("'of' goes with until there, failed, left, yielded, differs or cut-off, and they need it");
+      fault("'of' is required by until there, failed, left, yielded, differs and cut-off only");
     }
-    if (plan.consistency.empty() && of_accord(step.until)) {
-      fault("until accord, differs or cut-off needs (fleet (accord ...))");
+    if (plan.consistency.empty() && is_consistency_condition(step.until)) {
+      fault("until accord, differs or cut-off requires (fleet (accord ...))");
     }
     if (!step.name.empty() && (step.fault != "start" || step.fronts.size() != 1)) {
-      fault("'name' goes with the start of one front");
+      fault("'name' is allowed with the start of a single front only");
     }
     if (step.fault == "drawn") {
       const std::vector<Step> more =
-          drawn(plan, step.count, step, plan.seed + static_cast<std::uint64_t>(step.line));
+          random_faults(plan, step.count, step, plan.seed + static_cast<std::uint64_t>(step.line));
       plan.steps.insert(plan.steps.end(), more.begin(), more.end());
     } else {
       plan.steps.push_back(std::move(step));
@@ -194,12 +195,14 @@
   return plan;
 }
 
-std::vector<Step> drawn(const Plan& plan, int count, const Step& like, std::uint64_t seed) {
+std::vector<Step> random_faults(const Plan& plan, int count, const Step& like, std::uint64_t seed) {
   std::minstd_rand random(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1));
-  const auto below = [&random](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
+  const auto random_below = [&random](int most) {
+    return static_cast<int>(random() % static_cast<unsigned>(most));
+  };
   const int fronts = plan.fronts;
-  Step plain;
-  plain.fault = "none", plain.until = "now", plain.line = like.line, plain.within = like.within;
+  Step base;
+  base.fault = "none", base.until = "now", base.line = like.line, base.within = like.within;
   std::vector<const char*> kinds{"kill",        "start", "stop", "wake", "cut",
                                  "cut-one-way", "heal",  "slow", "loss"};
   if (plan.stores > 0) {
@@ -208,55 +211,55 @@
                   "promote", "drain", "enlist", "discovery-silent", "discovery-speaks"});
   }
   std::vector<Step> steps;
-  for (int turn = 0; turn < count; ++turn) {
-    Step step = plain;
-    step.fault = kinds[static_cast<std::size_t>(below(static_cast<int>(kinds.size())))];
-    step.fronts = {below(fronts)};
-    // A side of a cut is one front or a few; who is on both sides loses nothing by it.
+  for (int index = 0; index < count; ++index) {
+    Step step = base;
+    step.fault = kinds[static_cast<std::size_t>(random_below(static_cast<int>(kinds.size())))];
+    step.fronts = {random_below(fronts)};
+    // The far side of a cut is one or several fronts; a front on both sides loses no link to itself.
     const bool links = step.fault.starts_with("cut") || step.fault == "reset";
     if (step.fault.starts_with("cut")) {
-      for (int sides = 1 + below(fronts); sides > 0; --sides) {
-        step.to.insert(below(fronts));
+      for (int remaining = 1 + random_below(fronts); remaining > 0; --remaining) {
+        step.to.insert(random_below(fronts));
       }
     }
-    if (of_stores(step.fault) || (links && plan.stores > 0)) {
-      for (int sides = 1 + below(2); sides > 0; --sides) {
-        step.stores.insert(below(plan.stores));
+    if (is_store_fault(step.fault) || (links && plan.stores > 0)) {
+      for (int remaining = 1 + random_below(2); remaining > 0; --remaining) {
+        step.stores.insert(random_below(plan.stores));
       }
     }
-    if (links && plan.stores > 0 && below(3) == 0) {
-      step.with.insert(below(2) == 0 ? "discovery" : "clients");
+    if (links && plan.stores > 0 && random_below(3) == 0) {
+      step.with.insert(random_below(2) == 0 ? "discovery" : "clients");
     }
     if (step.fault == "slow") {
-      step.by = below(300), step.jitter = below(100);
+      step.by = random_below(300), step.jitter = random_below(100);
     }
     if (step.fault == "lag") {
-      step.by = below(5000);
+      step.by = random_below(5000);
     }
     if (step.fault == "loss" || step.fault == "errors") {
-      step.share = below(40) / 100.0;
+      step.share = random_below(40) / 100.0;
     }
-    step.lasts = 50 + below(1500);
+    step.lasts = 50 + random_below(1500);
     steps.push_back(std::move(step));
   }
-  std::vector<const char*> mends{"heal", "wake", "start"};
+  std::vector<const char*> repairs{"heal", "wake", "start"};
   if (plan.stores > 0) {
-    mends = {"heal", "rise", "recover", "enlist", "discovery-speaks", "wake", "start"};
+    repairs = {"heal", "rise", "recover", "enlist", "discovery-speaks", "wake", "start"};
   }
-  for (const char* mended : mends) {
-    steps.push_back(plain);
-    steps.back().fault = mended, steps.back().fronts = all_of(fronts);
-    if (of_stores(mended)) {
-      steps.back().stores = all_of(plan.stores);
+  for (const char* repair : repairs) {
+    steps.push_back(base);
+    steps.back().fault = repair, steps.back().fronts = all_fronts(fronts);
+    if (is_store_fault(repair)) {
+      steps.back().stores = all_fronts(plan.stores);
     }
   }
   steps.back().until = "agreed";
   return steps;
 }
 
-std::string text_of(const Step& step) {
+std::string describe(const Step& step) {
   std::string text = step.fault == "none" ? "nothing" : step.fault;
-  if (step.fault != "heal" && step.fault != "none" && !of_stores(step.fault) &&
+  if (step.fault != "heal" && step.fault != "none" && !is_store_fault(step.fault) &&
       !step.fault.starts_with("discovery")) {
     text += fmt::format(" {}", fmt::join(step.fronts, ","));
   }
--- a/src/faulttest/plan.hpp
+++ b/src/faulttest/plan.hpp
@@ -1,5 +1,6 @@
-// A plan of the rig: how many fronts, and what happens to them step by step. An S-expression, checked by
-// plan.json as the operators' file is by its own schema.
+// A fault test plan: the number of router processes ("fronts") and stores, and the faults that are injected
+// step by step. Plans are S-expressions, validated against plan.json as the operators' file is against its
+// own schema.
 #pragma once
 
 #include <optional>
@@ -15,20 +16,21 @@
 
 namespace reedspindle::faulttest {
 
-extern const operators::Form kPlan;
+extern const operators::Form kPlanForm;
 
 struct Step {
   std::string fault, name, until, in;
   std::set<int> fronts, to, of, none_failed, stores, spared;
-  std::set<std::string> with;  // discovery, clients: what else the links of the fronts go to
+  std::set<std::string> with;  // "discovery", "clients": further far sides of the links
   Millis clock = 0, by = 0, jitter = 0, lasts = 0, within = 0;
   double share = 0, rate = 0;
-  double part = 0;               // slots that each that runs has to have
-  double acked = 0;              // share of the step's ops that has to be acked in time
-  double sends = 0;              // that reach stores for each of the step's ops, at most; 0: any
-  double probes = 0, calls = 0;  // at most in any second: of a store, of all fronts to discovery; 0: any
+  double part = 0;   // connections that each running front must be able to use
+  double acked = 0;  // minimum share of the step's ops acknowledged in time
+  double sends = 0;  // most sends that reach stores per op of the step; 0: no limit
+  double probes = 0,
+         calls = 0;  // per second: probes of a store, calls of all fronts to discovery; 0: no limit
   int count = 0;
-  int line = 0;  // of the plan
+  int line = 0;  // in the plan file
 };
 
 struct Plan {
@@ -37,26 +39,26 @@
   Millis longest = 0;
   membership::Options fleet;
   struct QuotaManager {
-    int connections = 0;  // that one store takes from all fronts together; 0: nothing is shared
+    int connections = 0;  // limit of one store for all fronts together; 0: no quota
     Millis lease = 0, evidence = 0, notice = 0;
     double kept = 0;
   } quota;
-  std::string consistency, resends;  // as the operators' file has them; empty: off
-  Millis lag = 0;                    // that replicas stand behind, unless a step changes it
+  std::string consistency, resends;  // sections of the operators' file; empty: feature off
+  Millis lag = 0;                    // replication lag, unless a step changes it
   StoreWork work;
   ClientWork clients;
   invariants::Terms terms;
   std::vector<Step> steps;
 };
 
-// Whether that is waited for by what fronts say of their accord.
-bool of_accord(const std::string& until);
-// Throws operators::Faulty.
-Plan plan_in(const operators::File& file, const std::string& path);
-// Faults drawn by chance, each for a while, then all of them mended and all agreeing again. The same seed,
-// the same faults.
-std::vector<Step> drawn(const Plan& plan, int count, const Step& like, std::uint64_t seed);
-// What a step does, as one line.
-std::string text_of(const Step& step);
+// Returns whether the 'until' condition is judged by the consistency checks that the fronts report.
+bool is_consistency_condition(const std::string& until);
+// Throws operators::InvalidFile.
+Plan parse_plan(const operators::File& file, const std::string& path);
+// Returns random faults, each followed by a random pause, then the steps that repair all of them and wait
+// until all fronts agree. The same seed gives the same faults.
+std::vector<Step> random_faults(const Plan& plan, int count, const Step& like, std::uint64_t seed);
+// Describes a step in one line.
+std::string describe(const Step& step);
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/process.cpp
+++ b/src/faulttest/process.cpp
@@ -18,8 +18,9 @@
 namespace reedspindle::faulttest {
 namespace {
 
-// A child holds this process's sockets until it closes them, and meanwhile an address that this process has
-// closed can't be bound again: whoever forks waits until the child has closed what it inherited.
+// A child keeps this process's sockets open until it closes them, and until then an address that this process
+// has closed can't be bound again. The parent therefore waits after fork until the child has closed what it
+// inherited.
 class InheritedSockets {
  public:
   InheritedSockets() {
@@ -31,7 +32,7 @@
   InheritedSockets(const InheritedSockets&) = delete;
   InheritedSockets& operator=(const InheritedSockets&) = delete;
 
-  // In the parent. The pipe ends as the child closes its copy of the writing end, or ends itself.
+  // Called in the parent. The pipe reaches its end when the child closes its copy of the write end or exits.
   void wait_until_closed() {
     close(ends_[1]);
     char none = 0;
@@ -50,22 +51,22 @@
 
 Process::~Process() { signal(SIGKILL); }
 
-void Process::start(const std::string& config, const std::string& orders) {
-  if (up()) {
+void Process::start(const std::string& config, const std::string& operators_file) {
+  if (running()) {
     return;
   }
-  if (ending_) {
-    signal(SIGKILL);  // it was told to end and has not yet
+  if (terminating_) {
+    signal(SIGKILL);  // SIGTERM has been sent, but the process still runs
   }
   const std::string base = folder_ + "/" + label_;
   std::ofstream(base + ".json") << config;
-  std::ofstream(base + ".sexp") << orders;
+  std::ofstream(base + ".sexp") << operators_file;
   std::error_code none;
   std::filesystem::remove(status_path(), none);
-  const std::string orders_path = base + ".sexp";
+  const std::string operators_path = base + ".sexp";
   const std::string placement_path = base + ".json";
   const std::string log_path = base + ".log";
-  const pid_t rig = getpid();
+  const pid_t parent = getpid();
   InheritedSockets inherited;
   pid_ = fork();
   if (pid_ != 0) {
@@ -73,23 +74,23 @@
     return;
   }
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (getppid() != rig) {
-    _exit(127);  // the rig has ended in between
+  if (getppid() != parent) {
+    _exit(127);  // the parent ended before prctl took effect
   }
   const int log = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   dup2(log, STDERR_FILENO);
-  close_range(3, ~0U, 0);  // the rig's sockets are not its
+  close_range(3, ~0U, 0);  // closes the sockets inherited from the parent
   for (const char* variable : {"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"}) {
     unsetenv(variable);
   }
   setenv("ROUTER_CONFIG", placement_path.c_str(), 1);
-  execl(program_.c_str(), program_.c_str(), "run", orders_path.c_str(), nullptr);
+  execl(program_.c_str(), program_.c_str(), "run", operators_path.c_str(), nullptr);
   _exit(127);
 }
 
 void Process::reload(const std::string& config) {
   std::ofstream(folder_ + "/" + label_ + ".json") << config;
-  if (up()) {
+  if (running()) {
     signal(SIGHUP);
   }
 }
@@ -106,14 +107,14 @@
     stopped_ = false;
   }
   if (signal == SIGTERM) {
-    ending_ = true;
+    terminating_ = true;
     if (std::exchange(stopped_, false)) {
       kill(pid_, SIGCONT);
     }
   }
   if (signal == SIGKILL) {
     waitpid(std::exchange(pid_, 0), nullptr, 0);
-    stopped_ = ending_ = false;
+    stopped_ = terminating_ = false;
   }
 }
 
@@ -122,7 +123,7 @@
     return false;
   }
   pid_ = 0;
-  return !std::exchange(ending_, false);
+  return !std::exchange(terminating_, false);
 }
 
 nlohmann::json Process::status() const {
@@ -135,9 +136,9 @@
 std::vector<nlohmann::json> Process::log_lines() {
   std::vector<nlohmann::json> lines;
   std::ifstream file(folder_ + "/" + label_ + ".log");
-  file.seekg(static_cast<std::streamoff>(log_read_));
+  file.seekg(static_cast<std::streamoff>(log_offset_));
   for (std::string line; std::getline(file, line) && !file.eof();) {
-    log_read_ += line.size() + 1;
+    log_offset_ += line.size() + 1;
     const nlohmann::json json = nlohmann::json::parse(line, nullptr, false);
     if (json.is_object()) {
       lines.push_back(json);
--- a/src/faulttest/process.hpp
+++ b/src/faulttest/process.hpp
@@ -1,5 +1,5 @@
-// A front as a child process of the rig: its placement and operators' file, signals, its log and its status.
-// It dies with the rig, however that ends.
+// A router ("front") as a child process of the fault test: its placement and operators' files, signals, log
+// and status file. The kernel kills it when the fault test ends, however that happens.
 #pragma once
 
 #include <sys/types.h>
@@ -14,34 +14,36 @@
 
 class Process {
  public:
-  // Its files are in the folder under its label, which stays while its name may change.
+  // Its files are in the folder under the label, which stays the same when the front is started under another
+  // name.
   Process(std::string program, std::string folder, std::string label);
   ~Process();
   Process(const Process&) = delete;
 
-  void start(const std::string& config, const std::string& orders);
-  // The placement is another from now on, and it is told so.
+  void start(const std::string& config, const std::string& operators_file);
+  // Writes a new placement file and sends SIGHUP if the process is running.
   void reload(const std::string& config);
-  void signal(int signal);  // SIGSTOP, SIGCONT and such as end it
-  [[nodiscard]] bool up() const { return pid_ > 0 && !ending_; }
-  // There is a process, even if it was told to end.
-  [[nodiscard]] bool runs() const { return pid_ > 0; }
+  void signal(int signal);  // SIGSTOP, SIGCONT, SIGHUP, SIGTERM or SIGKILL
+  [[nodiscard]] bool running() const { return pid_ > 0 && !terminating_; }
+  // Whether the process exists, even if it has been sent SIGTERM.
+  [[nodiscard]] bool exists() const { return pid_ > 0; }
   [[nodiscard]] bool stopped() const { return stopped_; }
-  // Looks whether it has ended. True: it did by itself, which a front that was not told to must not.
+  // Reaps the process if it has ended. Returns true if it ended without having been sent SIGTERM, which is a
+  // fault.
   bool crashed();
   [[nodiscard]] pid_t pid() const { return pid_; }
 
   [[nodiscard]] std::string status_path() const { return folder_ + "/" + label_ + ".status"; }
-  // What it said last of its fellows in this life; null: nothing yet.
+  // The last status file since its start; null if there is none yet.
   [[nodiscard]] nlohmann::json status() const;
-  // Lines of its log that came since the last call, those that read as JSON.
+  // The lines of its log since the last call that are JSON objects.
   std::vector<nlohmann::json> log_lines();
 
  private:
   const std::string program_, folder_, label_;
   pid_t pid_ = 0;
-  bool stopped_ = false, ending_ = false;
-  std::size_t log_read_ = 0;
+  bool stopped_ = false, terminating_ = false;
+  std::size_t log_offset_ = 0;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/relay.cpp
+++ b/src/faulttest/relay.cpp
@@ -5,10 +5,13 @@
 
 namespace reedspindle::faulttest {
 
-constexpr std::size_t kKept = 256;  // datagrams of each front, for replays
+constexpr std::size_t kReplayable = 256;  // last datagrams of each front that are kept for replay
 
-struct Relay::Stand {
-  Stand(asio::io_context& io, int of, const Endpoint& place) : front(of), at(place), socket(io) { open(); }
+struct DatagramRelay::FrontSocket {
+  FrontSocket(asio::io_context& io, int number, const Endpoint& endpoint)
+      : front(number), at(endpoint), socket(io) {
+    open();
+  }
   void open() {
     socket.open(at.protocol());
     socket.bind(at);
@@ -19,28 +22,29 @@
   asio::ip::udp::socket socket;
   Endpoint sender;
   std::array<char, 2048> bytes;
-  std::deque<std::string> sent;  // by this front, the last ones
+  std::deque<std::string> sent;  // last datagrams sent by this front
 };
 
-Relay::Relay(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::vector<Endpoint> fronts,
-             std::vector<Endpoint> stands, std::uint64_t seed)
+DatagramRelay::DatagramRelay(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                             std::vector<Endpoint> fronts, std::vector<Endpoint> endpoints,
+                             std::uint64_t seed)
     : timers_(timers),
       clock_(clock),
       fronts_(std::move(fronts)),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)),
       links_(fronts_.size() * fronts_.size()),
-      carried_(fronts_.size()) {
-  for (const Endpoint& at : stands) {
-    stands_.push_back(std::make_unique<Stand>(io, static_cast<int>(stands_.size()), at));
-    listen(*stands_.back());
+      sent_traffic_(fronts_.size()) {
+  for (const Endpoint& at : endpoints) {
+    sockets_.push_back(std::make_unique<FrontSocket>(io, static_cast<int>(sockets_.size()), at));
+    listen(*sockets_.back());
   }
 }
 
-Relay::~Relay() = default;
+DatagramRelay::~DatagramRelay() = default;
 
-void Relay::heal() { std::ranges::fill(links_, Link{}); }
+void DatagramRelay::heal() { std::ranges::fill(links_, Link{}); }
 
-bool Relay::any_cut(int front) const {
+bool DatagramRelay::any_cut(int front) const {
   for (std::size_t other = 0; other < fronts_.size(); ++other) {
     if (links_[index(front, static_cast<int>(other))].cut ||
         links_[index(static_cast<int>(other), front)].cut) {
@@ -50,95 +54,96 @@
   return false;
 }
 
-void Relay::listening(int front, bool process) {
-  Stand& stand = *stands_[static_cast<std::size_t>(front)];
-  const bool wanted = process || any_cut(front);
-  if (wanted == stand.socket.is_open()) {
+void DatagramRelay::set_listening(int front, bool running) {
+  FrontSocket& front_socket = *sockets_[static_cast<std::size_t>(front)];
+  const bool wanted = running || any_cut(front);
+  if (wanted == front_socket.socket.is_open()) {
     return;
   }
   if (!wanted) {
-    return stand.socket.close();
+    return front_socket.socket.close();
   }
-  stand.open();
-  listen(stand);
+  front_socket.open();
+  listen(front_socket);
 }
 
-void Relay::listen(Stand& stand) {
-  stand.socket.async_receive_from(asio::buffer(stand.bytes), stand.sender,
-                                  [this, &stand](const asio::error_code& fault, std::size_t count) {
-                                    if (fault == asio::error::operation_aborted || !stand.socket.is_open()) {
-                                      return;
-                                    }
-                                    const auto from = std::ranges::find(fronts_, stand.sender);
-                                    if (!fault && from != fronts_.end()) {
-                                      came(static_cast<int>(from - fronts_.begin()), stand.front,
-                                           std::string(stand.bytes.data(), count));
-                                    }
-                                    listen(stand);
-                                  });
+void DatagramRelay::listen(FrontSocket& front_socket) {
+  front_socket.socket.async_receive_from(
+      asio::buffer(front_socket.bytes), front_socket.sender,
+      [this, &front_socket](const asio::error_code& fault, std::size_t count) {
+        if (fault == asio::error::operation_aborted || !front_socket.socket.is_open()) {
+          return;
+        }
+        const auto from = std::ranges::find(fronts_, front_socket.sender);
+        if (!fault && from != fronts_.end()) {
+          on_datagram(static_cast<int>(from - fronts_.begin()), front_socket.front,
+                      std::string(front_socket.bytes.data(), count));
+        }
+        listen(front_socket);
+      });
 }
 
-void Relay::came(int from, int to, std::string bytes) {
-  Carried& carried = carried_[static_cast<std::size_t>(from)];
-  ++carried.datagrams, carried.bytes += bytes.size();
-  std::deque<std::string>& sent = stands_[static_cast<std::size_t>(from)]->sent;
+void DatagramRelay::on_datagram(int from, int to, std::string bytes) {
+  SentTraffic& sent_traffic = sent_traffic_[static_cast<std::size_t>(from)];
+  ++sent_traffic.datagrams, sent_traffic.bytes += bytes.size();
+  std::deque<std::string>& sent = sockets_[static_cast<std::size_t>(from)]->sent;
   sent.push_back(bytes);
-  if (sent.size() > kKept) {
+  if (sent.size() > kReplayable) {
     sent.pop_front();
   }
-  // What a front sends to its own stand is for all the others.
+  // A datagram that a front sends to its own relay socket goes to all other fronts.
   if (from != to) {
-    return carry(from, to, bytes);
+    return apply_link(from, to, bytes);
   }
   for (int other = 0; other < static_cast<int>(fronts_.size()); ++other) {
     if (other != from) {
-      carry(from, other, bytes);
+      apply_link(from, other, bytes);
     }
   }
 }
 
-void Relay::carry(int from, int to, const std::string& bytes) {
+void DatagramRelay::apply_link(int from, int to, const std::string& bytes) {
   const Link& link = this->link(from, to);
   if (link.cut) {
     return;
   }
-  const int copies = link.doubled > 0 && chance() < link.doubled ? 2 : 1;
+  const int copies = link.duplication > 0 && random_share() < link.duplication ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    if (link.loss > 0 && chance() < link.loss) {
+    if (link.loss > 0 && random_share() < link.loss) {
       continue;
     }
-    const Millis later = link.by + (link.jitter > 0 ? link.jitter * chance() : 0);
-    if (later <= 0) {
-      pass(from, to, bytes);
+    const Millis delay = link.delay + (link.jitter > 0 ? link.jitter * random_share() : 0);
+    if (delay <= 0) {
+      send(from, to, bytes);
     } else {
-      timers_.set(clock_.now() + later, [this, from, to, bytes] { pass(from, to, bytes); });
+      timers_.set(clock_.now() + delay, [this, from, to, bytes] { send(from, to, bytes); });
     }
   }
 }
 
-void Relay::pass(int from, int to, const std::string& bytes) {
-  asio::error_code lost;  // as a network does
-  if (!stands_[static_cast<std::size_t>(from)]->socket.is_open()) {
-    return;  // it has ended meanwhile
+void DatagramRelay::send(int from, int to, const std::string& bytes) {
+  asio::error_code ignored;  // send errors are ignored: datagrams may get lost
+  if (!sockets_[static_cast<std::size_t>(from)]->socket.is_open()) {
+    return;  // the sending front has ended meanwhile
   }
-  stands_[static_cast<std::size_t>(from)]->socket.send_to(asio::buffer(bytes),
-                                                          fronts_[static_cast<std::size_t>(to)], 0, lost);
+  sockets_[static_cast<std::size_t>(from)]->socket.send_to(asio::buffer(bytes),
+                                                           fronts_[static_cast<std::size_t>(to)], 0, ignored);
 }
 
-void Relay::garbage(int to, int from, int count) {
-  for (int turn = 0; turn < count; ++turn) {
+void DatagramRelay::send_garbage(int to, int from, int count) {
+  for (int index = 0; index < count; ++index) {
     std::string bytes(1 + random_() % 256, 'M');
     for (std::size_t at = 1; at < bytes.size(); ++at) {
       bytes[at] = static_cast<char>(random_());
     }
-    pass(from, to, bytes);
+    send(from, to, bytes);
   }
 }
 
-void Relay::replay(int to, int from, int count) {
-  const std::deque<std::string>& sent = stands_[static_cast<std::size_t>(from)]->sent;
+void DatagramRelay::replay(int to, int from, int count) {
+  const std::deque<std::string>& sent = sockets_[static_cast<std::size_t>(from)]->sent;
   for (std::size_t at = 0; at < sent.size() && static_cast<int>(at) < count; ++at) {
-    pass(from, to, sent[at]);
+    send(from, to, sent[at]);
   }
 }
 
--- a/src/faulttest/relay.hpp
+++ b/src/faulttest/relay.hpp
@@ -1,6 +1,6 @@
-// Every datagram between two fronts goes through here: one socket a front, which the others take for that
-// front, so that who speaks to whom is told by the socket it came to and the address it came from. What the
-// link between the two does to it stands in Link.
+// Relays the datagrams between the fronts. The relay has one socket per front, whose address the other fronts
+// have as that front's: the receiving socket identifies the destination of a datagram, the source address its
+// sender. Link holds the faults that are injected in one direction between two fronts.
 #pragma once
 
 #include <array>
@@ -16,58 +16,61 @@
 
 namespace reedspindle::faulttest {
 
-// One way.
+// The link from one front to another, in that direction only.
 struct Link {
   bool cut = false;
-  Millis by = 0, jitter = 0;
-  double loss = 0, doubled = 0;
+  Millis delay = 0, jitter = 0;
+  double loss = 0, duplication = 0;
 };
 
-struct Carried {
-  std::uint64_t datagrams = 0, bytes = 0;  // that a front has sent
+struct SentTraffic {
+  std::uint64_t datagrams = 0, bytes = 0;  // sent by a front
 };
 
-class Relay {
+class DatagramRelay {
  public:
   using Endpoint = asio::ip::udp::endpoint;
 
-  // Where each front listens, and where the relay stands in for it.
-  Relay(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::vector<Endpoint> fronts,
-        std::vector<Endpoint> stands, std::uint64_t seed);
+  // 'fronts' are the addresses at which the fronts listen, 'endpoints' those of the relay's sockets for them.
+  DatagramRelay(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                std::vector<Endpoint> fronts, std::vector<Endpoint> endpoints, std::uint64_t seed);
 
-  ~Relay();
+  ~DatagramRelay();
 
   Link& link(int from, int to) { return links_.at(index(from, to)); }
   void heal();
-  // Whether somebody listens at a front's place. Where nobody does, who sends there is told so by this
-  // machine, as by the front's own; but not while any link to it is cut, for nothing comes through those.
-  void listening(int front, bool process);
-  [[nodiscard]] Carried carried(int front) const { return carried_.at(static_cast<std::size_t>(front)); }
+  // Opens or closes the relay's socket for a front. While it is closed, senders get "port unreachable" from
+  // this machine, as they would from the front's own. It stays open while any link of the front is cut, since
+  // a cut link delivers no such reply.
+  void set_listening(int front, bool running);
+  [[nodiscard]] SentTraffic sent_traffic(int front) const {
+    return sent_traffic_.at(static_cast<std::size_t>(front));
+  }
 
-  // To one front as if from another, whatever the link between them is like: what does not read, or what that
-  // one has sent before.
-  void garbage(int to, int from, int count);
+  // Sends datagrams to one front as if from another, whatever the state of the link: malformed ones, or ones
+  // that the other front has sent before.
+  void send_garbage(int to, int from, int count);
   void replay(int to, int from, int count);
 
  private:
-  struct Stand;
-  void listen(Stand& stand);
+  struct FrontSocket;
+  void listen(FrontSocket& front_socket);
   [[nodiscard]] bool any_cut(int front) const;
-  void came(int from, int to, std::string bytes);
-  void carry(int from, int to, const std::string& bytes);
-  void pass(int from, int to, const std::string& bytes);
+  void on_datagram(int from, int to, std::string bytes);
+  void apply_link(int from, int to, const std::string& bytes);
+  void send(int from, int to, const std::string& bytes);
   [[nodiscard]] std::size_t index(int from, int to) const {
     return static_cast<std::size_t>(from) * fronts_.size() + static_cast<std::size_t>(to);
   }
-  double chance() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
+  double random_share() { return static_cast<double>(random_()) / static_cast<double>(random_.max()); }
 
   net::Timers& timers_;
   const net::Clock& clock_;
   const std::vector<Endpoint> fronts_;
   std::minstd_rand random_;
   std::vector<Link> links_;
-  std::vector<Carried> carried_;
-  std::vector<std::unique_ptr<Stand>> stands_;
+  std::vector<SentTraffic> sent_traffic_;
+  std::vector<std::unique_ptr<FrontSocket>> sockets_;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/report.hpp
+++ b/src/faulttest/report.hpp
@@ -1,4 +1,4 @@
-// What a run has left behind, told second by second: faults, what became of ops, broken rules.
+// Formats the record of a run second by second: faults, outcomes of ops, violated invariants.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 namespace reedspindle::faulttest {
 
-// The record of a run (FaultTest::record) as lines.
+// Formats the record of a run (FaultTest::record), one string per line.
 std::vector<std::string> report(const nlohmann::json& record);
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -121,7 +121,7 @@
     std::uint64_t life = 0;  // counts connections: callbacks of an earlier one are none of this one's
   };
 
-  TestDiscovery::Now list_since(long long since);
+  TestDiscovery::ListUpdate list_since(long long since);
   [[nodiscard]] std::string row_of(int server) const;
   void publish(const std::vector<int>& servers, bool whole);
   void release_step(int step);
@@ -206,7 +206,7 @@
       listed_[static_cast<std::size_t>(server)] = Listing::active;
     }
   }
-  servers_.on({}, [this](int server, const std::string& request, const Tcp::endpoint&) {
+  servers_.set_callbacks({}, [this](int server, const std::string& request, const Tcp::endpoint&) {
     attempt_came(server, request);
   });
 }
@@ -230,7 +230,7 @@
                      servers_.state(server).group, state, servers_.state(server).booted);
 }
 
-TestDiscovery::Now Day::list_since(long long since) {
+TestDiscovery::ListUpdate Day::list_since(long long since) {
   const bool whole = since < 0 || std::exchange(whole_next_, false);
   std::string rows;
   for (int server = 0; server < total_; ++server) {
@@ -247,8 +247,8 @@
     }
     rows += row_of(server);
   }
-  TestDiscovery::Now now{revision_,
-                         fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, whole, rows)};
+  TestDiscovery::ListUpdate now{
+      revision_, fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, whole, rows)};
   cost_.list_bytes += now.list.size();
   // What is written here counts as told.
   for (int server = 0; server < total_; ++server) {
@@ -269,7 +269,7 @@
     changed_at_[static_cast<std::size_t>(server)] = revision_;
   }
   whole_next_ = whole;
-  discovery_.changed();
+  discovery_.notify_watchers();
 }
 
 // A part of the new servers comes, that part's old ones drain, the part before goes. In the middle discovery
@@ -301,17 +301,17 @@
   if (step == kReleaseSteps / 2) {  // hand-overs in an eighth of the groups
     for (int group = 0; group < groups_; group += kReleaseSteps) {
       const int next = group + groups_;
-      servers_.state(next).reached = servers_.position(next);
-      servers_.state(group).reached = servers_.position(group);
+      servers_.state(next).min_position = servers_.position(next);
+      servers_.state(group).min_position = servers_.position(group);
       servers_.state(group).primary = false;
       servers_.state(next).primary = true;
     }
   }
   if (step == kOutageFrom) {
-    discovery_.be_silent(true);
+    discovery_.set_silent(true);
   }
   if (step == kOutageTo) {
-    discovery_.be_silent(false);
+    discovery_.set_silent(false);
   }
   publish(changed, step == kOutageTo);
 }
--- a/src/faulttest/streams.cpp
+++ b/src/faulttest/streams.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr std::size_t kHeld =
-    256 * 1024;                        // bytes that one connection may have under way; then it is not read
-constexpr Millis kRemembered = 20000;  // longer than any op of a plan may take
-constexpr int kWaiting = 512;          // connections that nobody has accepted yet
+// Buffered bytes of one direction of a connection; with more, its source is not read.
+constexpr std::size_t kMaxBuffered = 256 * 1024;
+// How long records of closed connections are kept: longer than any op of a plan may take.
+constexpr Millis kRecordRetention = 20000;
+constexpr int kBacklog = 512;
 
 void set_reset(asio::ip::tcp::socket& socket) {
   asio::error_code ignored;
@@ -22,277 +23,285 @@
 
 }  // namespace
 
-struct Streams::Gate {
-  Gate(asio::io_context& io, const Endpoint& at, Endpoint to_whom)
-      : acceptor(io), target(std::move(to_whom)) {
+struct StreamRelay::Forwarder {
+  Forwarder(asio::io_context& io, const Endpoint& at, Endpoint to) : acceptor(io), target(std::move(to)) {
     acceptor.open(at.protocol());
     acceptor.set_option(asio::socket_base::reuse_address(true));
     acceptor.bind(at);
-    acceptor.listen(kWaiting);
+    acceptor.listen(kBacklog);
   }
   int number = 0;
   asio::ip::tcp::acceptor acceptor;
   const Endpoint target;
-  Way to, back;
-  int open = 0;  // connections that who opened them has not ended
+  Direction forward, backward;
+  int open = 0;  // connections that the opening party has not closed
 };
 
-struct Streams::Pipe {
-  Pipe(asio::ip::tcp::socket& source, asio::ip::tcp::socket& sink, Way& of, Passage& written_down)
-      : from(source), to(sink), way(of), passage(written_down) {}
-  struct Piece {
+struct StreamRelay::Pipe {
+  Pipe(asio::ip::tcp::socket& source, asio::ip::tcp::socket& sink, Direction& of, TransferRecord& record)
+      : from(source), to(sink), direction(of), transfer(record) {}
+  struct Chunk {
     Millis due = 0;
-    std::string bytes;  // none: the end
+    std::string bytes;  // empty: end of the stream
     bool reset = false;
   };
   asio::ip::tcp::socket &from, &to;
-  Way& way;
-  Passage& passage;
-  std::deque<Piece> held;
-  std::size_t bytes_held = 0;
+  Direction& direction;
+  TransferRecord& transfer;
+  std::deque<Chunk> queue;
+  std::size_t buffered = 0;
   Millis last_due = 0;
-  bool reading = false, writing = false, over = false;
-  std::optional<net::Timers::Handle> wake;
+  bool reading = false, writing = false, ended = false;
+  std::optional<net::Timers::Handle> timer;
   std::array<char, 16384> buffer;
 };
 
-struct Streams::Connection {
-  Connection(Gate& of, asio::ip::tcp::socket socket, asio::io_context& io)
-      : gate(of),
+struct StreamRelay::Connection {
+  Connection(Forwarder& owner, asio::ip::tcp::socket socket, asio::io_context& io)
+      : forwarder(owner),
         opener(std::move(socket)),
         target(io),
-        crossing(std::make_shared<Crossing>()),
-        to(opener, target, of.to, crossing->to),
-        back(target, opener, of.back, crossing->back) {
-    crossing->gate = of.number;
+        record(std::make_shared<ConnectionRecord>()),
+        forward(opener, target, owner.forward, record->forward),
+        backward(target, opener, owner.backward, record->backward) {
+    record->forwarder = owner.number;
   }
-  Gate& gate;
+  Forwarder& forwarder;
   asio::ip::tcp::socket opener, target;
-  std::shared_ptr<Crossing> crossing;
-  Pipe to, back;
-  Endpoint far, near;  // the two far ends
-  bool connecting = false, connected = false, given_back = false;
+  std::shared_ptr<ConnectionRecord> record;
+  Pipe forward, backward;
+  Endpoint opener_endpoint, target_endpoint;  // addresses as the opener and the target see them
+  bool connecting = false, connected = false, closed = false;
 };
 
-Streams::Streams(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::uint64_t seed)
+StreamRelay::StreamRelay(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                         std::uint64_t seed)
     : io_(io),
       timers_(timers),
       clock_(clock),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
-Streams::~Streams() = default;
+StreamRelay::~StreamRelay() = default;
 
-int Streams::open(const Endpoint& at, const Endpoint& target) {
-  gates_.push_back(std::make_unique<Gate>(io_, at, target));
-  gates_.back()->number = static_cast<int>(gates_.size()) - 1;
-  accept(*gates_.back());
-  return gates_.back()->number;
+int StreamRelay::open(const Endpoint& at, const Endpoint& target) {
+  forwarders_.push_back(std::make_unique<Forwarder>(io_, at, target));
+  forwarders_.back()->number = static_cast<int>(forwarders_.size()) - 1;
+  accept(*forwarders_.back());
+  return forwarders_.back()->number;
 }
 
-Way& Streams::to(int gate) { return gates_.at(static_cast<std::size_t>(gate))->to; }
-Way& Streams::back(int gate) { return gates_.at(static_cast<std::size_t>(gate))->back; }
+Direction& StreamRelay::forward(int forwarder) {
+  return forwarders_.at(static_cast<std::size_t>(forwarder))->forward;
+}
+Direction& StreamRelay::backward(int forwarder) {
+  return forwarders_.at(static_cast<std::size_t>(forwarder))->backward;
+}
 
-void Streams::accept(Gate& gate) {
-  gate.acceptor.async_accept([this, &gate](const asio::error_code& fault, asio::ip::tcp::socket socket) {
-    if (fault == asio::error::operation_aborted) {
-      return;
-    }
-    if (!fault) {
-      const auto connection = std::make_shared<Connection>(gate, std::move(socket), io_);
-      asio::error_code gone;
-      connection->far = connection->opener.remote_endpoint(gone);
-      if (!gone) {
-        connections_.push_back(connection);
-        ++gate.open;
-        ends_[connection->far] = connection;
-        read(connection, connection->to);
-        connect(connection);
-      }
-    }
-    accept(gate);
-  });
+void StreamRelay::accept(Forwarder& forwarder) {
+  forwarder.acceptor.async_accept(
+      [this, &forwarder](const asio::error_code& fault, asio::ip::tcp::socket socket) {
+        if (fault == asio::error::operation_aborted) {
+          return;
+        }
+        if (!fault) {
+          const auto connection = std::make_shared<Connection>(forwarder, std::move(socket), io_);
+          asio::error_code closed;
+          connection->opener_endpoint = connection->opener.remote_endpoint(closed);
+          if (!closed) {
+            connections_.push_back(connection);
+            ++forwarder.open;
+            by_endpoint_[connection->opener_endpoint] = connection;
+            read(connection, connection->forward);
+            connect(connection);
+          }
+        }
+        accept(forwarder);
+      });
 }
 
-void Streams::connect(const Connected& connection) {
-  if (connection->connecting || connection->gate.to.cut || connection->gate.back.cut) {
+void StreamRelay::connect(const ConnectionPtr& connection) {
+  if (connection->connecting || connection->forwarder.forward.cut || connection->forwarder.backward.cut) {
     return;
   }
   connection->connecting = true;
   connection->target.async_connect(
-      connection->gate.target, [this, connection](const asio::error_code& fault) {
-        if (connection->given_back) {
+      connection->forwarder.target, [this, connection](const asio::error_code& fault) {
+        if (connection->closed) {
           return;
         }
         if (fault) {
-          return break_off(connection);
+          return reset_connection(connection);
         }
         connection->connected = true;
         asio::error_code ignored;
-        connection->near = connection->target.local_endpoint(ignored);
-        ends_[connection->near] = connection;
+        connection->target_endpoint = connection->target.local_endpoint(ignored);
+        by_endpoint_[connection->target_endpoint] = connection;
         for (asio::ip::tcp::socket* socket : {&connection->opener, &connection->target}) {
           socket->set_option(asio::ip::tcp::no_delay(true), ignored);
         }
-        pass(connection, connection->to);
-        read(connection, connection->back);
+        deliver(connection, connection->forward);
+        read(connection, connection->backward);
       });
 }
 
-void Streams::read(const Connected& connection, Pipe& pipe) {
-  if (pipe.reading || pipe.over || pipe.bytes_held > kHeld) {
+void StreamRelay::read(const ConnectionPtr& connection, Pipe& pipe) {
+  if (pipe.reading || pipe.ended || pipe.buffered > kMaxBuffered) {
     return;
   }
   pipe.reading = true;
   pipe.from.async_read_some(
       asio::buffer(pipe.buffer), [this, connection, &pipe](const asio::error_code& fault, std::size_t count) {
         pipe.reading = false;
-        if (connection->given_back) {
+        if (connection->closed) {
           return;
         }
         const Millis now = clock_.now();
-        // In order, whatever the jitter.
-        const double drawn = static_cast<double>(random_()) / static_cast<double>(random_.max());
-        Millis due = std::max(pipe.last_due, now + pipe.way.by + pipe.way.jitter * drawn);
-        if (pipe.way.rate > 0) {
-          due += static_cast<double>(count) * 1000 / pipe.way.rate;
+        // Never before earlier bytes, so that jitter does not reorder the stream.
+        const double random = static_cast<double>(random_()) / static_cast<double>(random_.max());
+        Millis due = std::max(pipe.last_due, now + pipe.direction.delay + pipe.direction.jitter * random);
+        if (pipe.direction.rate > 0) {
+          due += static_cast<double>(count) * 1000 / pipe.direction.rate;
         }
         pipe.last_due = due;
         if (fault) {
-          pipe.passage.ended = now, pipe.over = true;
-          if (&pipe == &connection->to) {
-            --connection->gate.open;
+          pipe.transfer.ended_at = now, pipe.ended = true;
+          if (&pipe == &connection->forward) {
+            --connection->forwarder.open;
           }
-          pipe.held.push_back({due, "", fault != asio::error::eof});
+          pipe.queue.push_back({due, "", fault != asio::error::eof});
         } else {
-          pipe.passage.read = now, pipe.passage.taken += count, pipe.bytes_held += count;
-          pipe.held.push_back({due, std::string(pipe.buffer.data(), count), false});
+          pipe.transfer.read = now, pipe.transfer.bytes_read += count, pipe.buffered += count;
+          pipe.queue.push_back({due, std::string(pipe.buffer.data(), count), false});
         }
-        pass(connection, pipe);
+        deliver(connection, pipe);
         read(connection, pipe);
       });
 }
 
-void Streams::pass(const Connected& connection, Pipe& pipe) {
-  if (connection->given_back || !connection->connected || pipe.writing || pipe.held.empty() || pipe.way.cut) {
+void StreamRelay::deliver(const ConnectionPtr& connection, Pipe& pipe) {
+  if (connection->closed || !connection->connected || pipe.writing || pipe.queue.empty() ||
+      pipe.direction.cut) {
     return;
   }
-  if (pipe.held.front().due > clock_.now()) {
-    if (!pipe.wake) {
-      pipe.wake = timers_.set(pipe.held.front().due, [this, connection, &pipe] {
-        pipe.wake.reset();
-        pass(connection, pipe);
+  if (pipe.queue.front().due > clock_.now()) {
+    if (!pipe.timer) {
+      pipe.timer = timers_.set(pipe.queue.front().due, [this, connection, &pipe] {
+        pipe.timer.reset();
+        deliver(connection, pipe);
       });
     }
     return;
   }
-  if (pipe.held.front().bytes.empty()) {
-    const bool reset = pipe.held.front().reset;
-    pipe.held.pop_front();
+  if (pipe.queue.front().bytes.empty()) {
+    const bool reset = pipe.queue.front().reset;
+    pipe.queue.pop_front();
     if (reset) {
-      return break_off(connection);
+      return reset_connection(connection);
     }
     asio::error_code ignored;
     pipe.to.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    if (connection->to.over && connection->back.over && connection->to.held.empty() &&
-        connection->back.held.empty()) {
-      give_back(connection);
+    if (connection->forward.ended && connection->backward.ended && connection->forward.queue.empty() &&
+        connection->backward.queue.empty()) {
+      close(connection);
     }
     return;
   }
   pipe.writing = true;
-  asio::async_write(pipe.to, asio::buffer(pipe.held.front().bytes),
+  asio::async_write(pipe.to, asio::buffer(pipe.queue.front().bytes),
                     [this, connection, &pipe](const asio::error_code& fault, std::size_t count) {
                       pipe.writing = false;
-                      if (connection->given_back) {
+                      if (connection->closed) {
                         return;
                       }
-                      fault ? break_off(connection) : wrote(connection, pipe, count);
+                      fault ? reset_connection(connection) : on_written(connection, pipe, count);
                     });
 }
 
-void Streams::wrote(const Connected& connection, Pipe& pipe, std::size_t bytes) {
-  pipe.passage.written = clock_.now(), pipe.passage.given += bytes;
-  pipe.bytes_held -= bytes;
-  pipe.held.pop_front();
-  if (passed_) {
-    passed_({connection->gate.number, &pipe == &connection->back, connection->far, connection->near,
-             pipe.passage.given, pipe.passage.written});
+void StreamRelay::on_written(const ConnectionPtr& connection, Pipe& pipe, std::size_t bytes) {
+  pipe.transfer.written = clock_.now(), pipe.transfer.bytes_written += bytes;
+  pipe.buffered -= bytes;
+  pipe.queue.pop_front();
+  if (on_delivery_) {
+    on_delivery_({connection->forwarder.number, &pipe == &connection->backward, connection->opener_endpoint,
+                  connection->target_endpoint, pipe.transfer.bytes_written, pipe.transfer.written});
   }
-  pass(connection, pipe);
+  deliver(connection, pipe);
   read(connection, pipe);
 }
 
-void Streams::break_off(const Connected& connection) {
+void StreamRelay::reset_connection(const ConnectionPtr& connection) {
   set_reset(connection->opener);
   set_reset(connection->target);
-  give_back(connection);
+  close(connection);
 }
 
-void Streams::give_back(const Connected& connection) {
-  if (std::exchange(connection->given_back, true)) {
+void StreamRelay::close(const ConnectionPtr& connection) {
+  if (std::exchange(connection->closed, true)) {
     return;
   }
-  if (!connection->to.over) {
-    --connection->gate.open;
+  if (!connection->forward.ended) {
+    --connection->forwarder.open;
   }
   asio::error_code ignored;
   connection->opener.close(ignored);
   connection->target.close(ignored);
-  timers_.cancel(connection->to.wake);
-  timers_.cancel(connection->back.wake);
+  timers_.cancel(connection->forward.timer);
+  timers_.cancel(connection->backward.timer);
   const Millis now = clock_.now();
-  for (const Endpoint& end : {connection->far, connection->near}) {
-    if (ends_.erase(end) > 0) {
-      gone_[end] = {now, connection->crossing}, going_.push_back(end);
+  for (const Endpoint& end : {connection->opener_endpoint, connection->target_endpoint}) {
+    if (by_endpoint_.erase(end) > 0) {
+      closed_records_[end] = {now, connection->record}, closed_order_.push_back(end);
     }
   }
-  while (!going_.empty()) {
-    const auto oldest = gone_.find(going_.front());
-    // An end may have come back since, under the same numbers.
-    if (oldest != gone_.end() && now - oldest->second.first < kRemembered) {
+  while (!closed_order_.empty()) {
+    const auto oldest = closed_records_.find(closed_order_.front());
+    // The same address may have been used again since, by a connection that closed later.
+    if (oldest != closed_records_.end() && now - oldest->second.first < kRecordRetention) {
       break;
     }
-    if (oldest != gone_.end()) {
-      gone_.erase(oldest);
+    if (oldest != closed_records_.end()) {
+      closed_records_.erase(oldest);
     }
-    going_.pop_front();
+    closed_order_.pop_front();
   }
   connections_.remove(connection);
 }
 
-void Streams::go_on() {
-  for (const Connected& connection : std::list<Connected>(connections_)) {
+void StreamRelay::resume() {
+  for (const ConnectionPtr& connection : std::list<ConnectionPtr>(connections_)) {
     connect(connection);
-    pass(connection, connection->to);
-    pass(connection, connection->back);
+    deliver(connection, connection->forward);
+    deliver(connection, connection->backward);
   }
 }
 
-void Streams::heal() {
-  for (const auto& gate : gates_) {
-    gate->to = gate->back = {};
+void StreamRelay::heal() {
+  for (const auto& forwarder : forwarders_) {
+    forwarder->forward = forwarder->backward = {};
   }
-  go_on();
+  resume();
 }
 
-void Streams::reset(int gate) {
-  for (const Connected& connection : std::list<Connected>(connections_)) {
-    if (connection->gate.number == gate) {
-      break_off(connection);
+void StreamRelay::reset(int forwarder) {
+  for (const ConnectionPtr& connection : std::list<ConnectionPtr>(connections_)) {
+    if (connection->forwarder.number == forwarder) {
+      reset_connection(connection);
     }
   }
 }
 
-int Streams::open_at(int gate) const { return gates_.at(static_cast<std::size_t>(gate))->open; }
+int StreamRelay::open_connections(int forwarder) const {
+  return forwarders_.at(static_cast<std::size_t>(forwarder))->open;
+}
 
-std::shared_ptr<const Crossing> Streams::crossing(const Endpoint& end) const {
-  if (const auto found = ends_.find(end); found != ends_.end()) {
-    if (const Connected connection = found->second.lock()) {
-      return connection->crossing;
+std::shared_ptr<const ConnectionRecord> StreamRelay::record(const Endpoint& end) const {
+  if (const auto found = by_endpoint_.find(end); found != by_endpoint_.end()) {
+    if (const ConnectionPtr connection = found->second.lock()) {
+      return connection->record;
     }
   }
-  const auto gone = gone_.find(end);
-  return gone == gone_.end() ? nullptr : gone->second.second;
+  const auto closed = closed_records_.find(end);
+  return closed == closed_records_.end() ? nullptr : closed->second.second;
 }
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/streams.hpp
+++ b/src/faulttest/streams.hpp
@@ -1,7 +1,8 @@
-// Every connection between two parties of the rig goes through a gate here: who opens one meets the gate in
-// the place of the other party. What the link does to the bytes, each way, stands in Way; a cut holds them as
-// a network does that loses every packet, and they come when it is healed. What crossed and when is written
-// down for the checker of the rules.
+// Relays the TCP connections between the parties of a fault test. Each pair of parties has a forwarder, a
+// listener whose address the opening party has as that of the other. Direction holds the faults that are
+// injected in one direction of a link; a cut holds the bytes back, as retransmission does on a network that
+// loses every packet, and they are delivered after it is healed. The relay records what each connection
+// transferred and when, to be passed to the invariant checker.
 #pragma once
 
 #include <asio.hpp>
@@ -21,76 +22,80 @@
 using Endpoint = asio::ip::tcp::endpoint;
 
 // One direction of a link.
-struct Way {
+struct Direction {
   bool cut = false;
-  Millis by = 0, jitter = 0;
-  double rate = 0;  // bytes a second; 0: no limit
+  Millis delay = 0, jitter = 0;
+  double rate = 0;  // bytes per second; 0: no limit
 };
 
-// What one connection has carried one way. Below 0: nothing yet.
-struct Passage {
-  Millis read = -1, written = -1;  // when the last bytes came from the one side, went out to the other
-  std::size_t taken = 0, given = 0;
-  Millis ended = -1;  // when the one side ended its sending
+// What one connection has transferred in one direction. Times below 0: not yet.
+struct TransferRecord {
+  Millis read = -1, written = -1;  // when the last bytes were read from the source, and written to the sink
+  std::size_t bytes_read = 0, bytes_written = 0;
+  Millis ended_at = -1;  // when the source ended its sending side
 };
-struct Crossing {
-  int gate = -1;
-  Passage to, back;  // to: from who opened it
+struct ConnectionRecord {
+  int forwarder = -1;
+  TransferRecord forward, backward;  // forward: from the party that opened the connection
 };
 
-class Streams {
+class StreamRelay {
  public:
-  Streams(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::uint64_t seed);
-  ~Streams();
+  StreamRelay(asio::io_context& io, net::Timers& timers, const net::Clock& clock, std::uint64_t seed);
+  ~StreamRelay();
 
   int open(const Endpoint& at, const Endpoint& target);
-  Way& to(int gate);
-  Way& back(int gate);
-  // What was held goes on where nothing is cut any more.
-  void go_on();
-  void reset(int gate);
-  // All ways whole again.
+  Direction& forward(int forwarder);
+  Direction& backward(int forwarder);
+  // Delivers what was held back on links that are no longer cut.
+  void resume();
+  void reset(int forwarder);
+  // Removes all faults.
   void heal();
 
-  // Connections that who opened them has not ended.
-  [[nodiscard]] int open_at(int gate) const;
+  // Connections that the opening party has not closed.
+  [[nodiscard]] int open_connections(int forwarder) const;
 
-  // By either of its two far ends; stays for a while after both have ended.
-  [[nodiscard]] std::shared_ptr<const Crossing> crossing(const Endpoint& end) const;
-  // Bytes have gone out at the far side: to whom a connection was opened, or back to who opened it.
-  struct Passed {
-    int gate = -1;
-    bool back = false;
-    Endpoint opener, target;  // its two far ends, as the one and the other see them
-    std::size_t given = 0;    // of that connection, that way, in all
+  // The record of a connection, by the address of either party on it; kept for a while after both have closed
+  // it.
+  [[nodiscard]] std::shared_ptr<const ConnectionRecord> record(const Endpoint& end) const;
+  // Bytes have been written to a party: to the target of the connection or, backward, to its opener.
+  struct Delivery {
+    int forwarder = -1;
+    bool backward = false;
+    Endpoint opener, target;        // addresses of the connection as opener and target see them
+    std::size_t bytes_written = 0;  // total bytes written in this direction of the connection
     Millis at = 0;
   };
-  void on(std::function<void(const Passed&)> passed) { passed_ = std::move(passed); }
+  void set_callback(std::function<void(const Delivery&)> on_delivery) {
+    on_delivery_ = std::move(on_delivery);
+  }
 
  private:
-  struct Gate;
+  struct Forwarder;
   struct Connection;
   struct Pipe;
-  using Connected = std::shared_ptr<Connection>;
+  using ConnectionPtr = std::shared_ptr<Connection>;
 
-  void accept(Gate& gate);
-  void connect(const Connected& connection);
-  void read(const Connected& connection, Pipe& pipe);
-  void pass(const Connected& connection, Pipe& pipe);
-  void wrote(const Connected& connection, Pipe& pipe, std::size_t bytes);
-  void break_off(const Connected& connection);
-  void give_back(const Connected& connection);
+  void accept(Forwarder& forwarder);
+  void connect(const ConnectionPtr& connection);
+  void read(const ConnectionPtr& connection, Pipe& pipe);
+  void deliver(const ConnectionPtr& connection, Pipe& pipe);
+  void on_written(const ConnectionPtr& connection, Pipe& pipe, std::size_t bytes);
+  void reset_connection(const ConnectionPtr& connection);
+  void close(const ConnectionPtr& connection);
 
   asio::io_context& io_;
   net::Timers& timers_;
   const net::Clock& clock_;
   std::minstd_rand random_;
-  std::vector<std::unique_ptr<Gate>> gates_;
-  std::list<Connected> connections_;  // the one owner of each
-  std::map<Endpoint, std::weak_ptr<Connection>> ends_;
-  std::map<Endpoint, std::pair<Millis, std::shared_ptr<const Crossing>>> gone_;  // kept for a while
-  std::list<Endpoint> going_;                                                    // the oldest first
-  std::function<void(const Passed&)> passed_;
+  std::vector<std::unique_ptr<Forwarder>> forwarders_;
+  std::list<ConnectionPtr> connections_;  // owns all connections
+  std::map<Endpoint, std::weak_ptr<Connection>> by_endpoint_;
+  std::map<Endpoint, std::pair<Millis, std::shared_ptr<const ConnectionRecord>>>
+      closed_records_;                // with the time of closing
+  std::list<Endpoint> closed_order_;  // keys of closed_records_, oldest first
+  std::function<void(const Delivery&)> on_delivery_;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/test_clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -16,36 +16,37 @@
 
 namespace {
 
-constexpr std::size_t kOfSession = 16;  // connections that a session has at most; beyond, ops are not sent
-constexpr Millis kHome = 5000;          // after which a session tries its own front again
-constexpr Millis kGivesUp = 500;  // after its op timeout a client closes, whatever the rules say by then
-constexpr Millis kCrosses = 50;   // an end this soon after an op came has crossed it: it is asked again
-constexpr std::size_t kTallies = 36000;  // an hour of them
+constexpr std::size_t kMaxConnectionsPerSession = 16;  // further ops count as unsent
+constexpr Millis kReturnHomeAfter = 5000;              // after a failover a session returns to its home front
+constexpr Millis kTimeoutMargin = 500;                 // after the op timeout a client closes the connection
+// A close this soon after an op arrived is taken as a race with it, and the op is sent again.
+constexpr Millis kCloseRace = 50;
+constexpr std::size_t kMaxTallies = 36000;  // one hour
 
 }  // namespace
 
-const char* word_of(Came came) {
+const char* outcome_name(OpOutcome outcome) {
   constexpr const char* words[] = {"in time", "late", "busy replied", "errored", "unanswered", "unsent"};
-  return words[static_cast<int>(came)];
+  return words[static_cast<int>(outcome)];
 }
 
 int Tally::ops() const {
-  int all = 0;
-  for (const auto& [one, count] : came) {
-    all += count;
+  int sum = 0;
+  for (const auto& [outcome, count] : outcomes) {
+    sum += count;
   }
-  return all;
+  return sum;
 }
 
-double Tally::share(Came one) const {
-  const auto found = came.find(one);
-  return found == came.end() ? 0 : static_cast<double>(found->second) / std::max(1, ops());
+double Tally::share(OpOutcome outcome) const {
+  const auto found = outcomes.find(outcome);
+  return found == outcomes.end() ? 0 : static_cast<double>(found->second) / std::max(1, ops());
 }
 
 struct TestClients::Session {
   int number = 0, home = 0, front = 0;
-  Millis moved = 0, token = 0;  // token: the position of its last commit
-  std::vector<Connected> idle;
+  Millis failed_over_at = 0, token = 0;  // token: position of the session's last commit
+  std::vector<ConnectionPtr> idle;
   std::size_t connections = 0;
 };
 
@@ -54,9 +55,9 @@
   const ClientOp* type = nullptr;
   Session* session = nullptr;
   int front = 0;
-  Millis meant = 0, after = 0;
+  Millis due = 0, after = 0;
   bool taken = false;
-  std::optional<net::Timers::Handle> limit;
+  std::optional<net::Timers::Handle> timeout;
 };
 
 struct TestClients::Connection {
@@ -65,18 +66,19 @@
   const int front;
   Tcp::socket socket;
   Endpoint end;
-  std::string held, out;
+  std::string received, out;
   std::array<char, 4096> bytes;
-  std::size_t sent = 0;  // bytes, in all
-  bool welcomed = false, given_back = false, has_value = false;
-  bool taken = false, used = false;  // taken: the op it has; used: an op was answered on it
+  std::size_t sent = 0;  // total bytes
+  bool ready = false, closed = false, has_value = false;
+  // taken: the front has received the current op; used: an op was answered on it.
+  bool taken = false, used = false;
   std::string code, value;
   std::shared_ptr<Op> request;
 };
 
-TestClients::TestClients(asio::io_context& io, net::Timers& timers, const net::Clock& clock, Streams& streams,
-                         invariants::InvariantChecker& rules, std::vector<Endpoint> fronts, int groups,
-                         const ClientWork& work, std::uint64_t seed)
+TestClients::TestClients(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
+                         StreamRelay& streams, invariants::InvariantChecker& rules,
+                         std::vector<Endpoint> fronts, int groups, const ClientWork& work, std::uint64_t seed)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -95,76 +97,77 @@
 
 TestClients::~TestClients() = default;
 
-void TestClients::begin() {
-  meant_ = clock_.now();
-  next();
+void TestClients::start() {
+  next_due_ = clock_.now();
+  send_due_ops();
 }
 
-void TestClients::rest() { timers_.cancel(next_); }
+void TestClients::stop() { timers_.cancel(next_op_); }
 
-// By a clock of its own: where the loop was late, ops that were meant for then are sent now and count from
-// then.
-void TestClients::next() {
-  timers_.cancel(next_);
+// Due times do not depend on the event loop: where it was late, overdue ops are sent now, with their latency
+// measured from the due time.
+void TestClients::send_due_ops() {
+  timers_.cancel(next_op_);
   const Millis now = clock_.now();
-  while (meant_ <= now) {
+  while (next_due_ <= now) {
     const auto op = std::make_shared<Op>();
-    op->id = fmt::format("{:016x}", ++last_);
-    op->meant = meant_;
-    double drawn = chance();
+    op->id = fmt::format("{:016x}", ++last_id_);
+    op->due = next_due_;
+    double random = random_share();
     for (const ClientOp& type : work_.mix) {
-      drawn -= type.weight, op->type = drawn < 0 && !op->type ? &type : op->type;
+      random -= type.weight, op->type = random < 0 && !op->type ? &type : op->type;
     }
     if (!op->type) {
       op->type = &work_.mix.back();
     }
     op->session = sessions_[random_() % sessions_.size()].get();
-    ask(op);
-    meant_ += -std::log(1 - std::min(0.999999, chance())) * 1000 / work_.rate;
+    send(op);
+    next_due_ += -std::log(1 - std::min(0.999999, random_share())) * 1000 / work_.rate;
   }
-  next_ = timers_.set(meant_, [this] { next_.reset(), next(); });
+  next_op_ = timers_.set(next_due_, [this] { next_op_.reset(), send_due_ops(); });
 }
 
-void TestClients::ask(const std::shared_ptr<Op>& op) {
+void TestClients::send(const std::shared_ptr<Op>& op) {
   Session& session = *op->session;
   const Millis now = clock_.now();
-  if (session.front != session.home && now - session.moved > kHome) {
+  if (session.front != session.home && now - session.failed_over_at > kReturnHomeAfter) {
     session.front = session.home;
   }
-  std::erase_if(session.idle, [&](const Connected& idle) { return idle->given_back; });
-  const auto known = std::ranges::find(session.idle, session.front, &Connection::front);
-  if (known == session.idle.end() && session.connections >= kOfSession) {
+  std::erase_if(session.idle, [&](const ConnectionPtr& idle) { return idle->closed; });
+  const auto idle = std::ranges::find(session.idle, session.front, &Connection::front);
+  if (idle == session.idle.end() && session.connections >= kMaxConnectionsPerSession) {
     if (op->taken) {
       rules_.note(invariants::Gone{op->id});
     }
-    return end(op, Came::unsent, now);
+    return finish(op, OpOutcome::unsent, now);
   }
   ops_[op->id] = op;
   op->front = session.front;
-  const double left = std::max(1.0, op->meant + work_.request_timeout - now);
+  const double left = std::max(1.0, op->due + work_.request_timeout - now);
   const int group = session.number % groups_;
-  std::string more;
+  std::string fields;
   if (op->type->effect == invariants::Effect::tokened) {
-    more += fmt::format(",k=t{}", op->id);
+    fields += fmt::format(",k=t{}", op->id);
   }
-  more += fmt::format(",cluster={}", group);
+  fields += fmt::format(",cluster={}", group);
   if (op->type->needs == invariants::Needs::session && session.token > 0) {
-    more += fmt::format(",after={:.0f}", op->after = std::ceil(session.token));
+    fields += fmt::format(",after={:.0f}", op->after = std::ceil(session.token));
   }
-  const std::string comment = fmt::format("/* id={},c={},d={:.0f}{} */", op->id, op->type->name, left, more);
+  const std::string comment =
+      fmt::format("/* id={},c={},d={:.0f}{} */", op->id, op->type->name, left, fields);
   op->text = op->type->needs == invariants::Needs::write
                  ? fmt::format("INSERT INTO records (k, v) VALUES ('s{}', '\\x9f03') RETURNING v {}",
                                session.number, comment)
                  : fmt::format("SELECT v FROM records WHERE k = 's{}' {}", session.number, comment);
-  if (!op->limit) {
-    op->limit = timers_.set(op->meant + work_.request_timeout + kGivesUp, [this, op] {
-      op->limit.reset();
-      give_up(op);
+  if (!op->timeout) {
+    op->timeout = timers_.set(op->due + work_.request_timeout + kTimeoutMargin, [this, op] {
+      op->timeout.reset();
+      on_timeout(op);
     });
   }
-  if (known != session.idle.end()) {
-    const Connected connection = *known;
-    session.idle.erase(known);
+  if (idle != session.idle.end()) {
+    const ConnectionPtr connection = *idle;
+    session.idle.erase(idle);
     connection->request = op;
     return write(connection);
   }
@@ -175,45 +178,45 @@
   connect(connection);
 }
 
-void TestClients::connect(const Connected& connection) {
+void TestClients::connect(const ConnectionPtr& connection) {
   connection->socket.async_connect(fronts_[static_cast<std::size_t>(connection->front)],
                                    [this, connection](const asio::error_code& fault) {
-                                     if (connection->given_back) {
+                                     if (connection->closed) {
                                        return;
                                      }
                                      if (fault) {
-                                       return broken(connection);
+                                       return on_disconnect(connection);
                                      }
                                      asio::error_code ignored;
                                      connection->socket.set_option(Tcp::no_delay(true), ignored);
                                      connection->end = connection->socket.local_endpoint(ignored);
-                                     ends_[connection->end] = connection;
+                                     by_endpoint_[connection->end] = connection;
                                      connection->out = postgres::startup("svc", "main");
                                      write(connection);
                                      read(connection);
                                    });
 }
 
-void TestClients::write(const Connected& connection) {
+void TestClients::write(const ConnectionPtr& connection) {
   connection->out += postgres::query(connection->request->text);
   connection->sent += connection->out.size();
   connection->code.clear(), connection->value.clear(), connection->has_value = connection->taken = false;
   asio::async_write(connection->socket, asio::buffer(connection->out),
                     [this, connection](const asio::error_code& fault, std::size_t) {
-                      if (connection->given_back) {
+                      if (connection->closed) {
                         return;
                       }
                       connection->out.clear();
                       if (fault) {
-                        broken(connection);
+                        on_disconnect(connection);
                       }
                     });
 }
 
-void TestClients::passed(const Streams::Passed& passed) {
-  const auto found = ends_.find(passed.opener);
-  const Connected connection = found == ends_.end() ? nullptr : found->second.lock();
-  if (!connection || !connection->request || passed.back || passed.given < connection->sent) {
+void TestClients::on_delivery(const StreamRelay::Delivery& delivery) {
+  const auto found = by_endpoint_.find(delivery.opener);
+  const ConnectionPtr connection = found == by_endpoint_.end() ? nullptr : found->second.lock();
+  if (!connection || !connection->request || delivery.backward || delivery.bytes_written < connection->sent) {
     return;
   }
   Op& op = *connection->request;
@@ -225,31 +228,31 @@
                                 {op.front},
                                 op.type->needs,
                                 op.type->effect,
-                                passed.at,
-                                std::max(1.0, op.meant + work_.request_timeout - passed.at),
+                                delivery.at,
+                                std::max(1.0, op.due + work_.request_timeout - delivery.at),
                                 op.type->bound,
                                 op.after});
 }
 
-void TestClients::read(const Connected& connection) {
+void TestClients::read(const ConnectionPtr& connection) {
   connection->socket.async_read_some(
       asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
-        if (connection->given_back) {
+        if (connection->closed) {
           return;
         }
         if (fault) {
-          return broken(connection);
+          return on_disconnect(connection);
         }
-        connection->held.append(connection->bytes.data(), count);
+        connection->received.append(connection->bytes.data(), count);
         for (;;) {
-          const postgres::ReadResult read = postgres::read_from_server(connection->held);
+          const postgres::ReadResult read = postgres::read_from_server(connection->received);
           const auto* message = std::get_if<postgres::Message>(&read);
           if (!message) {
             break;
           }
           const std::string body(message->body);
           const char type = message->type;
-          connection->held.erase(0, message->bytes.size());
+          connection->received.erase(0, message->bytes.size());
           if (type == 'E') {
             const auto fields = postgres::read_error(body);
             connection->code = fields ? fields->code : "?";
@@ -259,10 +262,10 @@
               connection->value = *value, connection->has_value = true;
             }
           }
-          if (type == 'Z' && std::exchange(connection->welcomed, true)) {
-            answered(connection);
+          if (type == 'Z' && std::exchange(connection->ready, true)) {
+            on_answer(connection);
           }
-          if (connection->given_back) {
+          if (connection->closed) {
             return;
           }
         }
@@ -270,83 +273,84 @@
       });
 }
 
-void TestClients::answered(const Connected& connection) {
+void TestClients::on_answer(const ConnectionPtr& connection) {
   const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
   if (!op) {
     return;
   }
-  const auto crossing = streams_.crossing(connection->end);
+  const auto record = streams_.record(connection->end);
   const Millis now = clock_.now();
   const bool busy = connection->code == "53300" || connection->code == "57P03";
   const invariants::Answer answer = connection->code.empty() ? invariants::Answer::acked
                                     : busy                   ? invariants::Answer::busy_replied
                                                              : invariants::Answer::errored;
-  rules_.note(invariants::Answered{op->id, answer, crossing ? crossing->back.read : now,
+  rules_.note(invariants::Answered{op->id, answer, record ? record->backward.read : now,
                                    connection->has_value && connection->value == "\x9f" + op->id});
   if (answer == invariants::Answer::acked && op->type->needs == invariants::Needs::write) {
     if (const auto commit = commits_.find(op->id); commit != commits_.end()) {
       op->session->token = std::max(op->session->token, commit->second);
     }
   }
-  const bool in_time = now - op->meant <= work_.latency_target;
-  end(op,
-      answer == invariants::Answer::acked ? (in_time ? Came::in_time : Came::late)
-      : busy                              ? Came::busy_replied
-                                          : Came::errored,
-      now);
+  const bool in_time = now - op->due <= work_.latency_target;
+  finish(op,
+         answer == invariants::Answer::acked ? (in_time ? OpOutcome::in_time : OpOutcome::late)
+         : busy                              ? OpOutcome::busy_replied
+                                             : OpOutcome::errored,
+         now);
   connection->used = true;
   connection->session.idle.push_back(connection);
 }
 
-void TestClients::broken(const Connected& connection) {
-  // A fatal error is an answer, and needs no ReadyForQuery behind it.
+void TestClients::on_disconnect(const ConnectionPtr& connection) {
+  // A FATAL error is an answer even though no ReadyForQuery follows.
   if (connection->request && !connection->code.empty()) {
-    answered(connection);
+    on_answer(connection);
   }
   const std::shared_ptr<Op> op = std::exchange(connection->request, nullptr);
-  const auto crossing = streams_.crossing(connection->end);
-  give_back(connection);
+  const auto record = streams_.record(connection->end);
+  close(connection);
   if (!op) {
     return;
   }
-  const Millis ended = crossing ? crossing->back.ended : -1;
-  const Millis came = crossing ? crossing->to.written : -1;
+  const Millis ended_at = record ? record->backward.ended_at : -1;
+  const Millis received_at = record ? record->forward.written : -1;
   Session& session = *op->session;
-  // The first op on a connection that is closed at once was turned away with it.
-  if (connection->taken && connection->used && ended >= 0 && ended - came > kCrosses) {
-    rules_.note(invariants::AttemptBrokenOff{op->id, ended});
-  } else if (connection->used && ended >= 0 && clock_.now() < op->meant + work_.request_timeout) {
-    return ask(op);  // the front ended the connection before it can have read the op
+  // A connection closed right after its first op was rejected together with the op.
+  if (connection->taken && connection->used && ended_at >= 0 && ended_at - received_at > kCloseRace) {
+    rules_.note(invariants::AttemptBrokenOff{op->id, ended_at});
+  } else if (connection->used && ended_at >= 0 && clock_.now() < op->due + work_.request_timeout) {
+    return send(op);  // the front closed the connection before it can have read the op
   } else if (op->taken) {
     rules_.note(invariants::Gone{op->id});
   }
-  move_on(session);
-  end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
+  fail_over(session);
+  finish(op, op->taken ? OpOutcome::unanswered : OpOutcome::unsent, clock_.now());
 }
 
-void TestClients::give_up(const std::shared_ptr<Op>& op) {
+void TestClients::on_timeout(const std::shared_ptr<Op>& op) {
   if (op->taken) {
     rules_.note(invariants::Gone{op->id});
   }
-  for (const Connected& connection : std::list<Connected>(connections_)) {
+  for (const ConnectionPtr& connection : std::list<ConnectionPtr>(connections_)) {
     if (connection->request == op) {
-      give_back(connection);
+      close(connection);
     }
   }
-  move_on(*op->session);
-  end(op, op->taken ? Came::unanswered : Came::unsent, clock_.now());
+  fail_over(*op->session);
+  finish(op, op->taken ? OpOutcome::unanswered : OpOutcome::unsent, clock_.now());
 }
 
-void TestClients::move_on(Session& session) {
-  session.front = (session.front + 1) % static_cast<int>(fronts_.size()), session.moved = clock_.now();
+void TestClients::fail_over(Session& session) {
+  session.front = (session.front + 1) % static_cast<int>(fronts_.size()),
+  session.failed_over_at = clock_.now();
 }
 
-void TestClients::end(const std::shared_ptr<Op>& op, Came came, Millis at) {
-  timers_.cancel(op->limit);
+void TestClients::finish(const std::shared_ptr<Op>& op, OpOutcome outcome, Millis at) {
+  timers_.cancel(op->timeout);
   ops_.erase(op->id);
   commits_.erase(op->id);
-  const Millis span = std::floor(op->meant / kTallied) * kTallied;
-  // Ops end out of order, but none is far behind.
+  const Millis span = std::floor(op->due / kTallySpan) * kTallySpan;
+  // Ops finish out of order, but only slightly, so the search starts at the newest tally.
   auto tally = tallies_.end();
   while (tally != tallies_.begin() && std::prev(tally)->at >= span) {
     --tally;
@@ -354,22 +358,22 @@
   if (tally == tallies_.end() || tally->at != span) {
     tally = tallies_.insert(tally, Tally{span, {}, {}});
   }
-  ++tally->came[came];
-  if (came == Came::in_time || came == Came::late) {
-    tally->latencies.push_back(at - op->meant);
+  ++tally->outcomes[outcome];
+  if (outcome == OpOutcome::in_time || outcome == OpOutcome::late) {
+    tally->latencies.push_back(at - op->due);
   }
-  if (tallies_.size() > kTallies) {
+  if (tallies_.size() > kMaxTallies) {
     tallies_.pop_front();
   }
 }
 
-void TestClients::give_back(const Connected& connection) {
-  if (std::exchange(connection->given_back, true)) {
+void TestClients::close(const ConnectionPtr& connection) {
+  if (std::exchange(connection->closed, true)) {
     return;
   }
   asio::error_code ignored;
   connection->socket.close(ignored);
-  ends_.erase(connection->end);
+  by_endpoint_.erase(connection->end);
   std::erase(connection->session.idle, connection);
   --connection->session.connections;
   connections_.remove(connection);
--- a/src/faulttest/test_discovery.cpp
+++ b/src/faulttest/test_discovery.cpp
@@ -10,20 +10,24 @@
 
 using Tcp = asio::ip::tcp;
 
-struct TestDiscovery::Link {
-  explicit Link(Tcp::socket open) : socket(std::move(open)) {}
+struct TestDiscovery::Connection {
+  explicit Connection(Tcp::socket accepted) : socket(std::move(accepted)) {}
   Tcp::socket socket;
   Tcp::endpoint from;
-  std::string held, out;
+  std::string received, out;
   std::array<char, 4096> bytes;
   std::size_t sent = 0;
-  long long since = -1;  // of a watch that waits
-  std::optional<net::Timers::Handle> until;
+  long long since = -1;  // revision of the waiting watch; below 0: none
+  std::optional<net::Timers::Handle> timeout;
 };
 
 TestDiscovery::TestDiscovery(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
-                             const Tcp::endpoint& at, Ask ask, Written written)
-    : timers_(timers), clock_(clock), acceptor_(io, at), ask_(std::move(ask)), written_(std::move(written)) {
+                             const Tcp::endpoint& at, ListSource list_source, OnWritten on_written)
+    : timers_(timers),
+      clock_(clock),
+      acceptor_(io, at),
+      list_source_(std::move(list_source)),
+      on_written_(std::move(on_written)) {
   accept();
 }
 
@@ -34,81 +38,84 @@
     if (fault) {
       return;
     }
-    const auto link = std::make_shared<Link>(std::move(socket));
+    const auto connection = std::make_shared<Connection>(std::move(socket));
     asio::error_code ignored;
-    link->from = link->socket.remote_endpoint(ignored);
-    read(link);
+    connection->from = connection->socket.remote_endpoint(ignored);
+    read(connection);
     accept();
   });
 }
 
-void TestDiscovery::read(const Linked& link) {
-  link->socket.async_read_some(asio::buffer(link->bytes),
-                               [this, link](const asio::error_code& fault, std::size_t count) {
-                                 if (fault) {
-                                   return timers_.cancel(link->until);
-                                 }
-                                 link->held.append(link->bytes.data(), count);
-                                 const std::size_t end = link->held.find("\r\n\r\n");
-                                 if (end != std::string::npos) {
-                                   const std::string line = link->held.substr(0, link->held.find("\r\n"));
-                                   link->held.erase(0, end + 4);
-                                   take(link, line);
-                                 }
-                                 read(link);
-                               });
+void TestDiscovery::read(const ConnectionPtr& connection) {
+  connection->socket.async_read_some(
+      asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
+        if (fault) {
+          return timers_.cancel(connection->timeout);
+        }
+        connection->received.append(connection->bytes.data(), count);
+        const std::size_t header_end = connection->received.find("\r\n\r\n");
+        if (header_end != std::string::npos) {
+          const std::string line = connection->received.substr(0, connection->received.find("\r\n"));
+          connection->received.erase(0, header_end + 4);
+          handle_request(connection, line);
+        }
+        read(connection);
+      });
 }
 
-void TestDiscovery::take(const Linked& link, const std::string& line) {
-  const auto number = [&line](const char* name, long long other) {
+void TestDiscovery::handle_request(const ConnectionPtr& connection, const std::string& line) {
+  const auto number = [&line](const char* name, long long fallback) {
     const std::size_t at = line.find(name);
-    return at == std::string::npos ? other : std::stoll(line.substr(at + std::string(name).size()));
+    return at == std::string::npos ? fallback : std::stoll(line.substr(at + std::string(name).size()));
   };
-  timers_.cancel(link->until);
+  timers_.cancel(connection->timeout);
   ++calls_;
-  link->since = number("since=", -1);
+  connection->since = number("since=", -1);
   if (silent_) {
     return;
   }
-  const Now now = ask_(link->since);
-  if (link->since < 0 || link->since < now.revision) {
-    return answer(link, now.list, now.revision);
+  const ListUpdate update = list_source_(connection->since);
+  if (connection->since < 0 || connection->since < update.revision) {
+    return respond(connection, update.list, update.revision);
   }
-  watching_.push_back(link);
-  // A watch whose time is over hears that nothing has changed.
-  link->until = timers_.set(clock_.now() + static_cast<double>(number("timeout_ms=", 60000)), [this, link] {
-    link->until.reset();
-    if (silent_ || link->since < 0) {
-      return;
-    }
-    answer(link, fmt::format(R"({{"rev":{},"all":false,"targets":[]}})", link->since), link->since);
-  });
+  watchers_.push_back(connection);
+  // A watch that times out gets an empty list of changes.
+  connection->timeout =
+      timers_.set(clock_.now() + static_cast<double>(number("timeout_ms=", 60000)), [this, connection] {
+        connection->timeout.reset();
+        if (silent_ || connection->since < 0) {
+          return;
+        }
+        respond(connection, fmt::format(R"({{"rev":{},"all":false,"targets":[]}})", connection->since),
+                connection->since);
+      });
 }
 
-void TestDiscovery::changed() {
-  std::erase_if(watching_, [](const auto& weak) { return weak.expired() || weak.lock()->since < 0; });
+void TestDiscovery::notify_watchers() {
+  std::erase_if(watchers_, [](const auto& weak) { return weak.expired() || weak.lock()->since < 0; });
   if (silent_) {
     return;
   }
-  for (const auto& weak : std::exchange(watching_, {})) {
-    const Linked link = weak.lock();
-    if (!link || link->since < 0) {
+  for (const auto& weak : std::exchange(watchers_, {})) {
+    const ConnectionPtr connection = weak.lock();
+    if (!connection || connection->since < 0) {
       continue;
     }
-    const Now now = ask_(link->since);
-    answer(link, now.list, now.revision);
+    const ListUpdate update = list_source_(connection->since);
+    respond(connection, update.list, update.revision);
   }
 }
 
-void TestDiscovery::answer(const Linked& link, const std::string& body, long long revision) {
-  link->since = -1;
-  timers_.cancel(link->until);
-  link->out = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
-  link->sent += link->out.size();
-  if (written_) {
-    written_(link->from, link->sent, revision);
+void TestDiscovery::respond(const ConnectionPtr& connection, const std::string& body, long long revision) {
+  connection->since = -1;
+  timers_.cancel(connection->timeout);
+  connection->out = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body);
+  connection->sent += connection->out.size();
+  if (on_written_) {
+    on_written_(connection->from, connection->sent, revision);
   }
-  asio::async_write(link->socket, asio::buffer(link->out), [link](const asio::error_code&, std::size_t) {});
+  asio::async_write(connection->socket, asio::buffer(connection->out),
+                    [connection](const asio::error_code&, std::size_t) {});
 }
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/test_discovery.hpp
+++ b/src/faulttest/test_discovery.hpp
@@ -1,5 +1,6 @@
-// A stand-in for discovery on loopback: the whole list, and watches that wait for a change or for their time.
-// Who made it says what the list is; it says when an answer has been written.
+// A test server for discovery on loopback. It serves the full endpoint list and long-poll watches, which it
+// answers when the list changes or the watch times out. The owner provides the list and is notified of each
+// response.
 #pragma once
 
 #include <asio.hpp>
@@ -15,41 +16,41 @@
 
 class TestDiscovery {
  public:
-  struct Now {
+  struct ListUpdate {
     long long revision = 0;
-    std::string list;  // whole or what has changed, as JSON
+    std::string list;  // the full list or the changes, as JSON
   };
-  // Of a watch with the revision that it has; below 0: the whole list is asked for.
-  using Ask = std::function<Now(long long since)>;
-  // How many bytes that connection has been sent, the answer included.
-  using Written =
+  // Called for each request with the revision that the client has; below 0: it requests the full list.
+  using ListSource = std::function<ListUpdate(long long since)>;
+  // Called for each response with the total bytes sent on the connection, this response included.
+  using OnWritten =
       std::function<void(const asio::ip::tcp::endpoint& to, std::size_t bytes, long long revision)>;
 
   TestDiscovery(asio::io_context& io, net::Timers& timers, const net::Clock& clock,
-                const asio::ip::tcp::endpoint& at, Ask ask, Written written = {});
+                const asio::ip::tcp::endpoint& at, ListSource list_source, OnWritten on_written = {});
   ~TestDiscovery();
 
   [[nodiscard]] asio::ip::tcp::endpoint at() const { return acceptor_.local_endpoint(); }
-  // Those who watch are told.
-  void changed();
-  // It takes what is asked and says nothing.
-  void be_silent(bool silent) { silent_ = silent; }
+  // Answers all waiting watches.
+  void notify_watchers();
+  // While silent, the server accepts requests and does not answer them.
+  void set_silent(bool silent) { silent_ = silent; }
   [[nodiscard]] std::uint64_t calls() const { return calls_; }
 
  private:
-  struct Link;
-  using Linked = std::shared_ptr<Link>;
+  struct Connection;
+  using ConnectionPtr = std::shared_ptr<Connection>;
   void accept();
-  void read(const Linked& link);
-  void take(const Linked& link, const std::string& line);
-  void answer(const Linked& link, const std::string& body, long long revision);
+  void read(const ConnectionPtr& connection);
+  void handle_request(const ConnectionPtr& connection, const std::string& line);
+  void respond(const ConnectionPtr& connection, const std::string& body, long long revision);
 
   net::Timers& timers_;
   const net::Clock& clock_;
   asio::ip::tcp::acceptor acceptor_;
-  const Ask ask_;
-  const Written written_;
-  std::list<std::weak_ptr<Link>> watching_;
+  const ListSource list_source_;
+  const OnWritten on_written_;
+  std::list<std::weak_ptr<Connection>> watchers_;
   bool silent_ = false;
   std::uint64_t calls_ = 0;
 };
--- a/src/faulttest/test_stores.cpp
+++ b/src/faulttest/test_stores.cpp
@@ -40,39 +40,39 @@
          postgres::command_complete(tag);
 }
 
-std::string failed(const char* code, const char* text) {
+std::string error_response(const char* code, const char* text) {
   return postgres::error(postgres::Severity::error, code, text) + postgres::ready_for_query();
 }
 
 }  // namespace
 
 struct TestStores::Connection {
-  Connection(Place& of, Tcp::socket open) : place(of), socket(std::move(open)) {}
-  Place& place;
+  Connection(Store& of, Tcp::socket open) : store_entry(of), socket(std::move(open)) {}
+  Store& store_entry;
   Tcp::socket socket;
   Tcp::endpoint from;
-  std::string held, out, writing;
+  std::string received, out, writing;
   std::array<char, 4096> bytes;
   bool started = false;
 };
 
 struct TestStores::Job {
-  Connected connection;
+  ConnectionPtr connection;
   std::string request, token;
   bool writes = false;
-  Millis came = 0;
-  int life = 0;
+  Millis received_at = 0;
+  int generation = 0;
 };
 
-struct TestStores::Place {
-  Place(asio::io_context& io, int number) : store(number), acceptor(io) {}
+struct TestStores::Store {
+  Store(asio::io_context& io, int number) : store(number), acceptor(io) {}
   const int store;
   Tcp::acceptor acceptor;
   Tcp::endpoint at;
   StoreState state;
   std::list<std::weak_ptr<Connection>> connections;
   std::deque<Job> queue;
-  int utilization = 0, life = 0;
+  int utilization = 0, generation = 0;
 
   void listen() {
     acceptor.open(at.protocol());
@@ -91,49 +91,49 @@
       work_(work),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
   for (const Tcp::endpoint& endpoint : at) {
-    places_.push_back(std::make_unique<Place>(io, size()));
-    places_.back()->at = endpoint;
-    places_.back()->listen();
-    accept(*places_.back());
+    stores_.push_back(std::make_unique<Store>(io, size()));
+    stores_.back()->at = endpoint;
+    stores_.back()->listen();
+    accept(*stores_.back());
   }
 }
 
 TestStores::~TestStores() = default;
 
-Tcp::endpoint TestStores::at(int store) const { return places_.at(static_cast<std::size_t>(store))->at; }
-StoreState& TestStores::state(int store) { return place(store).state; }
+Tcp::endpoint TestStores::at(int store) const { return stores_.at(static_cast<std::size_t>(store))->at; }
+StoreState& TestStores::state(int store) { return store_entry(store).state; }
 const StoreState& TestStores::state(int store) const {
-  return places_.at(static_cast<std::size_t>(store))->state;
+  return stores_.at(static_cast<std::size_t>(store))->state;
 }
 
 Millis TestStores::position(int store) const {
-  const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
+  const StoreState& state = stores_.at(static_cast<std::size_t>(store))->state;
   if (state.primary) {
     return clock_.now();
   }
-  return state.stalled_at >= 0 ? state.stalled_at : std::max(state.reached, clock_.now() - state.lag);
+  return state.stalled_at >= 0 ? state.stalled_at : std::max(state.min_position, clock_.now() - state.lag);
 }
 
 double TestStores::slow_start_fraction(int store) const {
-  const StoreState& state = places_.at(static_cast<std::size_t>(store))->state;
+  const StoreState& state = stores_.at(static_cast<std::size_t>(store))->state;
   if (state.booted <= 0) {
     return 1;
   }
-  const double run = std::min(1.0, (clock_.now() - state.booted) / work_.warm_within);
-  return work_.cold_from + (1 - work_.cold_from) * run;
+  const double progress = std::min(1.0, (clock_.now() - state.booted) / work_.warm_within);
+  return work_.cold_from + (1 - work_.cold_from) * progress;
 }
 
 void TestStores::fall(int store) {
-  Place& place = this->place(store);
-  if (!std::exchange(place.state.up, false)) {
+  Store& store_entry = this->store_entry(store);
+  if (!std::exchange(store_entry.state.up, false)) {
     return;
   }
-  ++place.life, place.utilization = 0;
-  place.queue.clear();
+  ++store_entry.generation, store_entry.utilization = 0;
+  store_entry.queue.clear();
   asio::error_code ignored;
-  place.acceptor.close(ignored);
-  for (const auto& weak : std::exchange(place.connections, {})) {
-    if (const Connected connection = weak.lock()) {
+  store_entry.acceptor.close(ignored);
+  for (const auto& weak : std::exchange(store_entry.connections, {})) {
+    if (const ConnectionPtr connection = weak.lock()) {
       connection->socket.set_option(asio::socket_base::linger(true, 0), ignored);
       connection->socket.close(ignored);
     }
@@ -141,171 +141,172 @@
 }
 
 void TestStores::rise(int store) {
-  Place& place = this->place(store);
-  if (std::exchange(place.state.up, true)) {
+  Store& store_entry = this->store_entry(store);
+  if (std::exchange(store_entry.state.up, true)) {
     return;
   }
-  place.state.booted = clock_.now();
-  place.listen();
-  accept(place);
+  store_entry.state.booted = clock_.now();
+  store_entry.listen();
+  accept(store_entry);
 }
 
-void TestStores::accept(Place& place) {
-  place.acceptor.async_accept([this, &place](const asio::error_code& fault, Tcp::socket socket) {
-    if (fault || !place.state.up) {
+void TestStores::accept(Store& store_entry) {
+  store_entry.acceptor.async_accept([this, &store_entry](const asio::error_code& fault, Tcp::socket socket) {
+    if (fault || !store_entry.state.up) {
       return;
     }
     ++accepted_;
     asio::error_code ignored;
     socket.set_option(Tcp::no_delay(true), ignored);
-    const auto connection = std::make_shared<Connection>(place, std::move(socket));
+    const auto connection = std::make_shared<Connection>(store_entry, std::move(socket));
     connection->from = connection->socket.remote_endpoint(ignored);
-    std::erase_if(place.connections, [](const auto& weak) { return weak.expired(); });
-    place.connections.push_back(connection);
+    std::erase_if(store_entry.connections, [](const auto& weak) { return weak.expired(); });
+    store_entry.connections.push_back(connection);
     read(connection);
-    accept(place);
+    accept(store_entry);
   });
 }
 
-void TestStores::read(const Connected& connection) {
-  connection->socket.async_read_some(
-      asio::buffer(connection->bytes), [this, connection](const asio::error_code& fault, std::size_t count) {
-        if (fault) {
-          return;
-        }
-        connection->held.append(connection->bytes.data(), count);
-        if (!connection->started && connection->held.starts_with("PRI")) {
-          if (const auto port = http2_.find(connection->place.store); port != http2_.end()) {
-            pass_on(connection, port->second);
-          }
-          return;
-        }
-        for (;;) {
-          const postgres::ReadResult read = connection->started ? postgres::read_from_client(connection->held)
-                                                                : postgres::read_startup(connection->held);
-          const auto* asked = std::get_if<postgres::Message>(&read);
-          if (!asked) {
-            break;
-          }
-          const std::string text(asked->body.substr(0, asked->body.empty() ? 0 : asked->body.size() - 1));
-          const bool asks = asked->type == 'Q';
-          connection->held.erase(0, asked->bytes.size());
-          if (!std::exchange(connection->started, true)) {
-            answer(connection, postgres::startup_response());
-          } else if (asks) {
-            take(connection, text);
-          }
-        }
-        this->read(connection);
-      });
+void TestStores::read(const ConnectionPtr& connection) {
+  connection->socket.async_read_some(asio::buffer(connection->bytes), [this, connection](
+                                                                          const asio::error_code& fault,
+                                                                          std::size_t count) {
+    if (fault) {
+      return;
+    }
+    connection->received.append(connection->bytes.data(), count);
+    if (!connection->started && connection->received.starts_with("PRI")) {
+      if (const auto port = http2_ports_.find(connection->store_entry.store); port != http2_ports_.end()) {
+        forward_to(connection, port->second);
+      }
+      return;
+    }
+    for (;;) {
+      const postgres::ReadResult read = connection->started ? postgres::read_from_client(connection->received)
+                                                            : postgres::read_startup(connection->received);
+      const auto* message = std::get_if<postgres::Message>(&read);
+      if (!message) {
+        break;
+      }
+      const std::string text(message->body.substr(0, message->body.empty() ? 0 : message->body.size() - 1));
+      const bool is_query = message->type == 'Q';
+      connection->received.erase(0, message->bytes.size());
+      if (!std::exchange(connection->started, true)) {
+        send(connection, postgres::startup_response());
+      } else if (is_query) {
+        handle_query(connection, text);
+      }
+    }
+    this->read(connection);
+  });
 }
 
-void TestStores::take(const Connected& connection, const std::string& text) {
-  Place& place = connection->place;
-  if (!place.state.answers) {
+void TestStores::handle_query(const ConnectionPtr& connection, const std::string& text) {
+  Store& store_entry = connection->store_entry;
+  if (!store_entry.state.responsive) {
     return;
   }
   if (text == "SHOW vitals") {
     ++probes_;
-    const double load = static_cast<double>(place.utilization) / work_.workers;
-    return answer(connection, row(fmt::format("x0={:.6f},x1={},cpu={:.2f}", position(place.store) / 1000,
-                                              place.state.primary ? 1 : 0, std::min(1.0, load)),
-                                  "SHOW") +
-                                  postgres::ready_for_query());
+    const double load = static_cast<double>(store_entry.utilization) / work_.workers;
+    return send(connection, row(fmt::format("x0={:.6f},x1={},cpu={:.2f}", position(store_entry.store) / 1000,
+                                            store_entry.state.primary ? 1 : 0, std::min(1.0, load)),
+                                "SHOW") +
+                                postgres::ready_for_query());
   }
   const auto read = postgres::read_statement(text);
   const auto* statement = std::get_if<postgres::Statement>(&read);
   if (!statement) {
-    // Blanks are answered and do nothing; a store closes on anything else.
+    // An empty query is answered and does nothing; the store closes the connection on any other text.
     if (postgres::first_word(text).empty()) {
-      return answer(connection, postgres::empty_query_response());
+      return send(connection, postgres::empty_query_response());
     }
     asio::error_code ignored;
     connection->socket.close(ignored);
     return;
   }
   const Millis now = clock_.now();
-  const Job job{connection, std::string(statement->id), std::string(statement->token), statement->writes, now,
-                place.life};
-  if (came_) {
-    came_(place.store, job.request, connection->from);
+  const Job job{connection, std::string(statement->id), std::string(statement->token), statement->writes,
+                now,        store_entry.generation};
+  if (on_received_) {
+    on_received_(store_entry.store, job.request, connection->from);
   }
-  const auto refuse = [&](Deed deed, const char* code, const char* why) {
-    if (told_) {
-      told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
-             now, now, position(place.store)});
+  const auto refuse = [&](ExecutionOutcome outcome, const char* code, const char* why) {
+    if (on_executed_) {
+      on_executed_({store_entry.store, connection->from, job.request, job.token, job.writes,
+                    store_entry.state.primary, outcome, now, now, position(store_entry.store)});
     }
-    answer(connection, failed(code, why));
+    send(connection, error_response(code, why));
   };
-  const double drawn = static_cast<double>(random_()) / static_cast<double>(random_.max());
-  if (drawn < place.state.errors) {
-    return refuse(Deed::errored, "XX000", "it went wrong");
+  const double random = static_cast<double>(random_()) / static_cast<double>(random_.max());
+  if (random < store_entry.state.errors) {
+    return refuse(ExecutionOutcome::errored, "XX000", "it went wrong");
   }
-  if (job.writes && !place.state.primary) {
-    return refuse(Deed::not_primary, "25006", "no primary");
+  if (job.writes && !store_entry.state.primary) {
+    return refuse(ExecutionOutcome::not_primary, "25006", "no primary");
   }
-  if (std::ssize(place.queue) >= work_.queue) {
-    return refuse(Deed::full, "53300", "the queue is full");
+  if (std::ssize(store_entry.queue) >= work_.queue) {
+    return refuse(ExecutionOutcome::full, "53300", "the queue is full");
   }
-  place.queue.push_back(job);
-  work(place);
+  store_entry.queue.push_back(job);
+  start_jobs(store_entry);
 }
 
-void TestStores::work(Place& place) {
+void TestStores::start_jobs(Store& store_entry) {
   const int workers =
-      std::max(1, static_cast<int>(std::lround(work_.workers * slow_start_fraction(place.store))));
-  while (place.utilization < workers && !place.queue.empty()) {
-    const Job job = place.queue.front();
-    place.queue.pop_front();
-    ++place.utilization;
-    timers_.set(clock_.now() + work_.work, [this, &place, job] {
-      if (job.life != place.life) {
+      std::max(1, static_cast<int>(std::lround(work_.workers * slow_start_fraction(store_entry.store))));
+  while (store_entry.utilization < workers && !store_entry.queue.empty()) {
+    const Job job = store_entry.queue.front();
+    store_entry.queue.pop_front();
+    ++store_entry.utilization;
+    timers_.set(clock_.now() + work_.work, [this, &store_entry, job] {
+      if (job.generation != store_entry.generation) {
         return;
       }
-      --place.utilization;
-      done(job.connection, job);
-      work(place);
+      --store_entry.utilization;
+      finish(job.connection, job);
+      start_jobs(store_entry);
     });
   }
 }
 
-void TestStores::done(const Connected& connection, const Job& job) {
-  Place& place = connection->place;
+void TestStores::finish(const ConnectionPtr& connection, const Job& job) {
+  Store& store_entry = connection->store_entry;
   const Millis now = clock_.now();
-  const Millis position = this->position(place.store);
-  while (!by_age_.empty() && now - by_age_.front().first > work_.token_memory) {
-    tokens_.erase(by_age_.front().second);
-    by_age_.pop_front();
+  const Millis position = this->position(store_entry.store);
+  while (!token_ages_.empty() && now - token_ages_.front().first > work_.token_memory) {
+    tokens_.erase(token_ages_.front().second);
+    token_ages_.pop_front();
   }
-  Deed deed = Deed::ran;
-  if (job.writes && !place.state.primary) {
-    deed = Deed::not_primary;  // it was one when the op came
+  ExecutionOutcome outcome = ExecutionOutcome::ran;
+  if (job.writes && !store_entry.state.primary) {
+    outcome = ExecutionOutcome::not_primary;  // the store was primary when the op arrived
   }
-  if (deed == Deed::ran && job.writes && !job.token.empty()) {
-    const std::pair key(place.state.group, job.token);
+  if (outcome == ExecutionOutcome::ran && job.writes && !job.token.empty()) {
+    const std::pair key(store_entry.state.group, job.token);
     if (tokens_.emplace(key, now).second) {
-      by_age_.emplace_back(now, key);
+      token_ages_.emplace_back(now, key);
     } else {
-      deed = Deed::repeated;
+      outcome = ExecutionOutcome::repeated;
     }
   }
-  if (told_) {
-    told_({place.store, connection->from, job.request, job.token, job.writes, place.state.primary, deed,
-           job.came, now, position});
+  if (on_executed_) {
+    on_executed_({store_entry.store, connection->from, job.request, job.token, job.writes,
+                  store_entry.state.primary, outcome, job.received_at, now, position});
   }
-  if (!place.state.answers) {
+  if (!store_entry.state.responsive) {
     return;
   }
-  if (deed == Deed::not_primary) {
-    return answer(connection, failed("25006", "no primary"));
+  if (outcome == ExecutionOutcome::not_primary) {
+    return send(connection, error_response("25006", "no primary"));
   }
-  answer(connection, row("\x9f" + job.request, job.writes ? "INSERT 0 1" : "SELECT 1") +
-                         parameter("rank", place.state.primary ? "source" : "copy") +
-                         parameter("as_of", fmt::format("{:.0f}", std::floor(position))) +
-                         postgres::ready_for_query());
+  send(connection, row("\x9f" + job.request, job.writes ? "INSERT 0 1" : "SELECT 1") +
+                       parameter("rank", store_entry.state.primary ? "source" : "copy") +
+                       parameter("as_of", fmt::format("{:.0f}", std::floor(position))) +
+                       postgres::ready_for_query());
 }
 
-void TestStores::answer(const Connected& connection, const std::string& bytes) {
+void TestStores::send(const ConnectionPtr& connection, const std::string& bytes) {
   connection->out += bytes;
   if (!connection->writing.empty()) {
     return;
@@ -315,31 +316,31 @@
                     [this, connection](const asio::error_code& fault, std::size_t) {
                       connection->writing.clear();
                       if (!fault && !connection->out.empty()) {
-                        answer(connection, "");
+                        send(connection, "");
                       }
                     });
 }
 
-void TestStores::pass_on(const Connected& connection, int port) {
-  const auto other = std::make_shared<Connection>(connection->place, Tcp::socket(io_));
-  other->writing = std::exchange(connection->held, "");
+void TestStores::forward_to(const ConnectionPtr& connection, int port) {
+  const auto upstream = std::make_shared<Connection>(connection->store_entry, Tcp::socket(io_));
+  upstream->writing = std::exchange(connection->received, "");
   const Tcp::endpoint to(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port));
-  other->socket.async_connect(to, [this, connection, other](const asio::error_code& fault) {
+  upstream->socket.async_connect(to, [this, connection, upstream](const asio::error_code& fault) {
     if (fault) {
       return;
     }
-    asio::async_write(other->socket, asio::buffer(other->writing),
-                      [this, connection, other](const asio::error_code& broken, std::size_t) {
-                        if (broken) {
+    asio::async_write(upstream->socket, asio::buffer(upstream->writing),
+                      [this, connection, upstream](const asio::error_code& write_fault, std::size_t) {
+                        if (write_fault) {
                           return;
                         }
-                        relay(connection, other);
-                        relay(other, connection);
+                        copy(connection, upstream);
+                        copy(upstream, connection);
                       });
   });
 }
 
-void TestStores::relay(const Connected& from, const Connected& to) {
+void TestStores::copy(const ConnectionPtr& from, const ConnectionPtr& to) {
   from->socket.async_read_some(
       asio::buffer(from->bytes), [this, from, to](const asio::error_code& fault, std::size_t count) {
         asio::error_code ignored;
@@ -349,9 +350,9 @@
           return;
         }
         asio::async_write(to->socket, asio::buffer(from->bytes, count),
-                          [this, from, to](const asio::error_code& broken, std::size_t) {
-                            if (!broken) {
-                              relay(from, to);
+                          [this, from, to](const asio::error_code& write_fault, std::size_t) {
+                            if (!write_fault) {
+                              copy(from, to);
                             }
                           });
       });
--- a/testservers/world.cpp
+++ b/testservers/world.cpp
@@ -74,7 +74,7 @@
   on_loop([&] {
     apply(by);
     ++revision_;
-    discovery_.changed();
+    discovery_.notify_watchers();
     at = now_ms();
   });
   return at;
@@ -84,13 +84,13 @@
   on_loop([&] { apply(by); });
 }
 void World::pass_http2(int store, int port) {
-  on_loop([&] { stores_.pass_http2(store, port); });
+  on_loop([&] { stores_.forward_http2(store, port); });
 }
 
 void World::discovery(Manner manner) {
   on_loop([&] {
     manner_ = manner;
-    discovery_.be_silent(manner == Manner::silent);
+    discovery_.set_silent(manner == Manner::silent);
   });
 }
 void World::revision(long long to) {
@@ -116,7 +116,7 @@
   return static_cast<long long>(probes);
 }
 
-faulttest::TestDiscovery::Now World::list() const {
+faulttest::TestDiscovery::ListUpdate World::list() const {
   nlohmann::json targets = nlohmann::json::array();
   for (int store = 0; manner_ != Manner::empty_list && store < size(); ++store) {
     const StoreState& state = stores_.state(store);
--- a/testservers/world.hpp
+++ b/testservers/world.hpp
@@ -48,7 +48,7 @@
   // Done on the loop's thread, before it returns.
   void on_loop(const std::function<void()>& done) const;
   void apply(const std::function<void(std::vector<StoreState>&)>& by);
-  faulttest::TestDiscovery::Now list() const;
+  faulttest::TestDiscovery::ListUpdate list() const;
 
   mutable asio::io_context io_;
   const net::Clock clock_;
