--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -18,34 +18,34 @@
 
 using Json = nlohmann::json;
 
-constexpr Millis kLook = 20;         // between two looks at what is waited for
-constexpr int kPort = 20000;         // of front 0; the relay stands in for it on another address
-constexpr int kLinesOfAKind = 1000;  // of a front's log in ten seconds
+constexpr Millis kPollInterval = 20;    // between two checks of a step's condition
+constexpr int kBasePort = 20000;        // port of front 0; the relay's socket for it has another address
+constexpr int kLogLinesPerKind = 1000;  // log lines of one kind that a front may write in ten seconds
 
-// Addresses of this process' own, so that rigs side by side don't meet.
-asio::ip::udp::endpoint own(int role, int number) {
+// Returns an address that is derived from the process id, so that concurrent fault tests do not collide.
+asio::ip::udp::endpoint own_endpoint(int role, int number) {
   const int pid = getpid();
   return {
       asio::ip::make_address(fmt::format("127.{}.{}.{}", role + (pid >> 16 & 31), pid >> 8 & 255, pid & 255)),
-      static_cast<std::uint16_t>(kPort + number)};
+      static_cast<std::uint16_t>(kBasePort + number)};
 }
 
 std::string endpoint_text(const asio::ip::udp::endpoint& endpoint) {
   return config::format_endpoint({endpoint.address(), endpoint.port()});
 }
 
-// What a status file says, as the end of a line.
-std::string view_in(const Json& status) {
+// Formats the content of a status file, as the end of a line.
+std::string format_view(const Json& status) {
   if (status.is_null()) {
     return "";
   }
-  std::map<std::string, std::string> by_standing;
-  for (const Json& fellow : status["fellows"]) {
-    by_standing[fellow["standing"]].append(fmt::format(" {}", fellow["name"].get<std::string>()));
+  std::map<std::string, std::string> by_state;
+  for (const Json& peer : status["fellows"]) {
+    by_state[peer["standing"]].append(fmt::format(" {}", peer["name"].get<std::string>()));
   }
   std::string line = fmt::format(" version {} health {}", status["version"].dump(), status["health"].dump());
-  for (const auto& [standing, names] : by_standing) {
-    line += fmt::format("; {}:{}", standing, names);
+  for (const auto& [state, names] : by_state) {
+    line += fmt::format("; {}:{}", state, names);
   }
   return line;
 }
@@ -57,15 +57,15 @@
       io_(1),
       signals_(io_, SIGINT, SIGTERM),
       timers_(io_, clock_),
-      listed_(plan_.fronts),
-      began_(clock_.now()) {
+      listed_fronts_(plan_.fronts),
+      started_at_(clock_.now()) {
   for (int front = 0; front < plan_.fronts; ++front) {
-    fronts_.push_back(own(160, front)), stands_.push_back(own(192, front));
+    fronts_.push_back(own_endpoint(160, front)), relay_endpoints_.push_back(own_endpoint(192, front));
     names_.push_back(fmt::format("n{}", front));
     processes_.push_back(std::make_unique<Process>(program, folder, names_.back()));
   }
   signals_.async_wait([this](const asio::error_code& fault, int) { interrupted_ = !fault; });
-  relay_ = std::make_unique<DatagramRelay>(io_, timers_, clock_, fronts_, stands_, plan_.seed);
+  relay_ = std::make_unique<DatagramRelay>(io_, timers_, clock_, fronts_, relay_endpoints_, plan_.seed);
   if (plan_.stores == 0) {
     return;
   }
@@ -73,17 +73,17 @@
   for (const auto& front : fronts_) {
     listen.emplace_back(front.address(), front.port());
   }
-  surroundings_ =
+  environment_ =
       std::make_unique<TestEnvironment>(io_, timers_, clock_, plan_, listen, [](int role, int number) {
-        const auto at = own(role, number);
+        const auto at = own_endpoint(role, number);
         return Endpoint(at.address(), at.port());
       });
 }
 
-// What the checker of the rules knows of a front's former life is over.
-void FaultTest::begin_anew(int front) {
-  if (surroundings_) {
-    surroundings_->enqueue(invariants::Down{{front}});
+// Tells the invariant checker that the process of a front has ended, together with its state.
+void FaultTest::report_down(int front) {
+  if (environment_) {
+    environment_->enqueue(invariants::Down{{front}});
   }
 }
 
@@ -91,7 +91,7 @@
   if (process(front).running()) {
     return;
   }
-  begin_anew(front);
+  report_down(front);
   if (!step.name.empty()) {
     names_[static_cast<std::size_t>(front)] = step.name;
   }
@@ -109,39 +109,39 @@
       fmt::format(
           "(reedspindle (log (form json) (lines-of-a-kind {}))\n (clock (offset {}ms))\n"
           " (fleet (place {}) (pace {}ms) (time-out {}ms) (patience {}) (forget {}ms) (status \"{}\"){}))\n",
-          kLinesOfAKind, step.clock, front, fleet.protocol_period, fleet.ack_timeout,
+          kLogLinesPerKind, step.clock, front, fleet.protocol_period, fleet.ack_timeout,
           fleet.suspicion_multiplier, fleet.forget_after, process(front).status_path(),
           quota + plan_.consistency + plan_.resends));
 }
 
 std::string FaultTest::placement_of(int front) const {
   Json peers = Json::array();
-  for (int place = 0; place < listed_; ++place) {
-    peers.push_back(endpoint_text(stands_[static_cast<std::size_t>(place)]));
+  for (int place = 0; place < listed_fronts_; ++place) {
+    peers.push_back(endpoint_text(relay_endpoints_[static_cast<std::size_t>(place)]));
   }
   const auto at = static_cast<std::size_t>(front);
   Json config = {
       {"name", name_of(front)},
       {"listen", endpoint_text(fronts_[at])},
-      {"discovery", fmt::format("{}:1", stands_[0].address().to_string())},
+      {"discovery", fmt::format("{}:1", relay_endpoints_[0].address().to_string())},
       {"seed", fmt::format("{:x}", plan_.seed * 1000 + static_cast<std::uint64_t>(front) + 1)},
       {"peer_listen", endpoint_text(fronts_[at])},
       {"peers", peers},
-      {"peers_all", endpoint_text(stands_[at])},
+      {"peers_all", endpoint_text(relay_endpoints_[at])},
       {"settings", {{"requestClasses", Json::array({{{"name", "look"}, {"effect", "repeatable"}}})}}}};
-  if (surroundings_) {
-    config.update(surroundings_->placement_of(front));
+  if (environment_) {
+    config.update(environment_->placement_of(front));
   }
   return config.dump();
 }
 
-void FaultTest::strike(const Step& step) {
-  const auto each = [&](auto strike) {
+void FaultTest::inject_faults(const Step& step) {
+  const auto each = [&](auto apply) {
     for (const int front : step.fronts) {
-      strike(front);
+      apply(front);
     }
   };
-  // Of all links of and to these.
+  // Changes all links from and to the fronts of the step.
   const auto links = [&](auto change) {
     each([&](int front) {
       for (int other = 0; other < plan_.fronts; ++other) {
@@ -155,7 +155,7 @@
   if (step.fault == "kill") {
     each([&](int front) {
       process(front).signal(SIGKILL);
-      begin_anew(front);
+      report_down(front);
     });
   }
   if (step.fault == "end") {
@@ -163,8 +163,8 @@
   }
   if (step.fault == "stop") {
     each([&](int front) {
-      if (surroundings_) {
-        surroundings_->enqueue(invariants::Paused{{front}, clock_.now()});
+      if (environment_) {
+        environment_->enqueue(invariants::Paused{{front}, clock_.now()});
       }
       process(front).signal(SIGSTOP);
     });
@@ -172,8 +172,8 @@
   if (step.fault == "wake") {
     each([&](int front) {
       process(front).signal(SIGCONT);
-      if (surroundings_) {
-        surroundings_->enqueue(invariants::Woken{{front}, clock_.now()});
+      if (environment_) {
+        environment_->enqueue(invariants::Woken{{front}, clock_.now()});
       }
     });
   }
@@ -192,11 +192,11 @@
   if (step.fault == "heal") {
     relay_->heal();
   }
-  if (surroundings_) {
-    step.fault == "heal" ? surroundings_->heal() : surroundings_->strike(step);
+  if (environment_) {
+    step.fault == "heal" ? environment_->heal() : environment_->strike(step);
   }
   if (step.fault == "list") {
-    listed_ = std::min(step.count, plan_.fronts);
+    listed_fronts_ = std::min(step.count, plan_.fronts);
     each([&](int front) { process(front).reload(placement_of(front)); });
   }
   if (step.fault == "slow" && step.stores.empty() && step.with.empty()) {
@@ -220,126 +220,127 @@
 
 void FaultTest::run(Millis span) {
   io_.restart();
-  // Something to wait for even while no front speaks.
-  const auto turn = timers_.set(clock_.now() + span, [] {});
+  // Keeps the event loop busy while no front sends anything.
+  const auto timer = timers_.set(clock_.now() + span, [] {});
   io_.run_for(std::chrono::microseconds(static_cast<long long>(span * 1000)));
-  timers_.cancel(turn);
+  timers_.cancel(timer);
 }
 
-Outcome FaultTest::carry_out(const Step& step) {
-  before_.clear();
+StepResult FaultTest::run_step(const Step& step) {
+  traffic_before_.clear();
   for (int front = 0; front < plan_.fronts; ++front) {
-    before_.push_back(relay_->sent_traffic(front));
+    traffic_before_.push_back(relay_->sent_traffic(front));
   }
   for (int front = 0; front < plan_.fronts; ++front) {
     process(front).log_lines();
   }
   const Millis from = clock_.now();
-  if (surroundings_) {
-    counted_ = counted_first_ = surroundings_->asked(), counted_at_ = from, most_probes_ = most_calls_ = 0;
+  if (environment_) {
+    second_start_ = step_start_ = environment_->asked(), second_started_at_ = from,
+    most_probes_ = most_calls_ = 0;
   }
-  strike(step);
-  happened_.push_back({from, describe(step)});
-  // A share of ops can be told once all of them are over.
+  inject_faults(step);
+  injected_.push_back({from, describe(step)});
+  // Shares of ops are known only once all ops of the step have ended.
   const Millis over = step.acked > 0 || step.sends > 0 ? plan_.clients.request_timeout + 600 : 0;
   for (;;) {
-    run(std::min(kLook, std::max(1.0, from + step.lasts - clock_.now())));
-    const Millis took = spent_ = clock_.now() - from;
+    run(std::min(kPollInterval, std::max(1.0, from + step.lasts - clock_.now())));
+    const Millis duration = step_duration_ = clock_.now() - from;
     if (interrupted_) {
-      return {false, took, "interrupted"};
+      return {false, duration, "interrupted"};
     }
     for (int front = 0; front < plan_.fronts; ++front) {
       if (process(front).crashed()) {
-        return {false, took, fmt::format("{} has ended by itself", name_of(front))};
+        return {false, duration, fmt::format("{} exited without being told to", name_of(front))};
       }
       relay_->set_listening(front, process(front).exists());
     }
-    if (std::string why = mistaken(step); !why.empty()) {
-      return {false, took, std::move(why)};
+    if (std::string reason = check_false_failures(step); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (std::string why = broken(); !why.empty()) {
-      return {false, took, std::move(why)};
+    if (std::string reason = check_invariants(); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (std::string why = too_many(); !why.empty()) {
-      return {false, took, std::move(why)};
+    if (std::string reason = check_connections(); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (std::string why = too_often(step); !why.empty()) {
-      return {false, took, std::move(why)};
+    if (std::string reason = check_call_rates(step); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (std::string why = not_spared(step); !why.empty()) {
-      return {false, took, std::move(why)};
+    if (std::string reason = check_spared_stores(step); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (clock_.now() - began_ > plan_.longest) {
-      return {false, took, "the whole run has taken too long"};
+    if (clock_.now() - started_at_ > plan_.longest) {
+      return {false, duration, "the run exceeded its time limit"};
     }
-    if (took < step.lasts + over) {
+    if (duration < step.lasts + over) {
       continue;
     }
-    std::string why = missing(step);
-    if (why.empty()) {
-      why = too_little(step);
+    std::string reason = unmet_condition(step);
+    if (reason.empty()) {
+      reason = check_quota(step);
     }
-    if (why.empty()) {
-      why = too_few(step, from);
+    if (reason.empty()) {
+      reason = check_op_outcomes(step, from);
     }
-    // Clients ask from the end of the first step on.
-    if (why.empty() && surroundings_) {
-      surroundings_->begin();
+    // Clients start at the end of the first step.
+    if (reason.empty() && environment_) {
+      environment_->begin();
     }
-    if (why.empty()) {
-      return {true, took, ""};
+    if (reason.empty()) {
+      return {true, duration, ""};
     }
-    if (took > step.lasts + step.within) {
-      return {false, took, std::move(why)};
+    if (duration > step.lasts + step.within) {
+      return {false, duration, std::move(reason)};
     }
   }
 }
 
-Outcome FaultTest::finish() {
-  if (!surroundings_ || !surroundings_->asking()) {
+StepResult FaultTest::finish() {
+  if (!environment_ || !environment_->asking()) {
     return {true, 0, ""};
   }
-  surroundings_->rest();
+  environment_->rest();
   const Millis from = clock_.now();
   for (;;) {
-    run(kLook);
-    const Millis took = clock_.now() - from;
-    if (std::string why = broken(); !why.empty()) {
-      return {false, took, std::move(why)};
+    run(kPollInterval);
+    const Millis duration = clock_.now() - from;
+    if (std::string reason = check_invariants(); !reason.empty()) {
+      return {false, duration, std::move(reason)};
     }
-    if (surroundings_->open_requests() == 0) {
-      return {true, took, ""};
+    if (environment_->open_requests() == 0) {
+      return {true, duration, ""};
     }
-    // Clients give up by themselves.
-    if (took > plan_.clients.request_timeout + 5000) {
-      return {false, took, "ops are open that should have ended"};
+    // Clients time out on their own, so no op should stay open for longer than this.
+    if (duration > plan_.clients.request_timeout + 5000) {
+      return {false, duration, "ops are still open after their time-out"};
     }
   }
 }
 
-// Rules that have been broken since the last look.
-std::string FaultTest::broken() {
-  if (!surroundings_) {
+// Describes the invariants that have been violated since the last check.
+std::string FaultTest::check_invariants() {
+  if (!environment_) {
     return "";
   }
-  const std::vector<invariants::Broken> found = surroundings_->settle();
-  broken_.insert(broken_.end(), found.begin(), found.end());
+  const std::vector<invariants::Broken> found = environment_->settle();
+  violations_.insert(violations_.end(), found.begin(), found.end());
   std::string text;
-  for (const invariants::Broken& one : found) {
+  for (const invariants::Broken& entry : found) {
     if (!text.empty()) {
       text += "; ";
     }
-    text += fmt::format("{}: {}", invariants::word_of(one.rule), one.why);
-    if (!one.request.empty()) {
-      text += fmt::format(", op {}", one.request);
+    text += fmt::format("{}: {}", invariants::word_of(entry.rule), entry.why);
+    if (!entry.request.empty()) {
+      text += fmt::format(", op {}", entry.request);
     }
-    if (one.front.number >= 0) {
-      text += fmt::format(", front {}", name_of(one.front.number));
+    if (entry.front.number >= 0) {
+      text += fmt::format(", front {}", name_of(entry.front.number));
     }
-    if (one.store.number >= 0) {
-      text += fmt::format(", store s{}", one.store.number);
+    if (entry.store.number >= 0) {
+      text += fmt::format(", store s{}", entry.store.number);
     }
-    text += fmt::format(", {:.0f} ms into the run", one.at - began_);
+    text += fmt::format(", {:.0f} ms into the run", entry.at - started_at_);
     if (text.size() > 1000) {
       break;
     }
@@ -347,14 +348,15 @@
   return text;
 }
 
-// Beyond what a store takes from all fronts together. A process that stands still can't close what it has
-// open.
-std::string FaultTest::too_many() {
-  if (!surroundings_) {
+// Checks the limit of connections of each store from all fronts together. Stopped processes are left out,
+// since they can't close their connections.
+std::string FaultTest::check_connections() {
+  if (!environment_) {
     return "";
   }
-  // What has happened and was not taken yet: an end behind a beginning would count twice. Two looks in a row
-  // have to show it, for the kernel may have the one and not yet the other.
+  // Handles pending events first: a connection whose close is pending would count beside its successor. The
+  // limit has to be exceeded in two consecutive checks, since the kernel may report the open before the
+  // close.
   io_.poll();
   std::set<int> stopped;
   std::set<int> over;
@@ -364,22 +366,22 @@
     }
   }
   for (int store = 0; store < plan_.stores; ++store) {
-    const int open = surroundings_->connections(store, stopped);
-    most_ = std::max(most_, open);
+    const int open = environment_->connections(store, stopped);
+    most_connections_ = std::max(most_connections_, open);
     if (plan_.quota.connections <= 0 || open <= plan_.quota.connections) {
       continue;
     }
     over.insert(store);
-    if (over_.contains(store)) {
-      return fmt::format("{} connections to store s{}, {} are there for all fronts", open, store,
+    if (over_limit_.contains(store)) {
+      return fmt::format("{} connections to store s{}, limit for all fronts {}", open, store,
                          plan_.quota.connections);
     }
   }
-  over_ = std::move(over);
+  over_limit_ = std::move(over);
   return "";
 }
 
-std::string FaultTest::too_little(const Step& step) const {
+std::string FaultTest::check_quota(const Step& step) const {
   if (step.part <= 0) {
     return "";
   }
@@ -391,32 +393,32 @@
     const double part =
         status.is_null() || status["shares"].is_null() ? 0 : status["shares"]["open"].get<double>() / 1000;
     if (part < step.part) {
-      return fmt::format("{} has a part of {:.3f}, not {:.3f}", name_of(front), part, step.part);
+      return fmt::format("{} may use {:.3f} connections, expected {:.3f}", name_of(front), part, step.part);
     }
   }
   return "";
 }
 
-std::string FaultTest::too_few(const Step& step, Millis from) const {
+std::string FaultTest::check_op_outcomes(const Step& step, Millis from) const {
   if (step.acked <= 0 && step.sends <= 0) {
     return "";
   }
-  if (!surroundings_ || !surroundings_->asking()) {
-    return "no client asks yet";
+  if (!environment_ || !environment_->asking()) {
+    return "no client has sent an op yet";
   }
-  const Tally tally = surroundings_->between(from, from + step.lasts);
-  // Up to now, for clients ask on; the few ops that are open count as sends only.
-  const int over = surroundings_->between(from, clock_.now()).ops();
+  const Tally tally = environment_->between(from, from + step.lasts);
+  // Counted up to now, since clients keep sending; the few ops still open count as sends only.
+  const int over = environment_->between(from, clock_.now()).ops();
   const double sends =
-      static_cast<double>(surroundings_->asked().sends() - counted_first_.sends()) / std::max(1, over);
+      static_cast<double>(environment_->asked().sends() - step_start_.sends()) / std::max(1, over);
   if (step.sends > 0 && sends > step.sends) {
-    return fmt::format("{:.2f} sends for each of {} ops, {:.2f} are allowed", sends, over, step.sends);
+    return fmt::format("{:.2f} sends per op over {} ops, limit {:.2f}", sends, over, step.sends);
   }
   if (tally.share(OpOutcome::in_time) >= step.acked) {
     return "";
   }
   std::string text =
-      fmt::format("only {:.3f} of {} ops were acked in time", tally.share(OpOutcome::in_time), tally.ops());
+      fmt::format("only {:.3f} of {} ops acknowledged in time", tally.share(OpOutcome::in_time), tally.ops());
   for (const auto& [outcome, count] : tally.outcomes) {
     text += fmt::format("; {} {}", outcome_name(outcome), count);
   }
@@ -427,24 +429,24 @@
   Json record{{"fronts", plan_.fronts},
               {"stores", plan_.stores},
               {"seed", plan_.seed},
-              {"ms", clock_.now() - began_}};
+              {"ms", clock_.now() - started_at_}};
   record["steps"] = Json::array(), record["broken"] = Json::array(), record["spans"] = Json::array();
-  for (const Happened& one : happened_) {
-    record["steps"].push_back({{"at", one.at - began_}, {"text", one.text}});
-  }
-  for (const invariants::Broken& one : broken_) {
-    record["broken"].push_back({{"rule", invariants::word_of(one.rule)},
-                                {"op", one.request},
-                                {"front", one.front.number},
-                                {"store", one.store.number},
-                                {"at", one.at - began_},
-                                {"why", one.why}});
-  }
-  if (!surroundings_) {
+  for (const InjectedStep& entry : injected_) {
+    record["steps"].push_back({{"at", entry.at - started_at_}, {"text", entry.text}});
+  }
+  for (const invariants::Broken& entry : violations_) {
+    record["broken"].push_back({{"rule", invariants::word_of(entry.rule)},
+                                {"op", entry.request},
+                                {"front", entry.front.number},
+                                {"store", entry.store.number},
+                                {"at", entry.at - started_at_},
+                                {"why", entry.why}});
+  }
+  if (!environment_) {
     return record;
   }
-  for (const Tally& tally : surroundings_->tallies()) {
-    Json span{{"at", tally.at - began_}};
+  for (const Tally& tally : environment_->tallies()) {
+    Json span{{"at", tally.at - started_at_}};
     for (const auto& [outcome, count] : tally.outcomes) {
       span[outcome_name(outcome)] = count;
     }
@@ -458,8 +460,8 @@
   return record;
 }
 
-// How the others hold whom the step names, or one another.
-std::string FaultTest::missing(const Step& step) const {
+// Checks the step's 'until' condition: how the running fronts see the fronts named by 'of', or one another.
+std::string FaultTest::unmet_condition(const Step& step) const {
   if (step.until == "now") {
     return "";
   }
@@ -472,7 +474,7 @@
   for (const int front : step.until == "yielded" ? step.of : running) {
     const Json status = process(front).status();
     if (status.is_null()) {
-      return fmt::format("{} has said nothing yet", name_of(front));
+      return fmt::format("{} has not written a status file yet", name_of(front));
     }
     if (step.until == "yielded") {
       if (!status["yielded"].get<bool>()) {
@@ -481,126 +483,129 @@
       continue;
     }
     if (status["yielded"].get<bool>()) {
-      continue;  // out of the fleet
+      continue;  // no longer in the fleet
     }
     if (is_consistency_condition(step.until)) {
       if (step.until != "accord" && !step.of.contains(front)) {
         continue;
       }
-      if (std::string why = consistency(front, step); !why.empty()) {
-        return why;
+      if (std::string reason = check_consistency(front, step); !reason.empty()) {
+        return reason;
       }
       continue;
     }
-    std::string why;
+    std::string reason;
     if (step.until == "agreed") {
-      why = hold(front, running, "there", true);
+      reason = check_peers(front, running, "there", true);
     } else if (!step.of.contains(front)) {
-      why = hold(front, step.of, step.until, false);
+      reason = check_peers(front, step.of, step.until, false);
     }
-    if (!why.empty()) {
-      return why;
+    if (!reason.empty()) {
+      return reason;
     }
   }
   return "";
 }
 
-// Whether a front holds those so, and, where they are to be alone, nobody else here.
-std::string FaultTest::hold(int front, const std::set<int>& of, const std::string& standing,
-                            bool alone) const {
-  std::map<std::string, std::string> held;
+// Checks that a front sees the given fronts in the given state and, if 'alone', no other front as there or
+// suspected.
+std::string FaultTest::check_peers(int front, const std::set<int>& of, const std::string& state,
+                                   bool alone) const {
+  std::map<std::string, std::string> seen;
   const Json status = process(front).status();
-  for (const Json& fellow : status["fellows"]) {
-    held[fellow["name"]] = fellow["standing"];
+  for (const Json& peer : status["fellows"]) {
+    seen[peer["name"]] = peer["standing"];
   }
-  std::set<std::string> named{name_of(front)};
+  std::set<std::string> expected{name_of(front)};
   for (const int other : of) {
     const std::string name = name_of(other);
-    if (!named.insert(name).second) {
-      continue;  // itself, or a name that two have
+    if (!expected.insert(name).second) {
+      continue;  // the front itself, or a name that two fronts have
     }
-    const auto found = held.find(name);
-    const std::string is = found == held.end() ? "unknown" : found->second;
-    if (is != standing && !(standing == "failed" && is == "unknown")) {
-      return fmt::format("{} holds {} {}, not {}", name_of(front), name, is, standing);
+    const auto found = seen.find(name);
+    const std::string state_name = found == seen.end() ? "unknown" : found->second;
+    if (state_name != state && !(state == "failed" && state_name == "unknown")) {
+      return fmt::format("{} sees {} as {}, expected {}", name_of(front), name, state_name, state);
     }
   }
   if (!alone) {
     return "";
   }
-  for (const auto& [name, is] : held) {
-    if (!named.contains(name) && (is == "there" || is == "suspected")) {
-      return fmt::format("{} holds {} {}, who is not there", name_of(front), name, is);
+  for (const auto& [name, state_name] : seen) {
+    if (!expected.contains(name) && (state_name == "there" || state_name == "suspected")) {
+      return fmt::format("{} sees {} as {}, but it is not running", name_of(front), name, state_name);
     }
   }
   return "";
 }
 
-// Whether a front says of itself what the step waits for.
-std::string FaultTest::consistency(int front, const Step& step) const {
+// Checks the consistency status of a front against the step's condition.
+std::string FaultTest::check_consistency(int front, const Step& step) const {
   const Json status = process(front).status();
-  const Json& says = status["accord"];
-  if (says.is_null()) {
-    return fmt::format("{} says nothing of its accord", name_of(front));
+  const Json& status_entry = status["accord"];
+  if (status_entry.is_null()) {
+    return fmt::format("{} reports no consistency status", name_of(front));
   }
   if (step.until == "cut-off") {
-    return says["cut_off"].get<bool>() ? "" : fmt::format("{} is not cut off", name_of(front));
+    return status_entry["cut_off"].get<bool>() ? "" : fmt::format("{} is not cut off", name_of(front));
   }
   if (step.until == "differs") {
-    return says[step.in]["differ"].get<int>() > 0
+    return status_entry[step.in]["differ"].get<int>() > 0
                ? ""
-               : fmt::format("{} differs from nobody in its {}", name_of(front), step.in);
+               : fmt::format("{} does not differ from any peer in its {}", name_of(front), step.in);
   }
-  for (const char* matter : {"list", "primaries", "view"}) {
-    const int differ = says[matter]["differ"];
-    const int compared = says[matter]["compared"];
+  for (const char* subject : {"list", "primaries", "view"}) {
+    const int differ = status_entry[subject]["differ"];
+    const int compared = status_entry[subject]["compared"];
     if (differ > 0) {
-      return fmt::format("{} differs from {} of {} in its {}", name_of(front), differ, compared, matter);
+      return fmt::format("{} differs from {} of {} peers in its {}", name_of(front), differ, compared,
+                         subject);
     }
     if (compared == 0) {
-      return fmt::format("{} has compared its {} with nobody", name_of(front), matter);
+      return fmt::format("{} has not compared its {} with any peer", name_of(front), subject);
     }
   }
-  return says["cut_off"].get<bool>() ? fmt::format("{} is cut off", name_of(front)) : "";
+  return status_entry["cut_off"].get<bool>() ? fmt::format("{} is cut off", name_of(front)) : "";
 }
 
-// An op that reached a store which the step spares.
-std::string FaultTest::not_spared(const Step& step) const {
+// Checks that no op has reached a store that the step lists as spared.
+std::string FaultTest::check_spared_stores(const Step& step) const {
   if (step.spared.empty()) {
     return "";
   }
-  const TestEnvironment::Asked now = surroundings_->asked();
+  const TestEnvironment::Asked now = environment_->asked();
   for (const int store : step.spared) {
     const auto at = static_cast<std::size_t>(store);
-    if (now.sends_to[at] > counted_first_.sends_to[at]) {
-      return fmt::format("{} ops reached store s{}", now.sends_to[at] - counted_first_.sends_to[at], store);
+    if (now.sends_to[at] > step_start_.sends_to[at]) {
+      return fmt::format("{} ops reached store s{}", now.sends_to[at] - step_start_.sends_to[at], store);
     }
   }
   return "";
 }
 
-// What came to stores and discovery in a second of the step, where it was more than it may be.
-std::string FaultTest::too_often(const Step& step) {
-  if (!surroundings_ || clock_.now() < counted_at_ + 1000) {
+// Checks the rates of probes of stores and calls to discovery, once per second, against the limits of the
+// step.
+std::string FaultTest::check_call_rates(const Step& step) {
+  if (!environment_ || clock_.now() < second_started_at_ + 1000) {
     return "";
   }
-  const double seconds = (clock_.now() - counted_at_) / 1000;
-  const TestEnvironment::Asked now = surroundings_->asked();
-  const double probes = static_cast<double>(now.probes - counted_.probes) / seconds / plan_.stores;
-  const double calls = static_cast<double>(now.calls - counted_.calls) / seconds;
-  counted_ = now, counted_at_ = clock_.now();
+  const double seconds = (clock_.now() - second_started_at_) / 1000;
+  const TestEnvironment::Asked now = environment_->asked();
+  const double probes = static_cast<double>(now.probes - second_start_.probes) / seconds / plan_.stores;
+  const double calls = static_cast<double>(now.calls - second_start_.calls) / seconds;
+  second_start_ = now, second_started_at_ = clock_.now();
   most_probes_ = std::max(most_probes_, probes), most_calls_ = std::max(most_calls_, calls);
   if (step.probes > 0 && probes > step.probes) {
-    return fmt::format("{:.1f} probes a second and store, {:.1f} are allowed", probes, step.probes);
+    return fmt::format("{:.1f} probes per second and store, limit {:.1f}", probes, step.probes);
   }
   if (step.calls > 0 && calls > step.calls) {
-    return fmt::format("{:.1f} calls to discovery a second, {:.1f} are allowed", calls, step.calls);
+    return fmt::format("{:.1f} calls to discovery per second, limit {:.1f}", calls, step.calls);
   }
   return "";
 }
 
-// Whom somebody has come to hold failed in this step who must not be.
-std::string FaultTest::mistaken(const Step& step) {
+// Checks that no front listed in 'none-failed' has been declared failed by another front in this step.
+std::string FaultTest::check_false_failures(const Step& step) {
   if (step.none_failed.empty()) {
     return "";
   }
@@ -612,7 +617,7 @@
     for (const Json& line : process(front).log_lines()) {
       if (line.value("component", "") == "membership" && line.value("event", "") == "peer failed" &&
           spared.contains(line.value("peer", ""))) {
-        return fmt::format("{} came to hold {} failed", name_of(front), line["peer"].get<std::string>());
+        return fmt::format("{} declared {} failed", name_of(front), line["peer"].get<std::string>());
       }
     }
   }
@@ -622,8 +627,9 @@
 std::vector<std::string> FaultTest::views() const {
   std::vector<std::string> lines;
   for (int front = 0; front < plan_.fronts; ++front) {
-    const char* is = !process(front).running() ? "down" : process(front).stopped() ? "stopped" : "up";
-    lines.push_back(fmt::format("{} {:8}{}", name_of(front), is, view_in(process(front).status())));
+    const char* state_name = !process(front).running() ? "down" : process(front).stopped() ? "stopped" : "up";
+    lines.push_back(
+        fmt::format("{} {:8}{}", name_of(front), state_name, format_view(process(front).status())));
   }
   return lines;
 }
@@ -640,7 +646,7 @@
       continue;
     }
     by_place[status["place"]] = fmt::format("{}@{} written at {}{}", status["name"].get<std::string>(),
-                                            status["place"].dump(), status["at"].dump(), view_in(status));
+                                            status["place"].dump(), status["at"].dump(), format_view(status));
   }
   std::vector<std::string> lines;
   for (const auto& [place, line] : by_place) {
@@ -654,19 +660,19 @@
   double bytes = 0;
   for (int front = 0; front < plan_.fronts; ++front) {
     const SentTraffic now = relay_->sent_traffic(front);
-    const SentTraffic then = before_.at(static_cast<std::size_t>(front));
+    const SentTraffic then = traffic_before_.at(static_cast<std::size_t>(front));
     datagrams += static_cast<double>(now.datagrams - then.datagrams);
     bytes += static_cast<double>(now.bytes - then.bytes);
   }
-  const double seconds = std::max(1.0, spent_) / 1000 * plan_.fronts;
+  const double seconds = std::max(1.0, step_duration_) / 1000 * plan_.fronts;
   std::string text = fmt::format("{:.1f} datagrams/s {:.0f} B/s", datagrams / seconds, bytes / seconds);
-  if (surroundings_ && surroundings_->asking()) {
+  if (environment_ && environment_->asking()) {
     const Millis now = clock_.now();
-    const Tally tally = surroundings_->between(now - spent_, now);
+    const Tally tally = environment_->between(now - step_duration_, now);
     text += fmt::format(", {} ops", tally.ops());
     text += fmt::format(", most connections {}, at most {:.1f} probes/s of a store, {:.1f} calls/s, {} sends",
-                        most_, most_probes_, most_calls_,
-                        surroundings_->asked().sends() - counted_first_.sends());
+                        most_connections_, most_probes_, most_calls_,
+                        environment_->asked().sends() - step_start_.sends());
     for (const auto& [outcome, count] : tally.outcomes) {
       text += fmt::format(" {} {}", outcome_name(outcome), count);
     }
--- a/src/faulttest/fault_test.hpp
+++ b/src/faulttest/fault_test.hpp
@@ -1,5 +1,6 @@
-// Carries a plan out: starts the fronts, strikes them and their links step by step, waits for what each step
-// names and says what came of it. One thread, one loop; chance from the plan's seed.
+// Runs a plan: starts the fronts, injects faults into them and their links step by step, waits for the
+// condition of each step and reports the result. Runs on one thread with one event loop; random choices come
+// from the plan's seed.
 #pragma once
 
 #include <asio.hpp>
@@ -17,48 +18,48 @@
 
 namespace reedspindle::faulttest {
 
-// What came of a step.
-struct Outcome {
-  bool held = false;
-  Millis took = 0;
-  std::string why;  // where it did not hold
+// The result of a step.
+struct StepResult {
+  bool passed = false;
+  Millis duration = 0;
+  std::string reason;  // reason of a failure
 };
 
 class FaultTest {
  public:
   FaultTest(Plan plan, std::string program, std::string folder);
 
-  Outcome carry_out(const Step& step);
-  // Clients ask nothing more, what is open comes to its end.
-  Outcome finish();
-  // All that a report needs, as JSON.
+  StepResult run_step(const Step& step);
+  // Stops the clients and waits until all open ops have ended.
+  StepResult finish();
+  // The record of the run, from which report() is made, as JSON.
   [[nodiscard]] nlohmann::json record() const;
   [[nodiscard]] const Plan& plan() const { return plan_; }
-  // Each process' view side by side, a line a process.
+  // The membership view of each process, one line per process.
   [[nodiscard]] std::vector<std::string> views() const;
-  // The same of a folder that a run is using or has left.
+  // The same from the status files in the folder of a running or finished run.
   static std::vector<std::string> views(const std::string& folder);
-  // What the fronts sent one another in the last step, a second and front.
+  // The datagrams and bytes that the fronts sent one another in the last step, per second and front.
   [[nodiscard]] std::string load() const;
 
  private:
-  void strike(const Step& step);
+  void inject_faults(const Step& step);
   void start(int front, const Step& step);
   [[nodiscard]] std::string placement_of(int front) const;
   void run(Millis span);
-  // Empty: it is so.
-  [[nodiscard]] std::string missing(const Step& step) const;
-  [[nodiscard]] std::string hold(int front, const std::set<int>& of, const std::string& standing,
-                                 bool alone) const;
-  [[nodiscard]] std::string consistency(int front, const Step& step) const;
-  std::string too_often(const Step& step);
-  [[nodiscard]] std::string not_spared(const Step& step) const;
-  std::string mistaken(const Step& step);
-  std::string broken();
-  std::string too_many();
-  [[nodiscard]] std::string too_little(const Step& step) const;
-  [[nodiscard]] std::string too_few(const Step& step, Millis from) const;
-  void begin_anew(int front);
+  // These checks return why the condition is not met, or an empty string.
+  [[nodiscard]] std::string unmet_condition(const Step& step) const;
+  [[nodiscard]] std::string check_peers(int front, const std::set<int>& of, const std::string& state,
+                                        bool alone) const;
+  [[nodiscard]] std::string check_consistency(int front, const Step& step) const;
+  std::string check_call_rates(const Step& step);
+  [[nodiscard]] std::string check_spared_stores(const Step& step) const;
+  std::string check_false_failures(const Step& step);
+  std::string check_invariants();
+  std::string check_connections();
+  [[nodiscard]] std::string check_quota(const Step& step) const;
+  [[nodiscard]] std::string check_op_outcomes(const Step& step, Millis from) const;
+  void report_down(int front);
   [[nodiscard]] std::string name_of(int front) const { return names_.at(static_cast<std::size_t>(front)); }
   Process& process(int front) { return *processes_.at(static_cast<std::size_t>(front)); }
   [[nodiscard]] const Process& process(int front) const {
@@ -67,31 +68,31 @@
 
   const Plan plan_;
   asio::io_context io_;
-  asio::signal_set signals_;  // that end the run early, so that nothing of it is left behind
+  asio::signal_set signals_;  // end the run early, with its processes and files removed
   bool interrupted_ = false;
   const net::Clock clock_;
   net::Timers timers_;
-  std::vector<asio::ip::udp::endpoint> fronts_, stands_;
+  std::vector<asio::ip::udp::endpoint> fronts_, relay_endpoints_;
   std::unique_ptr<DatagramRelay> relay_;
-  std::unique_ptr<TestEnvironment> surroundings_;  // none: fronts alone
-  struct Happened {
+  std::unique_ptr<TestEnvironment> environment_;  // null: plan without stores
+  struct InjectedStep {
     Millis at = 0;
     std::string text;
   };
-  std::vector<Happened> happened_;
-  std::vector<invariants::Broken> broken_;
-  std::set<int> over_;  // stores that had too many at the last look
-  int most_ = 0;        // connections that any store had at once
-  // Of the second that runs, and the highest of the step.
-  TestEnvironment::Asked counted_, counted_first_;
-  Millis counted_at_ = 0;
+  std::vector<InjectedStep> injected_;
+  std::vector<invariants::Broken> violations_;
+  std::set<int> over_limit_;  // stores that were over the limit at the last check
+  int most_connections_ = 0;  // most connections that any store had at once
+  // Counts at the start of the current second and of the step, and the highest rates of the step.
+  TestEnvironment::Asked second_start_, step_start_;
+  Millis second_started_at_ = 0;
   double most_probes_ = 0, most_calls_ = 0;
   std::vector<std::string> names_;
-  int listed_;  // places that the lists have
+  int listed_fronts_;  // number of fronts in the peer lists
   std::vector<std::unique_ptr<Process>> processes_;
-  std::vector<SentTraffic> before_;
-  Millis spent_ = 0;
-  const Millis began_;
+  std::vector<SentTraffic> traffic_before_;
+  Millis step_duration_ = 0;
+  const Millis started_at_;
 };
 
 }  // namespace reedspindle::faulttest
--- a/src/faulttest/main.cpp
+++ b/src/faulttest/main.cpp
@@ -1,4 +1,4 @@
-// The rig's process. Exit codes: 0 all steps held; 1 one did not; 2 a faulty plan or command line.
+// The fault test program. Exit codes: 0 all steps passed; 1 a step failed; 2 invalid plan or command line.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -15,7 +15,7 @@
 
 using namespace reedspindle;
 
-// A folder of the run's own, gone with it unless it is to be kept.
+// The folder of a run, removed at its end unless it is to be kept.
 class Folder {
  public:
   explicit Folder(std::string kept) : keep_(!kept.empty()) {
@@ -23,17 +23,17 @@
       path_ = std::filesystem::absolute(kept);
       std::filesystem::create_directories(path_);
     } else {
-      std::string made = (std::filesystem::temp_directory_path() / "reedspindle-faulttest-XXXXXX").string();
-      if (!mkdtemp(made.data())) {
-        throw std::runtime_error("no folder can be made for the run");
+      std::string name = (std::filesystem::temp_directory_path() / "reedspindle-faulttest-XXXXXX").string();
+      if (!mkdtemp(name.data())) {
+        throw std::runtime_error("cannot create a folder for the run");
       }
-      path_ = made;
+      path_ = name;
     }
   }
   ~Folder() {
-    std::error_code none;
+    std::error_code ignored;
     if (!keep_) {
-      std::filesystem::remove_all(path_, none);
+      std::filesystem::remove_all(path_, ignored);
     }
   }
   [[nodiscard]] std::string path() const { return path_; }
@@ -45,42 +45,42 @@
 
 int run(const faulttest::Plan& plan, const std::string& program, const std::string& keep, bool times) {
   const Folder folder(keep);
-  faulttest::FaultTest rig(plan, program, folder.path());
-  const auto record = [&] { std::ofstream(folder.path() + "/run.json") << rig.record().dump() << '\n'; };
+  faulttest::FaultTest test(plan, program, folder.path());
+  const auto record = [&] { std::ofstream(folder.path() + "/run.json") << test.record().dump() << '\n'; };
   for (const faulttest::Step& step : plan.steps) {
     std::cout << faulttest::describe(step) << std::endl;
-    const faulttest::Outcome outcome = rig.carry_out(step);
+    const faulttest::StepResult result = test.run_step(step);
     std::string text = step.until == "now" ? "" : step.until;
     for (const int front : step.of) {
       text += fmt::format(" {}", front);
     }
     if (!step.none_failed.empty()) {
-      text += text.empty() ? "nobody is mistaken" : ", nobody is mistaken";
+      text += text.empty() ? "no false failure" : ", no false failure";
     }
     if (times) {
-      text += fmt::format("  [{:.2f} s, {}]", outcome.took / 1000, rig.load());
+      text += fmt::format("  [{:.2f} s, {}]", result.duration / 1000, test.load());
     }
-    if (outcome.held) {
+    if (result.passed) {
       if (!text.empty()) {
         std::cout << "  " << text << std::endl;
       }
       continue;
     }
-    std::cout << fmt::format("  line {}: not {}: {}", step.line, text, outcome.why) << std::endl;
-    for (const std::string& view : rig.views()) {
+    std::cout << fmt::format("  line {}: not {}: {}", step.line, text, result.reason) << std::endl;
+    for (const std::string& view : test.views()) {
       std::cout << "  " << view << '\n';
     }
     record();
     return 1;
   }
-  const faulttest::Outcome end = rig.finish();
+  const faulttest::StepResult end = test.finish();
   record();
-  if (!end.held) {
-    std::cout << "  at the end: " << end.why << std::endl;
+  if (!end.passed) {
+    std::cout << "  at the end: " << end.reason << std::endl;
     return 1;
   }
   if (times) {
-    for (const std::string& view : rig.views()) {
+    for (const std::string& view : test.views()) {
       std::cout << view << '\n';
     }
   }
@@ -89,34 +89,36 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"Runs real fronts on loopback and breaks the links between them", "reedspindle-faulttest"};
+  CLI::App app{"Runs routers on loopback and injects faults into them and their links",
+               "reedspindle-faulttest"};
   app.set_version_flag("--version", std::string("reedspindle-faulttest ") + REEDSPINDLE_VERSION);
   app.require_subcommand(1);
   std::string path;
   std::string keep;
-  std::string program = (std::filesystem::path(words[0]).parent_path() / "reedspindle").string();
+  std::string program = (std::filesystem::path(arguments[0]).parent_path() / "reedspindle").string();
   bool times = false;
   const auto command = [&](const char* name, const char* what) {
     CLI::App* added = app.add_subcommand(name, what);
-    added->add_option("plan", path, "the plan")->required();
+    added->add_option("plan", path, "plan file")->required();
     return added;
   };
-  CLI::App* running = command("run", "carry the plan out");
-  running->add_option("--program", program, "the front; beside this program otherwise");
-  running->add_option("--keep", keep, "a folder for the processes' files and logs, which stays");
-  running->add_flag("--times", times, "how long each step took, what was sent, and each view at the end");
-  CLI::App* check = command("check", "read the plan, name all that is faulty in it");
+  CLI::App* running = command("run", "run the plan");
+  running->add_option("--program", program, "router program; default: reedspindle beside this program");
+  running->add_option("--keep", keep, "folder for files and logs of the processes, kept after the run");
+  running->add_flag("--times", times, "print duration and traffic of each step, and each view at the end");
+  CLI::App* check = command("check", "validate the plan and print all errors");
   CLI::App* show = command("show", "print the steps");
   CLI::App* fleet =
-      app.add_subcommand("show-fleet", "print the views that the processes of a run wrote last");
-  fleet->add_option("folder", path, "the folder named by --keep")->required();
-  CLI::App* telling = app.add_subcommand("report", "tell a run second by second: faults, ops, broken rules");
-  telling->add_option("folder", path, "the folder named by --keep")->required();
-  telling->add_flag("--json", times, "the record as it is");
+      app.add_subcommand("show-fleet", "print the last views written by the processes of a run");
+  fleet->add_option("folder", path, "folder given by --keep")->required();
+  CLI::App* report =
+      app.add_subcommand("report", "print a run second by second: faults, ops, violated invariants");
+  report->add_option("folder", path, "folder given by --keep")->required();
+  report->add_flag("--json", times, "print the record as JSON");
   try {
-    app.parse(count, words);
+    app.parse(count, arguments);
   } catch (const CLI::ParseError& fault) {
     return app.exit(fault) == 0 ? 0 : 2;
   }
@@ -127,11 +129,11 @@
       }
       return 0;
     }
-    if (*telling) {
+    if (*report) {
       std::ifstream file(path + "/run.json");
       const auto record = nlohmann::json::parse(file, nullptr, false);
       if (!record.is_object()) {
-        throw std::runtime_error(path + "/run.json is missing or does not read");
+        throw std::runtime_error(path + "/run.json is missing or invalid");
       }
       if (times) {
         std::cout << record.dump(2) << '\n';
