--- a/tests/faulttest/accord_alone.sexp
+++ b/tests/faulttest/accord_alone.sexp
@@ -1,5 +1,6 @@
-; One front hears neither its fellows nor discovery, but clients and stores: it goes on, then turns away writes, then
-; reads, says so, and comes back at the first contact. The others never notice.
+; One front is cut off from its peers and from discovery, but not from clients and stores. It keeps serving, then
+; rejects writes, then reads as well, reports that it is cut off, and recovers at the first contact. The others are
+; not affected.
 (rig (fronts 5) (fleet (pace 200ms) (time-out 80ms) (accord (pace 200ms) (grace 500ms) (silence 1500ms) (writes-for 3s) (reads-for 5s)))
   (stores (count 4) (groups 1)) (rules (slack 1s)) (clients (rate 80))
   (step (fault start) (until agreed))
--- a/tests/faulttest/accord_halves.sexp
+++ b/tests/faulttest/accord_halves.sexp
@@ -1,5 +1,6 @@
-; Who keeps which group follows the view: each store is probed at the pace of one keeper, of two while halves are cut
-; apart, and no more when they meet again, when keepers die, and when they come back. Discovery is asked as ever.
+; Which front probes which group follows from the membership view. Each store is probed at the rate of one prober, of
+; two while the fleet is split into halves, and at no higher rate when the halves rejoin, when probers die and when
+; they return. The rate of calls to discovery does not change.
 (rig (fronts 8) (fleet (pace 200ms) (time-out 80ms) (accord (pace 200ms) (grace 500ms) (silence 2s)))
   (stores (count 6) (groups 2)) (rules (slack 1s)) (clients (rate 40))
   (step (fault start) (until agreed))
--- a/tests/faulttest/accord_list.sexp
+++ b/tests/faulttest/accord_list.sexp
@@ -1,6 +1,6 @@
-; One front's discovery falls silent, and a store drains: it says that its list is behind, has it from its fellows that
-; the store leaves, and sends nothing there. Discovery's own word undoes it. One that can't reach a new primary has it
-; from its fellows, and differs in nothing.
+; The discovery of one front falls silent while a store drains. The front reports that its list is behind, learns from
+; its peers that the store is leaving, and sends nothing to it; discovery's own answer ends this state. A front that
+; can't reach a new primary learns of it from its peers and differs in nothing.
 (rig (fronts 5) (fleet (pace 200ms) (time-out 80ms) (accord (pace 200ms) (grace 500ms) (silence 2s)))
   (stores (count 4) (groups 1)) (rules (slack 1s)) (clients (rate 60))
   (step (fault start) (until agreed))
--- a/tests/faulttest/clocks.sexp
+++ b/tests/faulttest/clocks.sexp
@@ -1,5 +1,5 @@
-; Clocks some ms apart, as those of machines are: a front that is behind the stores still honours its sessions' last
-; writes, and fronts hear one another whichever of them is ahead.
+; Clocks a few milliseconds apart, as on real machines. A front whose clock is behind those of the stores still honours
+; the last writes of its sessions, and fronts accept each other's messages whichever clock is ahead.
 (rig (fronts 4) (fleet (pace 200ms) (time-out 80ms)) (stores (count 4) (groups 1) (lag 8ms)) (rules (slack 1s))
   (clients (rate 150) (sessions 8))
   (op-type (name save) (needs write) (effect tokened) (weight 2))
--- a/tests/faulttest/deaths.sexp
+++ b/tests/faulttest/deaths.sexp
@@ -1,4 +1,4 @@
-; Killed, restarted within the suspicion time and after, told to end, all at once.
+; Fronts that are killed, restarted within the suspicion time and after it, terminated, and killed all at once.
 (rig (fronts 8) (fleet (pace 200ms) (time-out 80ms))
   (step (fault start) (until agreed))
   (step (fault kill) (fronts "3") (until failed) (of "3") (none-failed "0-2,4-7"))
@@ -6,7 +6,7 @@
   (step (fault kill) (fronts "5") (lasts 300ms))
   (step (fault start) (fronts "5") (until agreed) (none-failed "0-7"))
   (step (fault end) (fronts "6") (until left) (of "6") (none-failed "0-7"))
-  ; Its clock has gone back by ten minutes.
+  ; It restarts with a clock set back by ten minutes.
   (step (fault kill) (fronts "2") (until failed) (of "2"))
   (step (fault start) (fronts "2") (clock -600s) (until agreed))
   (step (fault kill) (fronts "0-4") (until failed) (of "0-4"))
--- a/tests/faulttest/garbage.sexp
+++ b/tests/faulttest/garbage.sexp
@@ -1,4 +1,4 @@
-; Bytes that mean nothing, and old datagrams sent again, in floods: nobody fails, nobody comes back from the dead.
+; Floods of malformed datagrams and of replayed old ones. No front is declared failed, and no dead one is seen alive.
 (rig (fronts 6) (fleet (pace 200ms) (time-out 80ms))
   (step (fault start) (until agreed))
   (step (fault garbage) (fronts "0-5") (to "1") (count 2000) (lasts 2s) (until agreed) (none-failed "0-5"))
--- a/tests/faulttest/halves.sexp
+++ b/tests/faulttest/halves.sexp
@@ -1,4 +1,4 @@
-; Two halves cut off from one another, and met again; a bridge that hears both.
+; Two halves are cut off from one another and rejoin; then a cut that leaves one front connected to both halves.
 (rig (fronts 8) (fleet (pace 200ms) (time-out 80ms))
   (step (fault start) (until agreed))
   (step (fault cut) (fronts "0-3") (to "4-7") (lasts 8s))
--- a/tests/faulttest/lists.sexp
+++ b/tests/faulttest/lists.sexp
@@ -1,4 +1,4 @@
-; The list of fellows grows and shrinks while the fronts run (SIGHUP).
+; The list of peers grows and shrinks while the fronts run (SIGHUP).
 (rig (fronts 7) (fleet (pace 200ms) (time-out 80ms))
   (step (fault list) (count 4))
   (step (fault start) (fronts "0-3") (until agreed))
--- a/tests/faulttest/names.sexp
+++ b/tests/faulttest/names.sexp
@@ -1,4 +1,4 @@
-; Two processes with one name: the later one stays out, and takes the name once the other is gone.
+; Two processes with the same name: the later one yields, and takes over the name when the other is gone.
 (rig (fronts 5) (fleet (pace 200ms) (time-out 80ms))
   (step (fault start) (fronts "0-3") (until agreed))
   (step (fault start) (fronts "4") (name n1) (until yielded) (of "4"))
--- a/tests/faulttest/resends.sexp
+++ b/tests/faulttest/resends.sexp
@@ -1,5 +1,5 @@
-; All stores fail for all: resends come out of the fleet's bucket, one for five first sends and a burst, so the stores
-; get few more sends than there are ops.
+; All stores fail most ops. Resends are taken from the fleet's token bucket, which allows one per five first sends and a
+; burst, so the stores get only few more sends than there are ops.
 (rig (fronts 4) (fleet (pace 200ms) (time-out 80ms) (resends (share 0.2) (burst 20)))
   (stores (count 4) (groups 1)) (rules (slack 1s)) (clients (rate 100))
   (step (fault start) (until agreed))
--- a/tests/faulttest/traffic.sexp
+++ b/tests/faulttest/traffic.sexp
@@ -1,4 +1,4 @@
-; Ops through real fronts while links, stores and fronts fail.
+; Ops through the fronts while links, stores and fronts fail.
 (rig (fronts 4) (fleet (pace 200ms) (time-out 80ms)) (stores (count 6) (groups 2)) (rules (slack 1s)) (clients (rate 80))
   (step (fault start) (until agreed))
   (step (fault none) (lasts 3s) (acked 0.8))
--- a/tests/faulttest/traffic_cold.sexp
+++ b/tests/faulttest/traffic_cold.sexp
@@ -1,4 +1,4 @@
-; Stores that start cold under load: 3 fronts share what one of them may send to it.
+; Stores in slow start under load: three fronts share the load that such a store may get.
 (rig (fronts 3) (fleet (pace 200ms) (time-out 80ms)) (stores (count 4) (groups 1) (work 12ms)) (clients (rate 100))
   (rules (slack 1s) (cold-from 0.15) (warm-within 6s) (fall 1s))
   (step (fault start) (until agreed))
--- a/tests/faulttest/traffic_fronts.sexp
+++ b/tests/faulttest/traffic_fronts.sexp
@@ -1,4 +1,4 @@
-; Fronts that end while ops come: told to, killed, paused, all at once.
+; Fronts that end while clients send ops: terminated, paused, and killed all at once.
 (rig (fronts 4) (fleet (pace 200ms) (time-out 80ms)) (stores (count 4) (groups 1)) (rules (slack 1s)) (clients (rate 60))
   (step (fault start) (until agreed))
   (step (fault none) (lasts 1s))
--- a/tests/faulttest/traffic_links.sexp
+++ b/tests/faulttest/traffic_links.sexp
@@ -1,8 +1,8 @@
-; Links that fail: to stores, to discovery, to clients; cut, slow, thin, reset.
+; Links to stores, discovery and clients that are cut, slow, limited in bandwidth or reset.
 (rig (fronts 4) (fleet (pace 200ms) (time-out 80ms)) (stores (count 6) (groups 2)) (rules (slack 1s)) (clients (rate 60))
   (step (fault start) (until agreed))
   (step (fault none) (lasts 1s) (acked 0.8))
-  ; One front does not hear of a drain, the others have to keep it.
+  ; One front does not learn of a drain; the others have to observe it.
   (step (fault cut) (fronts "0") (with discovery))
   (step (fault drain) (stores "4") (lasts 2s) (acked 0.8))
   (step (fault heal) (lasts 2s) (acked 0.8))
--- a/tests/faulttest/traffic_stores.sexp
+++ b/tests/faulttest/traffic_stores.sexp
@@ -1,4 +1,4 @@
-; Stores that fail: a primary falls and another is named, one hangs, one errs, all while ops come.
+; Stores that fail while clients send ops: a primary goes down and another is promoted, one hangs, one returns errors.
 (rig (fronts 3) (fleet (pace 200ms) (time-out 80ms)) (stores (count 6) (groups 2)) (rules (slack 1s)) (clients (rate 60))
   (step (fault start) (until agreed))
   (step (fault none) (lasts 1500ms) (acked 0.8))
