--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -1,5 +1,3 @@
-#include "faulttest/environment.hpp"
-
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -7,6 +5,7 @@
 #include <utility>
 
 #include "config/instance_config.hpp"
+#include "faulttest/environment.hpp"
 
 namespace reedspindle::faulttest {
 namespace {
@@ -127,22 +126,23 @@
     streams_.open(client_addresses_[static_cast<std::size_t>(instance)],
                   listen_addresses[static_cast<std::size_t>(instance)]);
   }
-  stores_.on([this](const RequestExecuted& execution) { record_execution(execution); },
-             [this](int server, const std::string& op, const Endpoint& from) {
-               ++sends_by_server_[static_cast<std::size_t>(server)];
-               if (const auto crossing = streams_.crossing(from)) {
-                 checker_.record(invariants::RequestSent{
-                     op, {crossing->gate / relays_per_instance()}, {server}, crossing->to.read});
-               }
-             });
-  streams_.on([this](const Streams::Passed& passed) {
-    clients_.passed(passed);
+  stores_.set_callbacks(
+      [this](const RequestExecuted& execution) { record_execution(execution); },
+      [this](int server, const std::string& op, const Endpoint& from) {
+        ++sends_by_server_[static_cast<std::size_t>(server)];
+        if (const auto crossing = streams_.record(from)) {
+          checker_.record(invariants::RequestSent{
+              op, {crossing->forwarder / relays_per_instance()}, {server}, crossing->forward.read});
+        }
+      });
+  streams_.set_callback([this](const StreamRelay::Delivery& passed) {
+    clients_.on_delivery(passed);
     const auto responses =
-        passed.back ? responses_in_transit_.find(passed.target) : responses_in_transit_.end();
+        passed.backward ? responses_in_transit_.find(passed.target) : responses_in_transit_.end();
     if (responses == responses_in_transit_.end()) {
       return;
     }
-    while (!responses->second.empty() && responses->second.front().bytes <= passed.given) {
+    while (!responses->second.empty() && responses->second.front().bytes <= passed.bytes_written) {
       record_listing(responses->second.front().instance, responses->second.front().listings, passed.at);
       responses->second.pop_front();
     }
@@ -179,7 +179,7 @@
   }
 }
 
-TestDiscovery::Now TestEnvironment::discovery_list(int instance) const {
+TestDiscovery::ListUpdate TestEnvironment::discovery_list(int instance) const {
   Json targets = Json::array();
   for (int server = 0; server < plan_.stores; ++server) {
     const StoreState& state = stores_.state(server);
@@ -199,19 +199,19 @@
 }
 
 void TestEnvironment::record_execution(const RequestExecuted& execution) {
-  const bool effect = execution.writes && execution.deed == Deed::ran;
+  const bool effect = execution.writes && execution.outcome == ExecutionOutcome::ran;
   if (effect) {
     clients_.committed(execution.request, execution.position);
   }
-  if (execution.deed != Deed::ran) {
+  if (execution.outcome != ExecutionOutcome::ran) {
     return;
   }
-  const auto crossing = streams_.crossing(execution.from);
+  const auto crossing = streams_.record(execution.from);
   checker_.record(invariants::RequestProcessed{execution.request,
                                                {execution.store},
                                                execution.token,
                                                effect,
-                                               crossing ? crossing->to.read : execution.came,
+                                               crossing ? crossing->forward.read : execution.received_at,
                                                execution.position});
 }
 
@@ -238,14 +238,14 @@
 void TestEnvironment::for_each_link(const Step& step, Function apply) {
   for (const int relay_index : selected_relays(step)) {
     const bool towards_instance = relay_index % relays_per_instance() == plan_.stores + 1;
-    apply(towards_instance ? streams_.back(relay_index) : streams_.to(relay_index),
-          towards_instance ? streams_.to(relay_index) : streams_.back(relay_index));
+    apply(towards_instance ? streams_.backward(relay_index) : streams_.forward(relay_index),
+          towards_instance ? streams_.forward(relay_index) : streams_.backward(relay_index));
   }
 }
 
 void TestEnvironment::apply_fault(const Step& step) {
   if (step.fault.starts_with("cut")) {
-    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
+    for_each_link(step, [&](Direction& from_instance, Direction& to_instance) {
       if (step.fault != "cut-back") {
         from_instance.cut = true;
       }
@@ -255,12 +255,13 @@
     });
   }
   if (step.fault == "slow") {
-    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
-      from_instance.by = to_instance.by = step.by, from_instance.jitter = to_instance.jitter = step.jitter;
+    for_each_link(step, [&](Direction& from_instance, Direction& to_instance) {
+      from_instance.delay = to_instance.delay = step.by,
+      from_instance.jitter = to_instance.jitter = step.jitter;
     });
   }
   if (step.fault == "limit") {
-    for_each_link(step, [&](Way& from_instance, Way& to_instance) {
+    for_each_link(step, [&](Direction& from_instance, Direction& to_instance) {
       from_instance.rate = to_instance.rate = step.rate;
     });
   }
@@ -271,9 +272,9 @@
   }
   if (step.fault.starts_with("discovery-")) {
     for (const int instance : step.fronts) {
-      discoveries_[static_cast<std::size_t>(instance)]->be_silent(step.fault == "discovery-silent");
+      discoveries_[static_cast<std::size_t>(instance)]->set_silent(step.fault == "discovery-silent");
       if (step.fault == "discovery-speaks") {
-        discoveries_[static_cast<std::size_t>(instance)]->changed();
+        discoveries_[static_cast<std::size_t>(instance)]->notify_watchers();
       }
     }
   }
@@ -285,7 +286,7 @@
   bool list_changed = false;
   for (const int server : step.stores) {
     StoreState& state = stores_.state(server);
-    state.reached = stores_.position(server);
+    state.min_position = stores_.position(server);
     if (step.fault == "fall") {
       stores_.fall(server);
     }
@@ -295,10 +296,10 @@
       list_changed = true;
     }
     if (step.fault == "hang") {
-      state.answers = false;
+      state.responsive = false;
     }
     if (step.fault == "recover") {
-      state.answers = true, state.errors = 0, state.lag = plan_.lag, state.stalled_at = -1;
+      state.responsive = true, state.errors = 0, state.lag = plan_.lag, state.stalled_at = -1;
     }
     if (step.fault == "errors") {
       state.errors = step.share;
@@ -314,7 +315,7 @@
         if (stores_.state(peer).group != state.group) {
           continue;
         }
-        stores_.state(peer).reached = stores_.position(peer);
+        stores_.state(peer).min_position = stores_.position(peer);
         stores_.state(peer).primary = peer == server;
       }
     }
@@ -333,7 +334,7 @@
   }
   ++revision_;
   for (const auto& discovery : discoveries_) {
-    discovery->changed();
+    discovery->notify_watchers();
   }
 }
 
@@ -343,7 +344,7 @@
   if (plan_.clients.rate <= 0 || std::exchange(clients_started_, true)) {
     return;
   }
-  clients_.begin();
+  clients_.start();
 }
 
 std::vector<invariants::Violation> TestEnvironment::check_invariants() {
@@ -366,7 +367,7 @@
   int sum = 0;
   for (int instance = 0; instance < plan_.fronts; ++instance) {
     if (!paused_instances.contains(instance)) {
-      sum += streams_.open_at(relay_index(instance, server));
+      sum += streams_.open_connections(relay_index(instance, server));
     }
   }
   return sum;
@@ -376,11 +377,11 @@
   Tally sum;
   sum.at = from;
   for (const Tally& tally : clients_.tallies()) {
-    if (tally.at < from || tally.at + kTallied > to) {
+    if (tally.at < from || tally.at + kTallySpan > to) {
       continue;
     }
-    for (const auto& [came, count] : tally.came) {
-      sum.came[came] += count;
+    for (const auto& [outcome, count] : tally.outcomes) {
+      sum.outcomes[outcome] += count;
     }
     sum.latencies.insert(sum.latencies.end(), tally.latencies.begin(), tally.latencies.end());
   }
--- a/src/faulttest/environment.hpp
+++ b/src/faulttest/environment.hpp
@@ -37,7 +37,7 @@
   void enqueue(invariants::Event event) { checker_.record(std::move(event)); }
   // Starts the clients on the first call.
   void start_clients();
-  void stop_clients() { clients_.rest(); }
+  void stop_clients() { clients_.stop(); }
   [[nodiscard]] bool clients_started() const { return clients_started_; }
   std::vector<invariants::Violation> check_invariants();
   [[nodiscard]] const std::deque<Tally>& tallies() const { return clients_.tallies(); }
@@ -52,7 +52,7 @@
     [[nodiscard]] std::uint64_t total_sends() const;
   };
   [[nodiscard]] Counters counters() const;
-  [[nodiscard]] std::size_t open_requests() const { return clients_.open(); }
+  [[nodiscard]] std::size_t open_requests() const { return clients_.open_ops(); }
 
  private:
   struct ServerListing {
@@ -60,7 +60,7 @@
     bool accepts_requests = true;
     Millis started_at = 0;
   };
-  [[nodiscard]] TestDiscovery::Now discovery_list(int instance) const;
+  [[nodiscard]] TestDiscovery::ListUpdate discovery_list(int instance) const;
   [[nodiscard]] std::vector<ServerListing> list_servers() const;
   void record_listing(int instance, const std::vector<ServerListing>& listings, Millis at);
   void record_execution(const RequestExecuted& execution);
@@ -77,7 +77,7 @@
   const Plan& plan_;
   const net::Clock& clock_;
   invariants::InvariantChecker checker_;
-  Streams streams_;
+  StreamRelay streams_;
   TestStores stores_;
   std::vector<std::unique_ptr<TestDiscovery>> discoveries_;
   std::vector<std::vector<Endpoint>> upstream_addresses_;  // by instance: relays to servers and discovery
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -1,5 +1,3 @@
-#include "faulttest/scale.hpp"
-
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -17,6 +15,7 @@
 
 #include "config/instance_config.hpp"
 #include "faulttest/process.hpp"
+#include "faulttest/scale.hpp"
 #include "faulttest/test_discovery.hpp"
 #include "faulttest/test_stores.hpp"
 #include "net/clock.hpp"
@@ -124,7 +123,7 @@
     std::uint64_t generation = 0;  // number of connections; callbacks of an earlier one are ignored
   };
 
-  TestDiscovery::Now list_since(long long since);
+  TestDiscovery::ListUpdate list_since(long long since);
   [[nodiscard]] std::string format_row(int server) const;
   void publish_list(const std::vector<int>& servers, bool complete);
   void release_step(int step);
@@ -211,7 +210,7 @@
       listed_[static_cast<std::size_t>(server)] = Listing::active;
     }
   }
-  servers_.on({}, [this](int server, const std::string& request, const Tcp::endpoint&) {
+  servers_.set_callbacks({}, [this](int server, const std::string& request, const Tcp::endpoint&) {
     record_attempt(server, request);
   });
 }
@@ -235,7 +234,7 @@
                      servers_.state(server).group, state, servers_.state(server).booted);
 }
 
-TestDiscovery::Now Simulation::list_since(long long since) {
+TestDiscovery::ListUpdate Simulation::list_since(long long since) {
   const bool complete = since < 0 || std::exchange(next_list_complete_, false);
   std::string rows;
   for (int server = 0; server < total_servers_; ++server) {
@@ -252,8 +251,8 @@
     }
     rows += format_row(server);
   }
-  TestDiscovery::Now now{revision_,
-                         fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, complete, rows)};
+  TestDiscovery::ListUpdate now{
+      revision_, fmt::format(R"({{"rev":{},"all":{},"targets":[{}]}})", revision_, complete, rows)};
   report_.list_bytes += now.list.size();
   // The instance counts as informed when the list is written.
   for (int server = 0; server < total_servers_; ++server) {
@@ -274,7 +273,7 @@
     changed_at_[static_cast<std::size_t>(server)] = revision_;
   }
   next_list_complete_ = complete;
-  discovery_.changed();
+  discovery_.notify_watchers();
 }
 
 // Adds a batch of new servers, drains the batch that they replace and removes the batch drained before. In
@@ -307,17 +306,17 @@
   if (step == kReleaseSteps / 2) {  // changes the primary of an eighth of the groups
     for (int group = 0; group < groups_; group += kReleaseSteps) {
       const int next = group + groups_;
-      servers_.state(next).reached = servers_.position(next);
-      servers_.state(group).reached = servers_.position(group);
+      servers_.state(next).min_position = servers_.position(next);
+      servers_.state(group).min_position = servers_.position(group);
       servers_.state(group).primary = false;
       servers_.state(next).primary = true;
     }
   }
   if (step == kOutageFirstStep) {
-    discovery_.be_silent(true);
+    discovery_.set_silent(true);
   }
   if (step == kOutageLastStep) {
-    discovery_.be_silent(false);
+    discovery_.set_silent(false);
   }
   publish_list(changed_servers, step == kOutageLastStep);
 }
--- a/testservers/test_environment.cpp
+++ b/testservers/test_environment.cpp
@@ -1,5 +1,3 @@
-#include "testservers/test_environment.hpp"
-
 #include <fmt/format.h>
 
 #include <chrono>
@@ -7,6 +5,7 @@
 #include <nlohmann/json.hpp>
 
 #include "config/instance_config.hpp"
+#include "testservers/test_environment.hpp"
 
 namespace reedspindle::testservers {
 
@@ -76,7 +75,7 @@
   run_on_loop([&] {
     apply_change(change);
     ++revision_;
-    discovery_.changed();
+    discovery_.notify_watchers();
     at = now_ms();
   });
   return at;
@@ -86,13 +85,13 @@
   run_on_loop([&] { apply_change(change); });
 }
 void TestEnvironment::pass_http2(int store, int port) {
-  run_on_loop([&] { stores_.pass_http2(store, port); });
+  run_on_loop([&] { stores_.forward_http2(store, port); });
 }
 
 void TestEnvironment::set_discovery_mode(DiscoveryMode mode) {
   run_on_loop([&] {
     discovery_mode_ = mode;
-    discovery_.be_silent(mode == DiscoveryMode::silent);
+    discovery_.set_silent(mode == DiscoveryMode::silent);
   });
 }
 void TestEnvironment::set_revision(long long revision) {
@@ -118,7 +117,7 @@
   return static_cast<long long>(probes);
 }
 
-faulttest::TestDiscovery::Now TestEnvironment::endpoint_list() const {
+faulttest::TestDiscovery::ListUpdate TestEnvironment::endpoint_list() const {
   nlohmann::json targets = nlohmann::json::array();
   for (int store = 0; discovery_mode_ != DiscoveryMode::empty_list && store < size(); ++store) {
     const StoreState& state = stores_.state(store);
--- a/testservers/test_environment.hpp
+++ b/testservers/test_environment.hpp
@@ -48,7 +48,7 @@
   // Runs the action on the thread of the event loop and waits until it is done.
   void run_on_loop(const std::function<void()>& action) const;
   void apply_change(const std::function<void(std::vector<StoreState>&)>& change);
-  faulttest::TestDiscovery::Now endpoint_list() const;
+  faulttest::TestDiscovery::ListUpdate endpoint_list() const;
 
   mutable asio::io_context io_;
   const net::Clock clock_;
