--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,6 +1,7 @@
-// Measures the control service with stand-ins on loopback: how long after discovery has written a drain each
-// proxy still could have sent there, also with all streams reconnecting at that moment; what a proxy costs;
-// how long a restart takes; whether any of many kills hands out an empty roster. One line of figures a run.
+// Measures the control service with simulated proxies and servers on loopback: how long after discovery has
+// written a drain each proxy could still have sent to the server, also if all streams reconnect at that
+// moment; the cost per proxy; how long a restart takes; and whether a kill ever leads to an empty endpoint
+// assignment. Prints one line of results per run.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -21,46 +22,46 @@
 namespace {
 using namespace reedspindle::testservers;
 
-constexpr int kOfGroup = 6;  // members of a group, the first of them primary
+constexpr int kGroupSize = 6;  // servers of a group, the first is the primary
 
-struct Wish {
+struct BenchOptions {
   std::string program = "build/reedspindle-control";
   int proxies = 10, members = 26, rounds = 20, kills = 0;
-  bool changes = false, reconnect = false, leases = false;
+  bool incremental = false, reconnect = false, leases = false;
 };
 
-double part(std::vector<double>& sorted, double share) {
+double quantile(std::vector<double>& sorted, double fraction) {
   return sorted.empty() ? 0
-                        : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+                        : sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
 }
 
-// When each proxy was last handed the drained member as healthy.
-struct Watch {
+// Tracks since when each proxy no longer has the draining server as healthy.
+struct DrainWatch {
   std::mutex mutex;
   std::string server, assignment;
-  std::map<std::string, double> out;  // by proxy: the time from which it does not send there
+  std::map<std::string, double> stopped_sending_at;  // by proxy
 };
 
-bool has(const Proxy& proxy, const std::string& assignment, const std::string& member) {
+bool lists_as_healthy(const Proxy& proxy, const std::string& assignment, const std::string& member) {
   const auto handed = proxy.assignment(assignment);
-  return handed &&
-         std::ranges::any_of(*handed, [&](const Handed& h) { return h.server == member && h.healthy; });
+  return handed && std::ranges::any_of(
+                       *handed, [&](const Handed& entry) { return entry.server == member && entry.healthy; });
 }
 
-int run(const Wish& wish) {
-  char made[] = "/tmp/reedspindle-bench-XXXXXX";
-  if (!mkdtemp(made)) {
+int run(const BenchOptions& options) {
+  char folder_template[] = "/tmp/reedspindle-bench-XXXXXX";
+  if (!mkdtemp(folder_template)) {
     return 1;
   }
-  const std::string folder = made;
-  World world(wish.members);
+  const std::string folder = folder_template;
+  World world(options.members);
   world.change([](auto& states) {
     for (std::size_t i = 0; i < states.size(); ++i) {
-      states[i].group = static_cast<int>(i) / kOfGroup, states[i].primary = i % kOfGroup == 0;
+      states[i].group = static_cast<int>(i) / kGroupSize, states[i].primary = i % kGroupSize == 0;
     }
   });
-  const int groups = (wish.members + kOfGroup - 1) / kOfGroup;
-  ServiceProcess service(wish.program, folder, "bench", world.discovery_address(),
+  const int groups = (options.members + kGroupSize - 1) / kGroupSize;
+  ServiceProcess service(options.program, folder, "bench", world.discovery_address(),
                          "(proxies (most 5000)) (sockets 8192)");
   service.start();
   if (!service.says("hands out")) {
@@ -68,51 +69,52 @@
   }
   std::vector<std::string> names;
   for (int group = 0; group < groups; ++group) {
-    for (const char* of : {"primary", "any", "within-1500ms"}) {
-      if (wish.leases || std::string(of) != "within-1500ms") {
-        names.push_back(fmt::format("group-{}.{}", group, of));
+    for (const char* kind : {"primary", "any", "within-1500ms"}) {
+      if (options.leases || std::string(kind) != "within-1500ms") {
+        names.push_back(fmt::format("group-{}.{}", group, kind));
       }
     }
   }
-  Watch watch;
-  std::atomic<bool> empty = false;
-  const auto look = [&](Proxy& proxy, const std::string&, double at) {
+  DrainWatch watch;
+  std::atomic<bool> empty_assignment = false;
+  const auto on_assignment = [&](Proxy& proxy, const std::string&, double at) {
     const std::lock_guard lock(watch.mutex);
     if (watch.server.empty()) {
       return;
     }
-    const bool there = has(proxy, watch.assignment, watch.server);
-    if (there) {
-      watch.out.erase(proxy.node());
+    const bool listed = lists_as_healthy(proxy, watch.assignment, watch.server);
+    if (listed) {
+      watch.stopped_sending_at.erase(proxy.node());
     } else {
-      watch.out.try_emplace(proxy.node(), at);
+      watch.stopped_sending_at.try_emplace(proxy.node(), at);
     }
     const auto handed = proxy.assignment(watch.assignment);
     if (handed && handed->empty()) {
-      empty = true;
+      empty_assignment = true;
     }
   };
-  ProxyCan can{wish.changes, {"reedspindle.weights"}, "stand-in"};
-  if (wish.leases) {
-    can.features.push_back("reedspindle.expiry.stated");
+  ProxyCan capabilities{options.incremental, {"reedspindle.weights"}, "stand-in"};
+  if (options.leases) {
+    capabilities.features.push_back("reedspindle.expiry.stated");
   }
-  const long alone = service.cost().resident;
+  const long resident_without_proxies = service.cost().resident;
   const double connect_from = now_ms();
   std::vector<std::unique_ptr<Proxy>> proxies;
-  for (int i = 0; i < wish.proxies; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{:04}", i), service.target(), can, names, look));
+  for (int i = 0; i < options.proxies; ++i) {
+    proxies.push_back(std::make_unique<Proxy>(fmt::format("p{:04}", i), service.target(), capabilities, names,
+                                              on_assignment));
   }
   const std::string last_any = fmt::format("group-{}.any", groups - 1);
   for (auto& proxy : proxies) {
     if (!proxy->wait([&](const Proxy& p) { return p.assignments().size() == names.size(); }, 120000)) {
-      std::cout << "not all proxies were told\n";
+      std::cout << "not all proxies received their assignments\n";
       return 1;
     }
   }
-  const double all_told = now_ms() - connect_from;
+  const double first_responses_time = now_ms() - connect_from;
 
   std::vector<double> delays;
-  std::minstd_rand chance(1);
+  std::minstd_rand random(1);
   const auto bytes_of = [&] {
     std::pair<double, double> sum{0, 0};
     for (const auto& proxy : proxies) {
@@ -123,46 +125,48 @@
   const auto bytes_before = bytes_of();
   const double from = now_ms();
   const double processor_before = service.cost().processor;
-  int lost = 0;
-  for (int round = 0; round < wish.rounds; ++round) {
+  int not_informed = 0;
+  for (int round = 0; round < options.rounds; ++round) {
     const int group =
-        static_cast<int>(chance() % static_cast<unsigned>(std::max(1, wish.members / kOfGroup)));
-    const int store =
-        std::min(group * kOfGroup + 1 + static_cast<int>(chance() % (kOfGroup - 1)), wish.members - 1);
+        static_cast<int>(random() % static_cast<unsigned>(std::max(1, options.members / kGroupSize)));
+    const int server =
+        std::min(group * kGroupSize + 1 + static_cast<int>(random() % (kGroupSize - 1)), options.members - 1);
     {
       const std::lock_guard lock(watch.mutex);
-      watch.server = world.name_of(store), watch.assignment = fmt::format("group-{}.any", group);
-      watch.out.clear();
+      watch.server = world.name_of(server), watch.assignment = fmt::format("group-{}.any", group);
+      watch.stopped_sending_at.clear();
     }
-    if (wish.reconnect) {
+    if (options.reconnect) {
       for (auto& proxy : proxies) {
         proxy->come_back();
       }
     }
-    const double told =
-        world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = true; });
-    const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-    for (bool all = false; !all && std::chrono::steady_clock::now() < give_up;) {
+    const double drained_at =
+        world.change([server](auto& states) { states[static_cast<std::size_t>(server)].draining = true; });
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+    for (bool all_informed = false; !all_informed && std::chrono::steady_clock::now() < deadline;) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
       const std::lock_guard lock(watch.mutex);
-      all = watch.out.size() == proxies.size();
+      all_informed = watch.stopped_sending_at.size() == proxies.size();
     }
     {
       const std::lock_guard lock(watch.mutex);
-      lost += static_cast<int>(proxies.size() - watch.out.size());
-      for (const auto& [node, at] : watch.out) {
-        delays.push_back(std::max(0.0, at - told));
+      not_informed += static_cast<int>(proxies.size() - watch.stopped_sending_at.size());
+      for (const auto& [node, at] : watch.stopped_sending_at) {
+        delays.push_back(std::max(0.0, at - drained_at));
       }
       watch.server.clear();
     }
-    world.change([store](auto& states) { states[static_cast<std::size_t>(store)].draining = false; });
+    world.change([server](auto& states) { states[static_cast<std::size_t>(server)].draining = false; });
     for (auto& proxy : proxies) {
       proxy->wait(
-          [&](const Proxy& p) { return has(p, fmt::format("group-{}.any", group), world.name_of(store)); },
+          [&](const Proxy& p) {
+            return lists_as_healthy(p, fmt::format("group-{}.any", group), world.name_of(server));
+          },
           30000);
     }
   }
-  const double took = now_ms() - from;
+  const double duration = now_ms() - from;
   const auto bytes_after = bytes_of();
   const ServiceProcess::Cost cost = service.cost();
   std::ranges::sort(delays);
@@ -170,34 +174,35 @@
   std::cout << fmt::format(
       "{:>5} proxies {:>4} members {:<7} {:<9} {:<6}: drain p50 {:6.1f} p99 {:6.1f} max {:6.1f} ms, over 500 "
       "ms {}, not "
-      "told {}; all told first {:.0f} ms; {:.0f} B and {:.3f} ms of processor a response, {:.1f} responses/s "
-      "a proxy; "
-      "{} KB a proxy, {} KB alone\n",
-      wish.proxies, wish.members, wish.changes ? "changes" : "whole", wish.reconnect ? "reconnect" : "steady",
-      wish.leases ? "leases" : "none", part(delays, 0.5), part(delays, 0.99), part(delays, 1),
-      std::ranges::count_if(delays, [](double d) { return d > 500; }), lost, all_told,
+      "informed {}; first responses to all {:.0f} ms; {:.0f} B and {:.3f} ms of processor per response, "
+      "{:.1f} responses/s per proxy; {} KB per proxy, {} KB without proxies\n",
+      options.proxies, options.members, options.incremental ? "changes" : "whole",
+      options.reconnect ? "reconnect" : "steady", options.leases ? "leases" : "none", quantile(delays, 0.5),
+      quantile(delays, 0.99), quantile(delays, 1),
+      std::ranges::count_if(delays, [](double d) { return d > 500; }), not_informed, first_responses_time,
       (bytes_after.first - bytes_before.first) / std::max(1.0, responses),
-      (cost.processor - processor_before) / std::max(1.0, responses), responses / took * 1000 / wish.proxies,
-      (cost.resident - alone) / wish.proxies, alone);
+      (cost.processor - processor_before) / std::max(1.0, responses),
+      responses / duration * 1000 / options.proxies,
+      (cost.resident - resident_without_proxies) / options.proxies, resident_without_proxies);
 
-  if (wish.kills > 0) {
+  if (options.kills > 0) {
     {
       const std::lock_guard lock(watch.mutex);
       watch.server = "nobody", watch.assignment = last_any;
     }
-    std::vector<double> times;
-    for (int kill = 0; kill < wish.kills; ++kill) {
+    std::vector<double> restart_times;
+    for (int kill = 0; kill < options.kills; ++kill) {
       world.change([&](auto& states) {
-        const std::size_t one = chance() % states.size();
-        states[one].draining = !states[one].draining && one % kOfGroup != 0;
+        const std::size_t server = random() % states.size();
+        states[server].draining = !states[server].draining && server % kGroupSize != 0;
       });
-      std::this_thread::sleep_for(std::chrono::microseconds(chance() % 150000));
+      std::this_thread::sleep_for(std::chrono::microseconds(random() % 150000));
       std::vector<std::size_t> before;
       service.end(SIGKILL);
       for (auto& proxy : proxies) {
         before.push_back(proxy->responses());
       }
-      const double down = now_ms();
+      const double restarted_at = now_ms();
       service.start();
       if (kill % 10 != 9) {
         continue;
@@ -205,35 +210,38 @@
       for (std::size_t i = 0; i < proxies.size(); ++i) {
         proxies[i]->wait([&](const Proxy& p) { return p.responses() >= before[i] + 2; }, 30000);
       }
-      times.push_back(now_ms() - down);
+      restart_times.push_back(now_ms() - restarted_at);
     }
-    std::ranges::sort(times);
+    std::ranges::sort(restart_times);
     std::cout << fmt::format(
-        "  {} kills: an empty roster {}; from the start to everybody's first full answer p50 {:.0f}, max "
+        "  {} kills: empty assignment: {}; from the restart to the first complete response of every proxy "
+        "p50 "
+        "{:.0f}, max "
         "{:.0f} ms\n",
-        wish.kills, empty ? "YES" : "no", part(times, 0.5), part(times, 1));
+        options.kills, empty_assignment ? "YES" : "no", quantile(restart_times, 0.5),
+        quantile(restart_times, 1));
   }
   for (auto& proxy : proxies) {
     proxy->stop();
   }
   std::filesystem::remove_all(folder);
-  return empty || lost > 0 ? 1 : 0;
+  return empty_assignment || not_informed > 0 ? 1 : 0;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"Measures the control service with stand-ins on loopback"};
-  Wish wish;
-  app.add_option("--program", wish.program, "the control service")->capture_default_str();
-  app.add_option("--proxies", wish.proxies)->capture_default_str();
-  app.add_option("--members", wish.members)->capture_default_str();
-  app.add_option("--rounds", wish.rounds, "drains")->capture_default_str();
-  app.add_option("--kills", wish.kills, "after the drains")->capture_default_str();
-  app.add_flag("--changes", wish.changes, "the incremental form");
-  app.add_flag("--reconnect", wish.reconnect, "all streams come anew at each drain");
-  app.add_flag("--leases", wish.leases, "with bounded reads by stated times");
-  CLI11_PARSE(app, count, words);
-  return run(wish);
+  CLI::App app{"Measures the control service with simulated proxies and servers on loopback"};
+  BenchOptions options;
+  app.add_option("--program", options.program, "path of the control service")->capture_default_str();
+  app.add_option("--proxies", options.proxies)->capture_default_str();
+  app.add_option("--members", options.members)->capture_default_str();
+  app.add_option("--rounds", options.rounds, "number of drains")->capture_default_str();
+  app.add_option("--kills", options.kills, "number of kills after the drains")->capture_default_str();
+  app.add_flag("--changes", options.incremental, "uses incremental responses");
+  app.add_flag("--reconnect", options.reconnect, "reconnects all streams at each drain");
+  app.add_flag("--leases", options.leases, "with bounded reads by stated expiry times");
+  CLI11_PARSE(app, count, arguments);
+  return run(options);
 }
