--- a/src/faulttest/environment.cpp
+++ b/src/faulttest/environment.cpp
@@ -1,3 +1,5 @@
+#include "faulttest/environment.hpp"
+
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -5,7 +7,6 @@
 #include <utility>
 
 #include "config/instance_config.hpp"
-#include "faulttest/environment.hpp"
 
 namespace reedspindle::faulttest {
 namespace {
--- a/src/faulttest/fault_test.cpp
+++ b/src/faulttest/fault_test.cpp
@@ -1,3 +1,5 @@
+#include "faulttest/fault_test.hpp"
+
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -10,7 +12,6 @@
 #include <utility>
 
 #include "config/instance_config.hpp"
-#include "faulttest/fault_test.hpp"
 
 namespace reedspindle::faulttest {
 namespace {
--- a/src/faulttest/plan.cpp
+++ b/src/faulttest/plan.cpp
@@ -1,3 +1,5 @@
+#include "faulttest/plan.hpp"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -5,8 +7,6 @@
 #include <random>
 #include <sstream>
 
-#include "faulttest/plan.hpp"
-
 namespace reedspindle::faulttest {
 
 extern const char* const kSchema;  // plan.json
--- a/src/faulttest/scale.cpp
+++ b/src/faulttest/scale.cpp
@@ -1,3 +1,5 @@
+#include "faulttest/scale.hpp"
+
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -15,7 +17,6 @@
 
 #include "config/instance_config.hpp"
 #include "faulttest/process.hpp"
-#include "faulttest/scale.hpp"
 #include "faulttest/test_discovery.hpp"
 #include "faulttest/test_stores.hpp"
 #include "net/clock.hpp"
--- a/src/faulttest/test_clients.cpp
+++ b/src/faulttest/test_clients.cpp
@@ -1,3 +1,5 @@
+#include "faulttest/test_clients.hpp"
+
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -5,7 +7,6 @@
 #include <cmath>
 #include <utility>
 
-#include "faulttest/test_clients.hpp"
 #include "postgres/codec.hpp"
 
 namespace reedspindle::faulttest {
--- a/testservers/test_environment.cpp
+++ b/testservers/test_environment.cpp
@@ -1,3 +1,5 @@
+#include "testservers/test_environment.hpp"
+
 #include <fmt/format.h>
 
 #include <chrono>
@@ -5,7 +7,6 @@
 #include <nlohmann/json.hpp>
 
 #include "config/instance_config.hpp"
-#include "testservers/test_environment.hpp"
 
 namespace reedspindle::testservers {
 
