--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -15,9 +15,9 @@
 #include <random>
 #include <thread>
 
-#include "testservers/proxies.hpp"
 #include "testservers/service.hpp"
-#include "testservers/world.hpp"
+#include "testservers/test_environment.hpp"
+#include "testservers/xds_client.hpp"
 
 namespace {
 using namespace reedspindle::testservers;
