--- a/tests/proxy.cpp
+++ b/tests/proxy.cpp
@@ -260,9 +260,9 @@
     return rest;
   }
 
-  static std::string loopback_address(int first_octet_base) {
+  static std::string loopback_address(int second_octet_base) {
     const int pid = getpid();
-    return "127." + std::to_string(first_octet_base + pid / 65536 % 32) + "." +
+    return "127." + std::to_string(second_octet_base + pid / 65536 % 32) + "." +
            std::to_string(pid / 256 % 256) + "." + std::to_string(pid % 256) + ":0";
   }
   void add_server(const std::string& spec) {  // NAME:RANK, such as "a:source" or "b:copy"; the rank is that
